--- a/benches/pick.rs
+++ b/benches/pick.rs
@@ -23,7 +23,7 @@
         classes: vec![class; 3],
         tenants: vec![],
         discovery: Discovery::Push,
-        report: ReportSource::Silent,
+        report_source: ReportSource::None,
         allowed: Allowed {
             cancel: true,
             probe: false,
@@ -42,12 +42,12 @@
             may_shed_begun: false,
             dropped_stay_open: false,
         },
-        progress: 0,
+        progress_interval: 0,
         tells_start: false,
         zone: None,
         worth_by_work: false,
         prices: Prices::default(),
-        counts: true,
+        reports_count_jobs: true,
         tail_slack: None,
     }
 }
@@ -65,7 +65,7 @@
         size: 0.0,
     };
     let mut actions = Vec::new();
-    balancer.handle(0, Event::Workers(ListKind::Full, (0..workers).map(entry).collect()), &mut actions);
+    balancer.handle(0, Event::WorkerList(ListKind::Full, (0..workers).map(entry).collect()), &mut actions);
     let mut now = 1;
     for id in 0..u64::from(workers) * 4 {
         now = serve(&mut balancer, id, now, &mut actions);
@@ -81,9 +81,9 @@
     let request =
         Request { id: id.clone(), class, tenant: None, key: None, deadline, slots: 1.0, work: None };
     balancer.handle(now, Event::Request(request), actions);
-    let (outcome, attempt, spent) = (Outcome::Served, AttemptNo(0), 50 * MS);
-    let end = Closed { id, attempt, outcome, complete: true, spent, report: None };
-    balancer.handle(now + 50, Event::Closed(end), actions);
+    let (outcome, attempt, elapsed) = (Outcome::Served, AttemptNo(0), 50 * MS);
+    let end = AttemptEnd { id, attempt, outcome, request_done: true, elapsed, report: None };
+    balancer.handle(now + 50, Event::AttemptEnded(end), actions);
     black_box(actions.len());
     now + 100
 }
@@ -91,10 +91,10 @@
 /// So many overrides: weights over the workers in turn, a tenth out of service beside them, pins of tenants.
 fn overrides(count: u32, workers: u32) -> Overrides {
     let weights: Vec<_> = (0..count.min(workers)).map(|w| (WorkerId(w), 0.5 + f64::from(w % 4))).collect();
-    let barred: Vec<_> = (0..count / 10).map(|w| WorkerId(workers + w)).collect();
+    let out_of_service: Vec<_> = (0..count / 10).map(|w| WorkerId(workers + w)).collect();
     let rest = count as usize - weights.len().min(count as usize);
     let pins = (0..rest).map(|t| (ClassId(t % 3), Some(TenantId(t)), WorkerId(t as u32 % workers)));
-    Overrides { weights, barred, pins: pins.collect() }
+    Overrides { weights, out_of_service, pins: pins.collect() }
 }
 
 fn pick(criterion: &mut Criterion) {
--- a/dispatcher/src/config/mod.rs
+++ b/dispatcher/src/config/mod.rs
@@ -245,7 +245,7 @@
         // Plain HTTP workers give no sign before their answer. Guards against calling one back for being slower
         // than the quick ones before it: within its aim it is not overdue.
         let aim = site.settings.classes.iter().map(|c| c.aim).max().unwrap_or(0);
-        site.settings.progress = site.settings.progress.max(aim);
+        site.settings.progress_interval = site.settings.progress_interval.max(aim);
     }
     let mut routes =
         vec![Route { path: "/api".into(), prefix: false, class: None, budget: None, passing: None }];
--- a/dispatcher/src/facade.rs
+++ b/dispatcher/src/facade.rs
@@ -3,7 +3,7 @@
 //! don't leave this file, and neither does its clock, the only one that decisions rest on.
 
 use lineroute::{
-    Action, AttemptNo, Balancer, CellId, ClassId, Closed, Event, Key, KindId, Micros, Overrides, Report,
+    Action, AttemptEnd, AttemptNo, Balancer, CellId, ClassId, Event, Key, KindId, Micros, Overrides, Report,
     Request, RequestId, SettingsError, TenantId, WorkerEntry, WorkerId, ZoneId,
 };
 pub use lineroute::{Discovery, ListKind, Outcome, ReportSource, Settings, Stage};
@@ -249,33 +249,35 @@
     /// Something has happened: what follows?
     pub fn report(&mut self, news: News) -> Vec<Decision> {
         let event = match news {
-            News::List(kind, listed) => Event::Workers(kind, listed.iter().map(entry).collect()),
+            News::List(kind, listed) => Event::WorkerList(kind, listed.iter().map(entry).collect()),
             News::ListFailed => Event::ListFailed,
             News::ListValid(valid) => Event::ListValid(valid),
             News::Steer(steer) => Event::Overrides(Overrides {
                 weights: steer.weights.iter().map(|(t, factor)| (WorkerId(t.0), *factor)).collect(),
-                barred: steer.barred.iter().map(|t| WorkerId(t.0)).collect(),
+                out_of_service: steer.barred.iter().map(|t| WorkerId(t.0)).collect(),
                 pins: (steer.pins.iter())
                     .map(|p| (ClassId(p.class), p.tenant.map(TenantId), WorkerId(p.target.0)))
                     .collect(),
             }),
-            News::Others(target, out, refused) => Event::Others { worker: WorkerId(target.0), out, refused },
+            News::Others(target, in_flight, refused) => {
+                Event::PeerHint { worker: WorkerId(target.0), in_flight, refused }
+            }
             News::Left(flow) => Event::Aborted(request_id(flow)),
-            News::Passes(flow, number) => Event::Started(request_id(flow), AttemptNo(number)),
-            News::Begun(flow, number) => Event::Begun(request_id(flow), AttemptNo(number)),
+            News::Passes(flow, number) => Event::ResponseStarted(request_id(flow), AttemptNo(number)),
+            News::Begun(flow, number) => Event::JobStarted(request_id(flow), AttemptNo(number)),
             News::Progress(flow, number, share) => {
                 Event::Progress(request_id(flow), AttemptNo(number), share)
             }
-            News::Ended { flow, number, outcome, over, spent, load } => Event::Closed(Closed {
+            News::Ended { flow, number, outcome, over, spent, load } => Event::AttemptEnded(AttemptEnd {
                 id: request_id(flow),
                 attempt: AttemptNo(number),
                 outcome,
-                complete: over,
-                spent: spent.as_micros() as Micros,
+                request_done: over,
+                elapsed: spent.as_micros() as Micros,
                 report: load.map(report),
             }),
             News::Probed(target, outcome, load) => {
-                Event::Probed { worker: WorkerId(target.0), outcome, report: load.map(report) }
+                Event::ProbeEnded { worker: WorkerId(target.0), outcome, report: load.map(report) }
             }
         };
         self.handle(event)
@@ -314,9 +316,9 @@
                     *next += 1;
                     Decision::Forward { flow, number, target: TargetId(worker.0) }
                 }
-                Action::Refuse { id, stay_away } => Decision::FixedResponse {
+                Action::Refuse { id, retry_after } => Decision::FixedResponse {
                     flow: flow_id(&id),
-                    retry_after: Some(Duration::from_micros(stay_away)),
+                    retry_after: Some(Duration::from_micros(retry_after)),
                 },
                 Action::Fail(id) => Decision::FixedResponse { flow: flow_id(&id), retry_after: None },
                 Action::Cancel(id, number) => Decision::Cancel { flow: flow_id(&id), number: number.0 },
@@ -350,7 +352,7 @@
 }
 
 fn report(load: Load) -> Report {
-    Report { free_slots: load.free, waiting: load.waiting, held: load.held }
+    Report { free_slots: load.free, queued: load.waiting, in_flight: load.held }
 }
 
 fn entry(listed: &Listed) -> WorkerEntry {
--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -228,7 +228,7 @@
     let connect_within = Duration::from_micros(site.connect_timeout);
     let keepalive = Duration::from_micros(site.settings.allowed.keepalive);
     let schedule = WatchSchedule::new(site.settings.instances, config.seed);
-    let reports = site.settings.report != ReportSource::Silent;
+    let reports = site.settings.report_source != ReportSource::None;
     let source_kind = ListSourceKind::of(&config);
     let status = match source_kind {
         ListSourceKind::Pushed => ListStatus::pushed(drains.as_millis() as u64),
--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -2,9 +2,9 @@
 
 use super::target;
 use lineroute::{
-    Action, Allowed, AttemptNo, Balancer, CellId, Class, ClassId, Closed, Discovery, Effect, Event, KindId,
-    ListKind, Micros, Outcome, Prices, ReportSource, Request, RequestId, Rules, Settings, Stage, WorkerEntry,
-    WorkerId, ZoneId,
+    Action, Allowed, AttemptEnd, AttemptNo, Balancer, CellId, Class, ClassId, Discovery, Effect, Event,
+    KindId, ListKind, Micros, Outcome, Prices, ReportSource, Request, RequestId, Rules, Settings, Stage,
+    WorkerEntry, WorkerId, ZoneId,
 };
 
 const MILLISECOND: Micros = 1000;
@@ -39,8 +39,8 @@
         instances,
         classes: vec![class; 3],
         tenants: Vec::new(),
-        discovery: Discovery::Ask,
-        report: ReportSource::Silent,
+        discovery: Discovery::Subscribe,
+        report_source: ReportSource::None,
         allowed: Allowed {
             cancel: true,
             probe: false,
@@ -59,12 +59,12 @@
             may_shed_begun: false,
             dropped_stay_open: false,
         },
-        progress: 0,
+        progress_interval: 0,
         tells_start: false,
         zone: None,
         worth_by_work: false,
         prices: Prices::default(),
-        counts: true,
+        reports_count_jobs: true,
         tail_slack: None,
     }
 }
@@ -100,12 +100,12 @@
     /// Tells it of all workers.
     pub fn take_whole_list(&mut self, workers: u32) {
         let list = (0..workers).map(|worker| entry(worker, Stage::Ready)).collect();
-        self.handle(Event::Workers(ListKind::Full, list));
+        self.handle(Event::WorkerList(ListKind::Full, list));
     }
 
     /// Tells it of a change of one worker.
     pub fn take_change(&mut self, worker: u32, stage: Stage) {
-        self.handle(Event::Workers(ListKind::Delta, [entry(worker, stage)].into()));
+        self.handle(Event::WorkerList(ListKind::Delta, [entry(worker, stage)].into()));
     }
 
     /// One request from its arrival to its end.
@@ -119,12 +119,12 @@
         self.handle(Event::Request(request));
         let attempt = AttemptNo(0);
         let outcome = Outcome::Served;
-        self.handle(Event::Closed(Closed {
+        self.handle(Event::AttemptEnded(AttemptEnd {
             id,
             attempt,
             outcome,
-            complete: true,
-            spent: RUNS,
+            request_done: true,
+            elapsed: RUNS,
             report: None,
         }));
     }
--- a/lab/src/scale/watch.rs
+++ b/lab/src/scale/watch.rs
@@ -289,7 +289,7 @@
         watcher.schedule.answered();
         if std::mem::take(&mut watcher.has_failed) {
             let list = [entry(0, Stage::Ready)].into();
-            watcher.module.handle(now, ModuleEvent::Workers(ListKind::Delta, list));
+            watcher.module.handle(now, ModuleEvent::WorkerList(ListKind::Delta, list));
         }
         watcher.wait = watcher.schedule.wait() * MILLISECOND;
         let next = if full || lines > 0 { now } else { now.max(asked + LEAST_GAP) };
@@ -372,7 +372,7 @@
         let balancer = Balancer::new(settings, seed).expect("the hollow settings are sound");
         let mut module = Self { balancer, wake_at: None, actions: Vec::new() };
         // It wants the list as soon as it runs.
-        module.handle(0, ModuleEvent::Workers(ListKind::Cached, [].into()));
+        module.handle(0, ModuleEvent::WorkerList(ListKind::Cached, [].into()));
         module
     }
 
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -242,12 +242,12 @@
         tenants: raw.tenants.iter().map(|t| Tenant { quota_per_s: t.quota_per_s }).collect(),
         discovery: match raw.discovery.as_deref() {
             None | Some("push") => Discovery::Push,
-            Some("ask") => Discovery::Ask,
+            Some("ask") => Discovery::Subscribe,
             Some(other) => return Err(format!("setting discovery: unknown value {other:?}")),
         },
-        report: match raw.report.source.as_deref() {
-            None | Some("silent") => ReportSource::Silent,
-            Some("piggyback") => ReportSource::Answers,
+        report_source: match raw.report.source.as_deref() {
+            None | Some("silent") => ReportSource::None,
+            Some("piggyback") => ReportSource::Responses,
             Some("pull") => ReportSource::Probes,
             Some(other) => return Err(format!("setting report.source: unknown value {other:?}")),
         },
@@ -269,8 +269,12 @@
             may_shed_begun: raw.rules.may_shed_begun,
             dropped_stay_open: raw.rules.dropped_stay_open,
         },
-        counts: raw.report.fields.as_ref().is_none_or(|f| f.iter().any(|f| COUNTS.contains(&f.as_str()))),
-        progress: micros(raw.specifics.progress_ms),
+        reports_count_jobs: raw
+            .report
+            .fields
+            .as_ref()
+            .is_none_or(|f| f.iter().any(|f| COUNTS.contains(&f.as_str()))),
+        progress_interval: micros(raw.specifics.progress_ms),
         tells_start: raw.specifics.tells_start,
         zone: raw.zone.map(ZoneId),
         worth_by_work: match raw.worth_by.as_deref() {
--- a/simhost/src/main.rs
+++ b/simhost/src/main.rs
@@ -4,7 +4,7 @@
 mod wire;
 
 use lineroute::{
-    Action, AttemptNo, Balancer, CellId, ClassId, Closed, Event, Key, KindId, ListKind, Micros, Request,
+    Action, AttemptEnd, AttemptNo, Balancer, CellId, ClassId, Event, Key, KindId, ListKind, Micros, Request,
     RequestId, Stage, TenantId, WorkerEntry, WorkerId, ZoneId,
 };
 use rustc_hash::FxHashMap;
@@ -110,7 +110,7 @@
                     Some(kind) => {
                         let id = id.ok_or("field roster_id is missing")?;
                         let list = self.lists.get(&id).ok_or(format!("list {id} was never given"))?;
-                        Event::Workers(kind, list.clone())
+                        Event::WorkerList(kind, list.clone())
                     }
                 })
             }
@@ -120,7 +120,7 @@
                 let id = request_id(&mut f)?;
                 let attempt = AttemptNo(f.int("round_no")?);
                 let (_, _): (WorkerId, Micros) = (worker(&mut f)?, f.time("spent_ms")?);
-                Some(Event::Started(id, attempt))
+                Some(Event::ResponseStarted(id, attempt))
             }
             "CHANGE" => {
                 let (id, attempt) = (request_id(&mut f)?, AttemptNo(f.int("round_no")?));
@@ -128,25 +128,25 @@
                 let what: u32 = f.int("what")?;
                 let share = f.number_opt("value")?.unwrap_or(0.0);
                 Some(match what {
-                    1 => Event::Begun(id, attempt),
+                    1 => Event::JobStarted(id, attempt),
                     _ => Event::Progress(id, attempt, share),
                 })
             }
             "CLOSED_ATTEMPT" => {
                 let id = request_id(&mut f)?;
                 let _: Option<i64> = f.int_opt("note")?;
-                let spent = f.time("spent_ms")?;
+                let elapsed = f.time("spent_ms")?;
                 let attempt = AttemptNo(f.int("round_no")?);
-                let complete = f.flag("complete")?;
+                let request_done = f.flag("complete")?;
                 let outcome = f.outcome("state_code")?;
                 worker(&mut f)?;
                 let report = f.report("load")?;
-                Some(Event::Closed(Closed { id, attempt, outcome, complete, spent, report }))
+                Some(Event::AttemptEnded(AttemptEnd { id, attempt, outcome, request_done, elapsed, report }))
             }
             "HEALTH_RESULT" => {
                 let (worker, outcome) = (worker(&mut f)?, f.outcome("state_code")?);
                 let _ = f.time("spent_ms")?;
-                Some(Event::Probed { worker, outcome, report: f.report("load")? })
+                Some(Event::ProbeEnded { worker, outcome, report: f.report("load")? })
             }
             "REMINDER" => Some(Event::Timer(f.int("ref")?)),
             "DATAGRAM" => {
@@ -236,8 +236,8 @@
             let (whole, part) = ms(*timeout);
             writeln!(out, "DELIVER\t{}\t{whole}.{part:03}\t{}", id.0, worker.0)
         }
-        Action::Refuse { id, stay_away } => {
-            let (whole, part) = ms(*stay_away);
+        Action::Refuse { id, retry_after } => {
+            let (whole, part) = ms(*retry_after);
             writeln!(out, "TURN_AWAY\t{}\t{whole}.{part:03}", id.0)
         }
         Action::Fail(id) => writeln!(out, "LOSE\t{}", id.0),
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -82,13 +82,13 @@
     pub fn outcome(&mut self, name: &str) -> Result<Outcome, String> {
         Ok(match self.text(name)? {
             "pass" => Outcome::Served,
-            "fault" => Outcome::Fault,
-            "no_room" => Outcome::NoRoom,
+            "fault" => Outcome::Error,
+            "no_room" => Outcome::Rejected,
             "too_slow" => Outcome::TimedOut,
-            "no_route" => Outcome::NoRoute,
-            "cut" => Outcome::Cut,
+            "no_route" => Outcome::ConnectFailed,
+            "cut" => Outcome::ConnectionLost,
             "undone" => Outcome::Cancelled,
-            "stale_send" => Outcome::Moot,
+            "stale_send" => Outcome::NotSent,
             other => return Err(format!("field {name}: unknown outcome {other:?}")),
         })
     }
@@ -103,8 +103,8 @@
             };
             let slot = match field {
                 "x0" => &mut report.free_slots,
-                "depth" => &mut report.waiting,
-                "concurrent" => &mut report.held,
+                "depth" => &mut report.queued,
+                "concurrent" => &mut report.in_flight,
                 _ => continue,
             };
             *slot = Some(number(field, value)?);
--- a/src/api.rs
+++ b/src/api.rs
@@ -56,16 +56,16 @@
     /// How the list of workers is had.
     pub discovery: Discovery,
     /// How load reports are had.
-    pub report: ReportSource,
+    pub report_source: ReportSource,
     /// What workers and the host permit.
     pub allowed: Allowed,
     /// Parameters of the four rules.
     pub rules: Rules,
     /// Reports tell how many jobs a worker holds or has waiting, not only of free slots.
-    pub counts: bool,
+    pub reports_count_jobs: bool,
     /// Time between progress notes of a running job; 0: none come.
-    pub progress: Micros,
-    /// Workers tell when a job begins, by [`Event::Begun`].
+    pub progress_interval: Micros,
+    /// Workers tell when a job begins, by [`Event::JobStarted`].
     pub tells_start: bool,
     /// Zone of this instance; `None`: all workers count as near.
     pub zone: Option<ZoneId>,
@@ -151,18 +151,18 @@
     /// Changes come by themselves.
     Push,
     /// Changes come to those who subscribed.
-    Ask,
+    Subscribe,
 }
 
 /// How load reports are had.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportSource {
     /// With every answer and probe result.
-    Answers,
+    Responses,
     /// With probe results alone.
     Probes,
     /// Not at all.
-    Silent,
+    None,
 }
 
 /// What workers and the host permit.
@@ -311,9 +311,9 @@
     /// Free slots.
     pub free_slots: Option<f64>,
     /// Requests waiting.
-    pub waiting: Option<f64>,
+    pub queued: Option<f64>,
     /// Requests in hand, waiting ones included.
-    pub held: Option<f64>,
+    pub in_flight: Option<f64>,
 }
 
 /// What operators have set beside the list: all of it, in place of what was set before.
@@ -322,7 +322,7 @@
     /// Workers whose share is multiplied, and by what; above 0.
     pub weights: Vec<(WorkerId, f64)>,
     /// Workers that get nothing new.
-    pub barred: Vec<WorkerId>,
+    pub out_of_service: Vec<WorkerId>,
     /// Where the requests of a class go, or of one tenant of it, as long as they may be sent there.
     pub pins: Vec<(ClassId, Option<TenantId>, WorkerId)>,
 }
@@ -352,34 +352,34 @@
     /// Served.
     Served,
     /// The worker answered with an error; the job may have run.
-    Fault,
+    Error,
     /// Turned away: no room, or draining. Unseen, unless [`Rules::may_shed_begun`].
-    NoRoom,
+    Rejected,
     /// No answer in time; it may have run, or run still.
     TimedOut,
     /// No connection in time.
-    NoRoute,
+    ConnectFailed,
     /// The connection broke; it may have run.
-    Cut,
+    ConnectionLost,
     /// Cancelled; it may have run.
     Cancelled,
     /// Never sent: the request was over, out of time or out of attempts.
-    Moot,
+    NotSent,
 }
 
 impl Outcome {
     /// Whether this outcome proves, under these rules, that the attempt never ran.
     pub fn never_ran(self, rules: &Rules) -> bool {
         match self {
-            Outcome::NoRoom => !rules.may_shed_begun,
-            outcome => matches!(outcome, Outcome::NoRoute | Outcome::Moot),
+            Outcome::Rejected => !rules.may_shed_begun,
+            outcome => matches!(outcome, Outcome::ConnectFailed | Outcome::NotSent),
         }
     }
 }
 
 /// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Closed {
+pub struct AttemptEnd {
     /// The request.
     pub id: RequestId,
     /// Which attempt of it.
@@ -387,9 +387,9 @@
     /// How it ended.
     pub outcome: Outcome,
     /// The request is over, by this outcome or before it.
-    pub complete: bool,
+    pub request_done: bool,
     /// Time since the send.
-    pub spent: Micros,
+    pub elapsed: Micros,
     /// The worker's report, if one came along.
     pub report: Option<Report>,
 }
@@ -398,15 +398,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the workers.
-    Workers(ListKind, Arc<[WorkerEntry]>),
+    WorkerList(ListKind, Arc<[WorkerEntry]>),
     /// Operators have set something, or ended it.
     Overrides(Overrides),
     /// What peers tell of a worker, a hint: their jobs out there, and whether it has just refused one of theirs.
-    Others {
+    PeerHint {
         /// The worker.
         worker: WorkerId,
         /// Jobs of all peers that are out there.
-        out: u32,
+        in_flight: u32,
         /// It has just refused a peer's job, or was not reached.
         refused: bool,
     },
@@ -420,15 +420,15 @@
     /// The client left, or the request is over for another reason.
     Aborted(RequestId),
     /// The answer's stream has begun.
-    Started(RequestId, AttemptNo),
+    ResponseStarted(RequestId, AttemptNo),
     /// A worker says that a job has begun: it had a slot free.
-    Begun(RequestId, AttemptNo),
+    JobStarted(RequestId, AttemptNo),
     /// A worker says that a job has got on.
     Progress(RequestId, AttemptNo, f64),
     /// An attempt ended.
-    Closed(Closed),
+    AttemptEnded(AttemptEnd),
     /// A probe ended.
-    Probed {
+    ProbeEnded {
         /// The worker.
         worker: WorkerId,
         /// How it ended.
@@ -457,7 +457,7 @@
         /// The request.
         id: RequestId,
         /// How long the client should stay away; 0: no advice.
-        stay_away: Micros,
+        retry_after: Micros,
     },
     /// Final answer: failed; nothing is promised.
     Fail(RequestId),
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -232,8 +232,8 @@
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         let aim = settings.classes.iter().map(|c| c.aim).min().unwrap_or(1);
-        let ask = settings.discovery == Discovery::Ask;
-        let blind = settings.report == ReportSource::Silent;
+        let ask = settings.discovery == Discovery::Subscribe;
+        let blind = settings.report_source == ReportSource::None;
         let rise = settings.tail_slack.filter(|_| settings.tells_start).map(|part| part * TAIL_PART);
         let rise = rise.or(blind.then_some(1.0));
         let mut rng = Rng::with_seed(seed);
@@ -268,33 +268,33 @@
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         match event {
-            Event::Workers(kind, entries) => self.workers(kind, &entries),
+            Event::WorkerList(kind, entries) => self.workers(kind, &entries),
             Event::Overrides(ref set) if self.fleet.take_overrides(set) => self.relist(),
             Event::ListValid(valid) if std::mem::replace(&mut self.fleet.list_valid, valid) != valid => {
                 self.relist()
             }
-            Event::ListFailed if self.settings.discovery == Discovery::Ask => {
+            Event::ListFailed if self.settings.discovery == Discovery::Subscribe => {
                 let wait = self.subscribe_wait;
                 self.subscribe_at = Some(self.now + self.rng.u64(wait / 2..=wait));
                 self.subscribe_wait = (wait * 2).min(AGAIN.1);
             }
             Event::Request(request) => self.request(request),
             Event::Aborted(id) => self.finish(&id),
-            Event::Started(id, number) => {
+            Event::ResponseStarted(id, number) => {
                 self.jobs.get_mut(&id).into_iter().for_each(|job| job.keep(number));
                 self.finish(&id);
             }
-            Event::Begun(id, number) => self.begun(&id, number),
+            Event::JobStarted(id, number) => self.begun(&id, number),
             Event::Progress(id, number, _) => {
                 let attempt = self.jobs.get_mut(&id).and_then(|j| j.attempt(number));
                 attempt.into_iter().for_each(|a| a.sign = now);
             }
-            Event::Closed(end) => self.closed(end),
-            Event::Others { worker, out, refused } => {
-                self.fleet.heard_of(worker, out, refused, now);
+            Event::AttemptEnded(end) => self.closed(end),
+            Event::PeerHint { worker, in_flight, refused } => {
+                self.fleet.heard_of(worker, in_flight, refused, now);
                 self.due = if self.held.is_empty() { self.due } else { now };
             }
-            Event::Probed { worker, outcome, report } => self.probed(worker, outcome, report),
+            Event::ProbeEnded { worker, outcome, report } => self.probed(worker, outcome, report),
             Event::Timer(_) if self.now >= self.wake_at => {
                 self.wake_at = Micros::MAX;
                 self.supervise();
@@ -335,7 +335,7 @@
         }
         let known = request.class.0 < self.settings.classes.len() && request.slots.is_finite();
         if !known || self.open >= self.settings.allowed.most_held || self.now >= request.deadline {
-            self.actions.push(Action::Refuse { id: request.id, stay_away: self.stay_away() });
+            self.actions.push(Action::Refuse { id: request.id, retry_after: self.retry_after() });
             return;
         }
         let (id, class) = (request.id.clone(), request.class);
@@ -412,7 +412,7 @@
         // Rules 3, 6 and 7: who may be sent to at all, and what of. Rule 4: a cold one, how much.
         self.fleet.list_valid
             && w.is_candidate(&self.settings.rules)
-            && !self.fleet.barred.contains(&w.entry.worker)
+            && !self.fleet.out_of_service.contains(&w.entry.worker)
             && class.is_open_to(&w.entry)
             && (w.warmth(&self.settings.rules, self.now) >= 1.0 || self.cold_allows(job, ix))
     }
@@ -557,7 +557,7 @@
     }
 
     fn fresh_for(&self, class: usize) -> Micros {
-        let renewed = self.settings.report == ReportSource::Answers;
+        let renewed = self.settings.report_source == ReportSource::Responses;
         (if renewed { self.tick as f64 / 8.0 } else { self.class_time[class] * REPORT_AGE }) as Micros
     }
 
@@ -578,7 +578,7 @@
             let picks = if job.looks < LOOKS { self.pick(id) } else { Vec::new() };
             let age = self.fresh_for(self.jobs[id].request.class.0);
             let several = picks.len() > 1 || self.jobs[id].attempts > 0;
-            let asks = several && self.settings.counts && !self.admission.blind && !self.late();
+            let asks = several && self.settings.reports_count_jobs && !self.admission.blind && !self.late();
             let mut waits = false;
             for &w in &picks {
                 let worker = &self.fleet.workers[w];
@@ -729,7 +729,7 @@
         let times = OVERDUE_ALONE[usize::from(!self.settings.tells_start)];
         let alone = alone.then(|| self.slack(class, job.request.work) as f64 * times);
         let patience = alone.unwrap_or(self.class_time[class.0] * OVERDUE) * f64::from(job.attempts.max(1));
-        patience.max(self.settings.progress as f64 * 1.25) as Micros
+        patience.max(self.settings.progress_interval as f64 * 1.25) as Micros
     }
 
     /// A job that waits longer will miss its aim, if it runs as long as its hint says, else as usual.
@@ -773,8 +773,8 @@
         self.offer(ix);
     }
 
-    fn closed(&mut self, end: Closed) {
-        let Closed { id, attempt: number, outcome, complete, spent, report } = end;
+    fn closed(&mut self, end: AttemptEnd) {
+        let AttemptEnd { id, attempt: number, outcome, request_done, elapsed, report } = end;
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let Some(at) = job.out.iter().position(|a| a.number == number) else { return };
         let mut attempt = job.out.swap_remove(at);
@@ -783,8 +783,8 @@
             job.doubt = Some((attempt.place.0, attempt.place.1, attempt.sent));
         }
         let (request, job_type) = (job.request.clone(), job.job_type);
-        let before = job.failed.first().copied().filter(|_| outcome == Outcome::Fault);
-        job.failed.extend((outcome == Outcome::Fault).then_some(ix));
+        let before = job.failed.first().copied().filter(|_| outcome == Outcome::Error);
+        job.failed.extend((outcome == Outcome::Error).then_some(ix));
         self.profiles.types[job_type].count(ix, false);
         let ran = self.fleet.workers[ix].ran(&attempt, request.slots, self.now);
         ran.into_iter().for_each(|slots| self.fleet.has_run(ix, slots));
@@ -800,11 +800,11 @@
                 None => self.learn(ix, &request, (outcome, attempt.cancelled), report.as_ref()),
             }
             if outcome == Outcome::Served {
-                self.profiles.types[job_type].served(ix, spent);
+                self.profiles.types[job_type].served(ix, elapsed);
                 // Late by its first wait: a shortage, where no report tells of queues and late earns nothing.
                 let c = &self.settings.classes[request.class.0];
-                let late = spent as f64 > c.aim as f64 + c.stretch * self.least[request.class.0];
-                let told = report.is_some_and(|r| r.waiting.is_some());
+                let late = elapsed as f64 > c.aim as f64 + c.stretch * self.least[request.class.0];
+                let told = report.is_some_and(|r| r.queued.is_some());
                 if late && !told && c.late_share == 0.0 && attempt.number.0 == 0 {
                     self.admission.learn(true);
                 }
@@ -814,7 +814,7 @@
             }
         }
         let Some(job) = self.jobs.get(&id) else { return };
-        if complete || job.done {
+        if request_done || job.done {
             self.finish(&id);
         } else if job.out.is_empty() && job.looking.is_none() {
             self.place(&id);
@@ -835,25 +835,25 @@
                 (w.dark, w.left) = (false, self.now);
                 self.fleet.served(ix, request);
             }
-            Outcome::NoRoom => {
+            Outcome::Rejected => {
                 let room = report.and_then(|r| r.free_slots).is_some_and(|free| free >= slots + 0.75);
                 if room && !late {
                     lane = Some((ix, Some(class), tenant));
                 } else {
-                    if let Some(waiting) = report.and_then(|r| r.waiting).filter(|w| w.is_finite() && !late) {
+                    if let Some(waiting) = report.and_then(|r| r.queued).filter(|w| w.is_finite() && !late) {
                         let room = self.fleet.kind_queue.entry(w.entry.kind).or_insert(waiting);
                         *room += (waiting - *room) / 4.0;
                     }
                     w.free = w.free.map(|_| 0.0);
-                    let stale = late || self.settings.report != ReportSource::Answers;
+                    let stale = late || self.settings.report_source != ReportSource::Responses;
                     let turn = self.usual / w.slots * if stale { 1.0 } else { 0.5 };
                     w.full = Some((slots, self.now + turn as Micros));
                     self.admission.learn(true);
                     self.admission.waited(w.entry.zone, true);
                 }
             }
-            Outcome::Fault | Outcome::TimedOut if !cancelled => lane = Some((ix, Some(class), None)),
-            Outcome::NoRoute | Outcome::Cut => {
+            Outcome::Error | Outcome::TimedOut if !cancelled => lane = Some((ix, Some(class), None)),
+            Outcome::ConnectFailed | Outcome::ConnectionLost => {
                 w.dark = self.settings.allowed.probe;
                 w.connected = 0;
                 w.unreached = w.entry.stage == Stage::Gone;
@@ -897,7 +897,7 @@
         let harmless = matches!(effect, Effect::Repeatable | Effect::ByKey { group: Group::All, .. })
             || (job.doubt.is_none() && job.out.is_empty());
         self.actions.push(if harmless && self.now < job.request.deadline {
-            Action::Refuse { id: id.clone(), stay_away: self.stay_away() }
+            Action::Refuse { id: id.clone(), retry_after: self.retry_after() }
         } else {
             Action::Fail(id.clone())
         });
@@ -905,7 +905,7 @@
     }
 
     /// When a refused client should come back: a usual response time makes room.
-    fn stay_away(&self) -> Micros {
+    fn retry_after(&self) -> Micros {
         (self.usual as Micros).min(self.settings.allowed.max_retry_after)
     }
 
@@ -976,7 +976,7 @@
     fn heard(&mut self, ix: Ix, report: Option<&Report>) {
         let Some(report) = report else { return };
         let (w, now) = (&self.fleet.workers[ix], self.now);
-        if let Some(held) = report.held.filter(|_| w.out > 0) {
+        if let Some(held) = report.in_flight.filter(|_| w.out > 0) {
             // Own jobs out for over a tick: any report taken since must count them.
             let settled = |a: &&Attempt| a.worker == ix && now >= a.sent + self.tick && !a.cancelled;
             let ours = self.jobs.values().flat_map(|j| &j.out).filter(settled);
@@ -1012,7 +1012,7 @@
                 self.fleet.symptom(lane, 1.0, base, self.now);
             }
             // One that answers is alive: it drains, say, and ends what it has.
-            if outcome != Outcome::NoRoom {
+            if outcome != Outcome::Rejected {
                 self.rescue(Some(ix));
             }
         } else if was_dark {
--- a/src/state.rs
+++ b/src/state.rs
@@ -186,7 +186,7 @@
     pub shut: Vec<bool>,
     /// What operators have set. By id, so that it outlasts what the list does to a worker.
     pub weights: FxHashMap<WorkerId, f32>,
-    pub barred: FxHashSet<WorkerId>,
+    pub out_of_service: FxHashSet<WorkerId>,
     pub pins: FxHashMap<(ClassId, Option<TenantId>), WorkerId>,
     pub version: u64,
     /// The list may be acted on.
@@ -304,17 +304,17 @@
         if let Some(free) = report.free_slots.filter(|f| f.is_finite() && *f >= 0.0) {
             self.free = Some(free);
             self.reported = Some(now);
-            self.held = report.held;
-            let running = report.held.zip(report.waiting).map(|(h, w)| h - w).filter(|r| r.is_finite());
+            self.held = report.in_flight;
+            let running = report.in_flight.zip(report.queued).map(|(h, w)| h - w).filter(|r| r.is_finite());
             self.slots = self.slots.max((free + running.unwrap_or(0.0)).round().min(1e6));
             self.full = self.full.filter(|(size, _)| free < *size);
-            if report.held.is_none() && report.waiting.is_none() {
+            if report.in_flight.is_none() && report.queued.is_none() {
                 self.average(now);
                 let (seen, known) = ((self.slots - free - self.own.0).max(0.0), self.foreign.unwrap_or(0.0));
                 self.foreign = Some(known + (seen - known) * FOREIGN_PART);
             }
         }
-        if let Some(waiting) = report.waiting.filter(|w| w.is_finite() && *w >= 0.0) {
+        if let Some(waiting) = report.queued.filter(|w| w.is_finite() && *w >= 0.0) {
             self.waiting = waiting;
         }
     }
@@ -356,7 +356,7 @@
             cold: Vec::new(),
             shut: vec![false; classes],
             weights: FxHashMap::default(),
-            barred: FxHashSet::default(),
+            out_of_service: FxHashSet::default(),
             pins: FxHashMap::default(),
             version: 0,
             kind_slots: FxHashMap::default(),
@@ -439,7 +439,7 @@
         });
         let valid = self.list_valid;
         let candidates = self.workers.iter().filter(|(_, w)| valid && w.is_candidate(&settings.rules));
-        let all = candidates.clone().filter(|(_, w)| !self.barred.contains(&w.entry.worker));
+        let all = candidates.clone().filter(|(_, w)| !self.out_of_service.contains(&w.entry.worker));
         let of = |c: &Class| all.clone().filter(|(_, w)| c.is_open_to(&w.entry)).map(|(ix, _)| ix).collect();
         self.ready = settings.classes.iter().map(of).collect();
         let any = |c: &Class| candidates.clone().any(|(_, w)| c.is_open_to(&w.entry));
@@ -453,10 +453,10 @@
     /// Takes over what operators have set; whether that changed anything.
     pub fn take_overrides(&mut self, set: &Overrides) -> bool {
         let weights = set.weights.iter().map(|(w, weight)| (*w, *weight as f32)).collect();
-        let barred = set.barred.iter().copied().collect();
+        let out_of_service = set.out_of_service.iter().copied().collect();
         let pins = set.pins.iter().map(|(class, tenant, w)| ((*class, *tenant), *w)).collect();
-        let changed = (&self.weights, &self.barred, &self.pins) != (&weights, &barred, &pins);
-        (self.weights, self.barred, self.pins) = (weights, barred, pins);
+        let changed = (&self.weights, &self.out_of_service, &self.pins) != (&weights, &out_of_service, &pins);
+        (self.weights, self.out_of_service, self.pins) = (weights, out_of_service, pins);
         changed
     }
 
--- a/tests/cold_ramp.rs
+++ b/tests/cold_ramp.rs
@@ -72,7 +72,7 @@
         s.rules.warm_up = (between(&mut rng, 4.0, 25.0) * 1e6) as Micros;
         s.rules.overload_factor = between(&mut rng, 1.5, 5.0);
         s.rules.overload_for = (between(&mut rng, 0.5, 3.0) * 1e6) as Micros;
-        s.report = if rng.u32(0..4) == 0 { ReportSource::Silent } else { ReportSource::Answers };
+        s.report_source = if rng.u32(0..4) == 0 { ReportSource::None } else { ReportSource::Responses };
         let count = rng.usize(1..4);
         let mean = between(&mut rng, 20e3, 600e3);
         let classes: Vec<(f64, f64)> =
@@ -167,7 +167,7 @@
         self.waiting.retain(|&begins| begins > now);
         let running = self.free_at.iter().filter(|&&at| at > now).count();
         let (free, waiting) = ((self.free_at.len() - running) as f64, self.waiting.len() as f64);
-        Report { free_slots: Some(free), waiting: Some(waiting), held: Some(running as f64 + waiting) }
+        Report { free_slots: Some(free), queued: Some(waiting), in_flight: Some(running as f64 + waiting) }
     }
 }
 
@@ -306,16 +306,17 @@
             Happening::Timer(instance, number, token) => self.feed(instance, number, Event::Timer(token)),
             Happening::Begun(instance, number, id, attempt) => {
                 let id = RequestId(id.as_str().into());
-                self.feed(instance, number, Event::Begun(id, AttemptNo(attempt)));
+                self.feed(instance, number, Event::JobStarted(id, AttemptNo(attempt)));
             }
-            Happening::End(instance, number, id, attempt, spent, worker, served) => {
+            Happening::End(instance, number, id, attempt, elapsed, worker, served) => {
                 let report = self.servers.get_mut(&worker).expect("a worker").report(self.now);
-                let report = Some(report).filter(|_| self.scenario.settings.report == ReportSource::Answers);
-                let outcome = if served { Outcome::Served } else { Outcome::NoRoom };
+                let report =
+                    Some(report).filter(|_| self.scenario.settings.report_source == ReportSource::Responses);
+                let outcome = if served { Outcome::Served } else { Outcome::Rejected };
                 self.result.served += usize::from(served);
                 let (id, attempt) = (RequestId(id.as_str().into()), AttemptNo(attempt));
-                let end = Closed { id, attempt, outcome, complete: served, spent, report };
-                self.feed(instance, number, Event::Closed(end));
+                let end = AttemptEnd { id, attempt, outcome, request_done: served, elapsed, report };
+                self.feed(instance, number, Event::AttemptEnded(end));
             }
             Happening::List(instance, number) => self.tell(instance, number),
             Happening::ProcessStarts(instance) => {
@@ -377,7 +378,7 @@
             let told = self.servers.iter().filter_map(|(w, s)| Some((*w, s.started?))).collect();
             self.tier[instance].told = told;
         }
-        self.feed(instance, number, Event::Workers(ListKind::Full, list.into()));
+        self.feed(instance, number, Event::WorkerList(ListKind::Full, list.into()));
     }
 
     fn feed(&mut self, instance: usize, number: u32, event: Event) {
@@ -496,8 +497,8 @@
 fn small_tier(seed: u64, report: ReportSource) -> Scenario {
     let mut scenario = Scenario::drawn(seed);
     scenario.settings.instances = SMALL_TIERS[seed as usize % SMALL_TIERS.len()];
-    scenario.settings.report = report;
-    scenario.settings.tells_start = report == ReportSource::Silent;
+    scenario.settings.report_source = report;
+    scenario.settings.tells_start = report == ReportSource::None;
     scenario
 }
 
@@ -567,8 +568,8 @@
 /// span's growth of 88 ms against jobs of 755 ms. What runs at once tells of the slots.
 #[test]
 fn workers_that_report_nothing_are_used_while_cold_and_within_their_budget() {
-    let reporting = play_each(0..SMALL_DRAWS, |seed| small_tier(seed, ReportSource::Answers));
-    let silent = play_each(0..SMALL_DRAWS, |seed| small_tier(seed, ReportSource::Silent));
+    let reporting = play_each(0..SMALL_DRAWS, |seed| small_tier(seed, ReportSource::Responses));
+    let silent = play_each(0..SMALL_DRAWS, |seed| small_tier(seed, ReportSource::None));
     print_sums(&reporting);
     print_sums(&silent);
     let used = |played: &[(u64, Scenario, Figures)]| {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -28,7 +28,7 @@
         ],
         tenants: vec![],
         discovery: Discovery::Push,
-        report: ReportSource::Answers,
+        report_source: ReportSource::Responses,
         allowed: Allowed {
             cancel: true,
             probe: false,
@@ -47,12 +47,12 @@
             may_shed_begun: false,
             dropped_stay_open: false,
         },
-        progress: 1000 * MS,
+        progress_interval: 1000 * MS,
         tells_start: false,
         zone: None,
         worth_by_work: false,
         prices: Prices::default(),
-        counts: true,
+        reports_count_jobs: true,
         tail_slack: None,
     }
 }
@@ -129,7 +129,7 @@
     }
 
     pub fn list(&mut self, now: Micros, kind: ListKind, entries: Vec<WorkerEntry>) -> Vec<Action> {
-        self.event(now, Event::Workers(kind, entries.into()))
+        self.event(now, Event::WorkerList(kind, entries.into()))
     }
 
     pub fn close(
@@ -138,12 +138,15 @@
         id: &str,
         attempt: u32,
         outcome: Outcome,
-        spent: Micros,
+        elapsed: Micros,
         report: Option<Report>,
     ) -> Vec<Action> {
-        let complete = outcome == Outcome::Served;
+        let request_done = outcome == Outcome::Served;
         let (id, attempt) = (RequestId(id.into()), AttemptNo(attempt));
-        self.event(now, Event::Closed(Closed { id, attempt, outcome, complete, spent, report }))
+        self.event(
+            now,
+            Event::AttemptEnded(AttemptEnd { id, attempt, outcome, request_done, elapsed, report }),
+        )
     }
 
     /// Refusals and failures given to a request.
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -90,7 +90,7 @@
 impl Watcher {
     fn new(dispatchers: u32, seed: u64) -> Self {
         let settings =
-            Settings { instances: dispatchers, discovery: lineroute::Discovery::Ask, ..settings() };
+            Settings { instances: dispatchers, discovery: lineroute::Discovery::Subscribe, ..settings() };
         let host = Host::new(settings, seed);
         let schedule = WatchSchedule::new(dispatchers, seed);
         Watcher { host, schedule, version: 0, wait: 0, answered_at: None }
@@ -284,8 +284,12 @@
     const WORKERS: u32 = 20;
     let mut tier: Vec<Host> = (0..100)
         .map(|seed| {
-            let s =
-                Settings { instances: 100, report: ReportSource::Silent, tells_start: true, ..settings() };
+            let s = Settings {
+                instances: 100,
+                report_source: ReportSource::None,
+                tells_start: true,
+                ..settings()
+            };
             let mut host = Host::new(s, seed);
             let sized = |w| WorkerEntry { size: 2.0, ..entry(w, 0, None) };
             host.list(1, ListKind::Full, (0..WORKERS).map(sized).collect());
@@ -303,7 +307,7 @@
             *out.entry(worker).or_default() += 1;
             let others = out[&worker];
             for (_, other) in tier.iter_mut().enumerate().filter(|(at, _)| tells && *at as u64 != i % 100) {
-                other.event(now + 10 * MS, Event::Others { worker, out: others, refused: false });
+                other.event(now + 10 * MS, Event::PeerHint { worker, in_flight: others, refused: false });
             }
         }
     }
@@ -321,7 +325,8 @@
 
 /// One of a hundred instances that tell, with workers of two slots each.
 fn told(workers: u32, tune: impl FnOnce(&mut Settings)) -> Host {
-    let mut s = Settings { instances: 100, report: ReportSource::Silent, tells_start: true, ..settings() };
+    let mut s =
+        Settings { instances: 100, report_source: ReportSource::None, tells_start: true, ..settings() };
     tune(&mut s);
     let mut host = Host::new(s, 1);
     let sized = |w| WorkerEntry { size: 2.0, ..entry(w, 0, None) };
@@ -346,10 +351,11 @@
 fn sent_despite_lies(lies: u64, within_ms: u64) -> usize {
     let mut host = told(3, |_| ());
     let lie = |host: &mut Host, now| {
-        let lies = (0..3).map(|w| Event::Others { worker: WorkerId(w), out: 1_000_000, refused: true });
+        let lies =
+            (0..3).map(|w| Event::PeerHint { worker: WorkerId(w), in_flight: 1_000_000, refused: true });
         lies.flat_map(|lie| host.event(now, lie)).collect::<Vec<Action>>()
     };
-    host.event(SECOND, Event::Others { worker: WorkerId(77), out: 1, refused: true });
+    host.event(SECOND, Event::PeerHint { worker: WorkerId(77), in_flight: 1, refused: true });
     lie(&mut host, SECOND);
     let mut acts = host.event(SECOND + MS, Event::Request(request(1, 0, 6 * SECOND)));
     assert_eq!(sends(&acts), 0);
@@ -367,7 +373,7 @@
 #[test]
 fn held_requests_go_on_fresh_news_alone() {
     let mut host = told(1, |_| ());
-    let others = |out| Event::Others { worker: WorkerId(0), out, refused: false };
+    let others = |in_flight| Event::PeerHint { worker: WorkerId(0), in_flight, refused: false };
     host.event(SECOND, others(2));
     let mut acts = host.event(SECOND + MS, Event::Request(request(1, 0, 6 * SECOND)));
     acts.extend(host.advance(SECOND + 200 * MS));
@@ -380,7 +386,7 @@
 #[test]
 fn the_last_slot_goes_to_who_is_in_time_and_earns_most() {
     let mut host = told(1, |s| s.classes[2].worth = 10.0);
-    let others = |out| Event::Others { worker: WorkerId(0), out, refused: false };
+    let others = |in_flight| Event::PeerHint { worker: WorkerId(0), in_flight, refused: false };
     host.event(SECOND, others(1));
     let acts = host.event(SECOND + MS, Event::Request(request(1, 0, 6 * SECOND)));
     assert_eq!(sends(&acts), 0, "it can wait");
@@ -394,9 +400,9 @@
 /// A worker that says on a probe that it takes nothing ends what it has; one that can't be reached has lost it.
 #[test]
 fn jobs_are_called_back_from_a_dead_worker_and_left_at_one_that_drains() {
-    for (outcome, called_back) in [(Outcome::NoRoom, false), (Outcome::NoRoute, true)] {
+    for (outcome, called_back) in [(Outcome::Rejected, false), (Outcome::ConnectFailed, true)] {
         let mut s =
-            Settings { report: ReportSource::Silent, tells_start: true, instances: 100, ..settings() };
+            Settings { report_source: ReportSource::None, tells_start: true, instances: 100, ..settings() };
         (s.allowed.probe, s.allowed.cancel, s.allowed.parallel) = (true, true, false);
         let mut host = Host::new(s, 1);
         host.list(1, ListKind::Full, (0..2).map(|w| entry(w, 0, None)).collect());
@@ -408,7 +414,7 @@
         let worker = sent.expect("a send");
         let mut acts = Vec::new();
         for i in 1..=3 {
-            let probed = Event::Probed { worker, outcome, report: None };
+            let probed = Event::ProbeEnded { worker, outcome, report: None };
             acts.extend(host.event(SECOND + i * 10 * MS, probed));
         }
         let cancelled = acts.iter().any(|a| matches!(a, Action::Cancel(..)));
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -72,10 +72,10 @@
 #[test]
 fn a_worker_without_free_slots_is_passed_over() {
     let mut host = two_workers(settings());
-    let full = Report { free_slots: Some(0.0), waiting: Some(0.0), held: Some(2.0) };
-    let free = Report { free_slots: Some(2.0), waiting: Some(0.0), held: Some(0.0) };
-    host.event(1, Event::Probed { worker: WorkerId(1), outcome: Outcome::Served, report: Some(full) });
-    host.event(1, Event::Probed { worker: WorkerId(2), outcome: Outcome::Served, report: Some(free) });
+    let full = Report { free_slots: Some(0.0), queued: Some(0.0), in_flight: Some(2.0) };
+    let free = Report { free_slots: Some(2.0), queued: Some(0.0), in_flight: Some(0.0) };
+    host.event(1, Event::ProbeEnded { worker: WorkerId(1), outcome: Outcome::Served, report: Some(full) });
+    host.event(1, Event::ProbeEnded { worker: WorkerId(2), outcome: Outcome::Served, report: Some(free) });
     for i in 0..2 {
         assert_eq!(sends(&host.event(2, Event::Request(request(i, 0, 5000 * MS)))), vec![(i.to_string(), 2)]);
     }
@@ -90,7 +90,7 @@
         let acts = host.event(now, Event::Request(request(i, 0, now + 5000 * MS)));
         for (id, worker) in sends(&acts) {
             to_bad += u32::from(worker == 1);
-            let outcome = if worker == 1 { Outcome::Fault } else { Outcome::Served };
+            let outcome = if worker == 1 { Outcome::Error } else { Outcome::Served };
             host.close(now + MS, &id, 0, outcome, MS, None);
         }
     }
@@ -105,7 +105,7 @@
         let acts = host.event(now, Event::Request(request(i, 2, now + 5000 * MS)));
         let placed = sends(&acts);
         assert_eq!(placed.len(), 1, "request {i} is sent though all workers failed before");
-        host.close(now + MS, &placed[0].0, 0, Outcome::Fault, MS, None);
+        host.close(now + MS, &placed[0].0, 0, Outcome::Error, MS, None);
     }
 }
 
@@ -133,7 +133,7 @@
 fn a_once_job_in_doubt_is_failed_not_refused_nor_repeated() {
     let mut host = two_workers(settings());
     host.event(0, Event::Request(request(1, 2, 5000 * MS)));
-    let acts = host.close(10 * MS, "1", 0, Outcome::Cut, 10 * MS, None);
+    let acts = host.close(10 * MS, "1", 0, Outcome::ConnectionLost, 10 * MS, None);
     assert!(acts.contains(&Action::Fail(request(1, 2, 0).id)), "{acts:?}");
     assert!(sends(&acts).is_empty());
 }
@@ -143,7 +143,7 @@
     let mut host = two_workers(settings());
     let acts = host.event(0, Event::Request(request(1, 1, 5000 * MS)));
     let (_, first) = sends(&acts)[0].clone();
-    let acts = host.close(10 * MS, "1", 0, Outcome::Fault, 10 * MS, None);
+    let acts = host.close(10 * MS, "1", 0, Outcome::Error, 10 * MS, None);
     assert!(sends(&acts).iter().all(|(_, w)| *w == first), "the other worker is in another zone");
     assert!(!acts.iter().any(|a| matches!(a, Action::Refuse { .. })));
 }
@@ -188,10 +188,13 @@
 #[test]
 fn late_reports_are_set_aside() {
     let mut host = two_workers(settings());
-    let stale = Report { free_slots: Some(0.0), waiting: Some(0.0), held: Some(0.0) };
+    let stale = Report { free_slots: Some(0.0), queued: Some(0.0), in_flight: Some(0.0) };
     let idle = Report { free_slots: Some(4.0), ..stale };
     for w in 1..=2 {
-        host.event(0, Event::Probed { worker: WorkerId(w), outcome: Outcome::Served, report: Some(idle) });
+        host.event(
+            0,
+            Event::ProbeEnded { worker: WorkerId(w), outcome: Outcome::Served, report: Some(idle) },
+        );
     }
     for i in 0..4 {
         host.event(i, Event::Request(request(i, 0, 60_000 * MS)));
@@ -202,13 +205,13 @@
     for w in 1..=2 {
         host.event(
             801 * MS,
-            Event::Probed { worker: WorkerId(w), outcome: Outcome::Served, report: Some(stale) },
+            Event::ProbeEnded { worker: WorkerId(w), outcome: Outcome::Served, report: Some(stale) },
         );
     }
     let acts = host.event(802 * MS, Event::Request(request(9, 0, 60_000 * MS)));
     assert_eq!(sends(&acts).len(), 1);
     // The first try is sent; refused there, it goes on to the other at once: its 'no free slot' is not believed.
-    let acts = host.close(803 * MS, "9", 0, Outcome::NoRoom, MS, None);
+    let acts = host.close(803 * MS, "9", 0, Outcome::Rejected, MS, None);
     assert_eq!(sends(&acts).len(), 1, "{acts:?}");
 }
 
@@ -219,8 +222,8 @@
     let mut host = two_workers(s);
     let deadline = 300 * MS;
     host.event(0, Event::Request(request(1, 2, deadline)));
-    host.close(MS, "1", 0, Outcome::NoRoom, MS, None);
-    host.close(2 * MS, "1", 1, Outcome::NoRoom, MS, None);
+    host.close(MS, "1", 0, Outcome::Rejected, MS, None);
+    host.close(2 * MS, "1", 1, Outcome::Rejected, MS, None);
     host.advance(deadline);
     assert_eq!(host.finals("1"), 1);
 }
@@ -241,7 +244,7 @@
         let acts = host.event(now, Event::Request(r));
         refused[tenant] += acts.iter().filter(|a| matches!(a, Action::Refuse { .. })).count();
         for (id, _) in sends(&acts) {
-            let outcome = if i % 4 == 0 { Outcome::Served } else { Outcome::NoRoom };
+            let outcome = if i % 4 == 0 { Outcome::Served } else { Outcome::Rejected };
             let acts = host.close(now + MS, &id, 0, outcome, 100 * MS, None);
             for (id, _) in sends(&acts) {
                 host.close(now + 2 * MS, &id, 1, Outcome::Served, 100 * MS, None);
@@ -254,7 +257,7 @@
 #[test]
 fn the_list_is_asked_for_at_start_and_again_after_a_failure() {
     let mut s = settings();
-    s.discovery = Discovery::Ask;
+    s.discovery = Discovery::Subscribe;
     let soon = s.rules.ask_within / 32;
     let mut host = Host::new(s, 1);
     let acts = host.list(0, ListKind::Cached, vec![entry(1, 0, None)]);
@@ -274,9 +277,9 @@
     host.advance(2000 * MS);
     assert_eq!(host.finals("1"), 1);
     // Reports that are no numbers, starts in the future, unknown ids.
-    let junk = Report { free_slots: Some(f64::NAN), waiting: Some(f64::INFINITY), held: Some(-1.0) };
+    let junk = Report { free_slots: Some(f64::NAN), queued: Some(f64::INFINITY), in_flight: Some(-1.0) };
     for worker in [WorkerId(1), WorkerId(77)] {
-        host.event(2001 * MS, Event::Probed { worker, outcome: Outcome::Served, report: Some(junk) });
+        host.event(2001 * MS, Event::ProbeEnded { worker, outcome: Outcome::Served, report: Some(junk) });
     }
     host.list(2002 * MS, ListKind::Delta, vec![entry(1, 0, Some(u64::MAX)), entry(2, 1, Some(u64::MAX))]);
     host.event(2003 * MS, Event::Request(request(2, 1, 6000 * MS)));
@@ -292,7 +295,7 @@
 fn a_stream_that_has_begun_is_the_clients() {
     let mut host = two_workers(settings());
     host.event(0, Event::Request(request(1, 0, 500 * MS)));
-    host.event(MS, Event::Started(request(1, 0, 0).id, AttemptNo(0)));
+    host.event(MS, Event::ResponseStarted(request(1, 0, 0).id, AttemptNo(0)));
     assert!(sends(&host.advance(2000 * MS)).is_empty());
     assert_eq!(host.finals("1"), 0, "its deadline no longer runs");
 }
@@ -306,7 +309,7 @@
     assert!(sends(&host.event(0, Event::Request(request(2, 0, 900 * MS)))).is_empty());
     assert_eq!((host.finals("1"), host.finals("2")), (0, 1));
     for attempt in 0..3 {
-        host.close(MS, "1", attempt, Outcome::NoRoute, MS, None);
+        host.close(MS, "1", attempt, Outcome::ConnectFailed, MS, None);
     }
     assert_eq!(host.finals("1"), 1, "three attempts are allowed");
 }
@@ -317,11 +320,11 @@
     s.rules.may_shed_begun = true;
     let mut host = two_workers(s);
     host.event(0, Event::Request(request(1, 2, 5000 * MS)));
-    let acts = host.close(MS, "1", 0, Outcome::NoRoom, MS, None);
+    let acts = host.close(MS, "1", 0, Outcome::Rejected, MS, None);
     assert!(sends(&acts).is_empty() && acts.contains(&Action::Fail(request(1, 2, 0).id)), "{acts:?}");
     let acts = host.event(2 * MS, Event::Request(request(2, 1, 5000 * MS)));
     let (_, first) = sends(&acts)[0].clone();
-    let mut acts = host.close(3 * MS, "2", 0, Outcome::NoRoom, MS, None);
+    let mut acts = host.close(3 * MS, "2", 0, Outcome::Rejected, MS, None);
     acts.extend(host.advance(5500 * MS));
     assert!(sends(&acts).iter().all(|(_, w)| *w == first), "the other worker is in another zone");
     assert!(!acts.iter().any(|a| matches!(a, Action::Refuse { .. })), "{acts:?}");
@@ -343,8 +346,8 @@
     actions.iter().filter_map(probe).collect()
 }
 
-const IDLE: Report = Report { free_slots: Some(2.0), waiting: Some(0.0), held: Some(0.0) };
-const BUSY: Report = Report { free_slots: Some(0.0), waiting: Some(3.0), held: Some(5.0) };
+const IDLE: Report = Report { free_slots: Some(2.0), queued: Some(0.0), in_flight: Some(0.0) };
+const BUSY: Report = Report { free_slots: Some(0.0), queued: Some(3.0), in_flight: Some(5.0) };
 
 /// Answers every probe at once by `report`; returns all sends and counts the probes.
 fn answer_probes(
@@ -359,7 +362,7 @@
         for worker in probes(&acts) {
             count += 1;
             let (outcome, report) = (Outcome::Served, Some(report(worker)));
-            more.extend(host.event(now, Event::Probed { worker: WorkerId(worker), outcome, report }));
+            more.extend(host.event(now, Event::ProbeEnded { worker: WorkerId(worker), outcome, report }));
         }
         placed.extend(sends(&more));
         acts = more;
@@ -395,7 +398,7 @@
     let mut firsts = [0u32; 8];
     for seed in 0..400 {
         let mut s = settings();
-        s.report = ReportSource::Silent;
+        s.report_source = ReportSource::None;
         s.instances = 400;
         let mut host = Host::new(s, seed);
         host.list(0, ListKind::Cached, (0..8).map(|i| entry(i, 0, None)).collect());
@@ -461,7 +464,7 @@
             bad[class / 2] += u32::from(worker == 1);
             let fails = worker == 1 && class == 2;
             let (outcome, spent) =
-                if fails { (Outcome::Fault, MS) } else { (Outcome::Served, 50 * MS * u64::from(worker)) };
+                if fails { (Outcome::Error, MS) } else { (Outcome::Served, 50 * MS * u64::from(worker)) };
             host.close(now + spent, &id, 0, outcome, spent, None);
         }
     }
@@ -485,7 +488,7 @@
         while let Some((id, worker)) = queue.pop() {
             to_throttler[tenant] += u32::from(worker == 1);
             let throttled = worker == 1 && tenant == 0;
-            let outcome = if throttled { Outcome::NoRoom } else { Outcome::Served };
+            let outcome = if throttled { Outcome::Rejected } else { Outcome::Served };
             let spent = 50 * MS * u64::from(worker);
             queue.extend(sends(&host.close(now + MS, &id, attempt, outcome, spent, Some(IDLE))));
             attempt += 1;
@@ -513,7 +516,7 @@
 fn a_lost_answer_is_asked_for_by_a_second_copy_where_that_is_allowed() {
     let mut s = large(1);
     s.allowed.parallel = true;
-    s.progress = 0;
+    s.progress_interval = 0;
     s.classes[1].late_share = 0.5;
     let mut host = Host::new(s, 2);
     host.list(0, ListKind::Cached, vec![entry(1, 0, None), entry(2, 0, None), entry(3, 1, None)]);
@@ -551,7 +554,7 @@
 #[test]
 fn free_slots_behind_a_standing_queue_are_not_free() {
     // The first of the queue may lack memory: slots stand free, and all wait behind it.
-    let blocked = Report { free_slots: Some(2.0), waiting: Some(4.0), held: Some(5.0) };
+    let blocked = Report { free_slots: Some(2.0), queued: Some(4.0), in_flight: Some(5.0) };
     for seed in 0..10 {
         let mut host = Host::new(large(8), seed);
         host.list(0, ListKind::Cached, vec![entry(1, 0, None), entry(2, 0, None)]);
@@ -572,7 +575,7 @@
             let (now, class) = (i * 20 * MS, if i < 40 { (i % 2 * 2) as usize } else { 1 });
             for (id, worker) in sends(&host.event(now, Event::Request(request(i, class, now + 5000 * MS)))) {
                 third += u32::from(class == 1 && worker == 1);
-                let outcome = if worker == 1 { Outcome::Fault } else { Outcome::Served };
+                let outcome = if worker == 1 { Outcome::Error } else { Outcome::Served };
                 host.close(now + MS, &id, 0, outcome, MS, None);
             }
         }
@@ -582,14 +585,14 @@
 
 fn unprobed() -> Settings {
     let mut s = settings();
-    s.report = ReportSource::Silent;
+    s.report_source = ReportSource::None;
     s.tells_start = true;
     s.allowed.parallel = true;
     s
 }
 
 fn begun(host: &mut Host, now: Micros, id: u64) {
-    host.event(now, Event::Begun(request(id, 0, 0).id, AttemptNo(0)));
+    host.event(now, Event::JobStarted(request(id, 0, 0).id, AttemptNo(0)));
 }
 
 #[test]
@@ -607,7 +610,7 @@
     }
     // Every further attempt too, and with all that are open to it gone it is held or ended.
     for i in 0..8 {
-        let acts = host.close(10 * MS, &i.to_string(), 0, Outcome::NoRoom, MS, None);
+        let acts = host.close(10 * MS, &i.to_string(), 0, Outcome::Rejected, MS, None);
         assert!(sends(&acts).iter().all(|s| s.1 == 1), "{acts:?}");
     }
     let mut gone = entry(1, 0, None);
@@ -701,7 +704,7 @@
         let now = 2000 * MS * (i + 1);
         for (id, worker) in sends(&host.event(now, Event::Request(request(i, 0, now + 5000 * MS)))) {
             to_dead += u32::from(worker == 1);
-            let outcome = if worker == 1 { Outcome::NoRoute } else { Outcome::Served };
+            let outcome = if worker == 1 { Outcome::ConnectFailed } else { Outcome::Served };
             host.close(now + MS, &id, 0, outcome, MS, None);
         }
     }
@@ -725,7 +728,7 @@
     let second = sends(&host.advance(250 * MS));
     assert_eq!(second.len(), 1, "nothing began within half the aim");
     assert_ne!(second[0].1, first);
-    let acts = host.event(260 * MS, Event::Begun(request(0, 0, 0).id, AttemptNo(1)));
+    let acts = host.event(260 * MS, Event::JobStarted(request(0, 0, 0).id, AttemptNo(1)));
     assert!(acts.contains(&Action::Cancel(request(0, 0, 0).id, AttemptNo(0))), "{acts:?}");
     // One that must not run twice gets none, and one that began gets none.
     let mut host = two_workers(unprobed());
@@ -758,9 +761,9 @@
             let now = i * 2000 * MS;
             let acts = host.event(now, Event::Request(request(i, 2, now + 5000 * MS)));
             for act in &acts {
-                if let Action::Refuse { stay_away, .. } = act {
+                if let Action::Refuse { retry_after, .. } = act {
                     refused += 1;
-                    advice += u32::from(*stay_away > 0);
+                    advice += u32::from(*retry_after > 0);
                 }
             }
             // All that is not refused is sent at once: nothing waits for a tick to be given up.
@@ -781,7 +784,7 @@
 #[test]
 fn what_is_given_up_is_answered_in_the_same_event() {
     // A once job that may have run can't be tried again: its answer does not wait.
-    for outcome in [Outcome::Fault, Outcome::Cut, Outcome::TimedOut] {
+    for outcome in [Outcome::Error, Outcome::ConnectionLost, Outcome::TimedOut] {
         let mut host = two_workers(settings());
         host.event(0, Event::Request(request(0, 2, 5000 * MS)));
         let acts = host.close(10 * MS, "0", 0, outcome, 10 * MS, None);
@@ -792,15 +795,21 @@
     s.allowed.max_attempts = 1;
     let mut host = two_workers(s);
     host.event(0, Event::Request(request(0, 0, 5000 * MS)));
-    let acts = host.close(10 * MS, "0", 0, Outcome::Fault, 10 * MS, None);
-    assert!(acts.iter().any(|a| matches!(a, Action::Refuse { stay_away, .. } if *stay_away > 0)), "{acts:?}");
+    let acts = host.close(10 * MS, "0", 0, Outcome::Error, 10 * MS, None);
+    assert!(
+        acts.iter().any(|a| matches!(a, Action::Refuse { retry_after, .. } if *retry_after > 0)),
+        "{acts:?}"
+    );
     // Nor one beyond the most that may be open.
     let mut s = settings();
     s.allowed.most_held = 1;
     let mut host = two_workers(s);
     host.event(0, Event::Request(request(0, 0, 5000 * MS)));
     let acts = host.event(1, Event::Request(request(1, 0, 5000 * MS)));
-    assert!(acts.iter().any(|a| matches!(a, Action::Refuse { stay_away, .. } if *stay_away > 0)), "{acts:?}");
+    assert!(
+        acts.iter().any(|a| matches!(a, Action::Refuse { retry_after, .. } if *retry_after > 0)),
+        "{acts:?}"
+    );
 }
 
 #[test]
@@ -816,7 +825,7 @@
         let mut at = sends(&host.event(now, Event::Request(request(i, 0, now + 5000 * MS))));
         let mut attempts = 0;
         while let Some((id, _)) = at.first().cloned() {
-            at = sends(&host.close(now + MS, &id, attempts, Outcome::Fault, MS, None));
+            at = sends(&host.close(now + MS, &id, attempts, Outcome::Error, MS, None));
             attempts += 1;
         }
         assert!(attempts <= 3, "{attempts} attempts for a request that fails anywhere");
@@ -876,8 +885,8 @@
 fn a_stream_that_has_begun_is_not_called_back_after_a_further_attempt() {
     let mut host = two_workers(settings());
     host.event(0, Event::Request(request(0, 0, 5000 * MS)));
-    assert_eq!(sends(&host.close(MS, "0", 0, Outcome::NoRoute, MS, None)).len(), 1);
-    let mut acts = host.event(2 * MS, Event::Started(request(0, 0, 0).id, AttemptNo(1)));
+    assert_eq!(sends(&host.close(MS, "0", 0, Outcome::ConnectFailed, MS, None)).len(), 1);
+    let mut acts = host.event(2 * MS, Event::ResponseStarted(request(0, 0, 0).id, AttemptNo(1)));
     acts.extend(host.advance(5000 * MS));
     assert!(!acts.iter().any(|a| matches!(a, Action::Cancel(..))), "{acts:?}");
 }
@@ -885,7 +894,7 @@
 /// Without reports, starts told, one attempt at a time; four jobs served in 100 ms each.
 fn alone() -> Host {
     let mut s = unprobed();
-    (s.report, s.tells_start) = (ReportSource::Silent, true);
+    (s.report_source, s.tells_start) = (ReportSource::None, true);
     (s.allowed.parallel, s.allowed.cancel) = (false, true);
     let mut host = Host::new(s, 1);
     host.list(0, ListKind::Cached, vec![entry(1, 0, None), entry(2, 0, None)]);
@@ -926,7 +935,7 @@
         out[worker as usize] += 1;
         // Worker 1 starts each job after a long wait, worker 2 at once.
         let wait = if worker == 1 { 400 * MS } else { MS };
-        host.event(now + wait, Event::Begun(request(i, 0, 0).id, AttemptNo(0)));
+        host.event(now + wait, Event::JobStarted(request(i, 0, 0).id, AttemptNo(0)));
     }
     assert_eq!(out[1], 1, "it had room for one: {out:?}");
 }
@@ -934,14 +943,14 @@
 /// Two workers that may be probed and report nothing, and a job sent to one of them; which.
 fn probed() -> (Host, u32) {
     let mut s = settings();
-    (s.report, s.allowed.probe) = (ReportSource::Silent, true);
+    (s.report_source, s.allowed.probe) = (ReportSource::None, true);
     let mut host = two_workers(s);
     let placed = sends(&host.event(0, Event::Request(request(0, 0, 5000 * MS))));
     (host, placed[0].1)
 }
 
 fn probe_ends(host: &mut Host, now: Micros, worker: u32, outcome: Outcome) -> Vec<Action> {
-    host.event(now, Event::Probed { worker: WorkerId(worker), outcome, report: None })
+    host.event(now, Event::ProbeEnded { worker: WorkerId(worker), outcome, report: None })
 }
 
 fn cancels(actions: &[Action]) -> usize {
@@ -951,7 +960,7 @@
 /// Seen: a connection broke under a probe, and all jobs of a healthy worker were called back and lost.
 #[test]
 fn jobs_are_called_back_only_when_a_second_probe_fails_too() {
-    for outcome in [Outcome::Cut, Outcome::NoRoute, Outcome::TimedOut] {
+    for outcome in [Outcome::ConnectionLost, Outcome::ConnectFailed, Outcome::TimedOut] {
         let (mut host, worker) = probed();
         host.advance(200 * MS);
         let acts = probe_ends(&mut host, 201 * MS, worker, outcome);
@@ -964,7 +973,7 @@
 /// Seen: connections broke here and there, and within a second no worker was trusted any more.
 #[test]
 fn a_connection_that_breaks_does_not_bar_a_worker_that_answers_a_probe() {
-    for outcome in [Outcome::Cut, Outcome::NoRoute] {
+    for outcome in [Outcome::ConnectionLost, Outcome::ConnectFailed] {
         let (mut host, worker) = probed();
         let acts = host.close(MS, "0", 0, outcome, MS, None);
         assert_eq!(probes(&acts), vec![worker]);
@@ -983,8 +992,8 @@
 #[test]
 fn a_worker_that_answers_again_is_back_at_once() {
     let (mut host, worker) = probed();
-    host.close(MS, "0", 0, Outcome::NoRoute, MS, None);
-    (2..100).for_each(|i| drop(probe_ends(&mut host, i * MS, worker, Outcome::NoRoute)));
+    host.close(MS, "0", 0, Outcome::ConnectFailed, MS, None);
+    (2..100).for_each(|i| drop(probe_ends(&mut host, i * MS, worker, Outcome::ConnectFailed)));
     probe_ends(&mut host, 100 * MS, worker, Outcome::Served);
     let placed: Vec<u32> = (1..4)
         .flat_map(|i| sends(&host.event(101 * MS, Event::Request(request(i, 0, 5000 * MS)))))
@@ -996,7 +1005,7 @@
 /// Two workers that tell of nothing but starts; a job waits at each.
 fn both_waiting() -> Host {
     let mut s = settings();
-    (s.report, s.tells_start) = (ReportSource::Silent, true);
+    (s.report_source, s.tells_start) = (ReportSource::None, true);
     let mut host = two_workers(s);
     for id in 0..2 {
         assert_eq!(sends(&host.event(MS, Event::Request(request(id, 0, 5000 * MS)))).len(), 1);
@@ -1010,7 +1019,7 @@
 fn with_own_jobs_waiting_everywhere_a_request_waits_here_for_the_first_that_begins() {
     let mut host = both_waiting();
     assert_eq!(sends(&host.event(2 * MS, Event::Request(request(2, 0, 5000 * MS)))), vec![]);
-    let acts = host.event(3 * MS, Event::Begun(RequestId("1".into()), AttemptNo(0)));
+    let acts = host.event(3 * MS, Event::JobStarted(RequestId("1".into()), AttemptNo(0)));
     let placed = sends(&acts);
     assert_eq!(placed.len(), 1, "{acts:?}");
     assert_eq!(placed[0].0, "2");
@@ -1034,7 +1043,7 @@
 fn a_wait_keeps_requests_from_a_worker_for_a_fourth_of_its_length() {
     let mut host = both_waiting();
     host.event(2 * MS, Event::Request(request(2, 0, 5000 * MS)));
-    host.event(401 * MS, Event::Begun(RequestId("0".into()), AttemptNo(0)));
+    host.event(401 * MS, Event::JobStarted(RequestId("0".into()), AttemptNo(0)));
     let mut acts = host.close(402 * MS, "0", 0, Outcome::Served, 400 * MS, None);
     acts.extend(host.advance(490 * MS));
     assert_eq!(sends(&acts), vec![], "others' jobs stand before it");
--- a/tests/overrides.rs
+++ b/tests/overrides.rs
@@ -17,7 +17,7 @@
 
 fn refused(actions: &[Action]) -> Vec<String> {
     let refusal = |a: &Action| match a {
-        Action::Refuse { id, stay_away } if *stay_away > 0 => Some(id.0.to_string()),
+        Action::Refuse { id, retry_after } if *retry_after > 0 => Some(id.0.to_string()),
         _ => None,
     };
     actions.iter().filter_map(refusal).collect()
@@ -34,9 +34,9 @@
     Event::Overrides(Overrides { weights, ..Overrides::default() })
 }
 
-fn barred(workers: &[u32]) -> Event {
-    let barred = workers.iter().copied().map(WorkerId).collect();
-    Event::Overrides(Overrides { barred, ..Overrides::default() })
+fn out_of_service(workers: &[u32]) -> Event {
+    let out_of_service = workers.iter().copied().map(WorkerId).collect();
+    Event::Overrides(Overrides { out_of_service, ..Overrides::default() })
 }
 
 fn pins(pins: &[(usize, Option<usize>, u32)]) -> Event {
@@ -96,7 +96,7 @@
     let mut host = host(settings(), 2);
     let first = sends(&host.event(MS, Event::Request(request(1, 0, LATE))));
     let at = first[0].1;
-    assert!(host.event(2 * MS, barred(&[at])).iter().all(|a| !matches!(a, Action::Cancel(..))));
+    assert!(host.event(2 * MS, out_of_service(&[at])).iter().all(|a| !matches!(a, Action::Cancel(..))));
     let counts = shares(&mut host, 3 * MS, 100, 0, 2);
     assert_eq!(counts[at as usize], 0);
     // Whatever the list does meanwhile: it leaves, and comes back as a new process.
@@ -104,7 +104,7 @@
     host.list(4000 * MS, ListKind::Delta, vec![gone]);
     host.list(5000 * MS, ListKind::Delta, vec![entry(at, 0, Some(1000 * MS))]);
     assert_eq!(shares(&mut host, 30_000 * MS, 100, 0, 2)[at as usize], 0);
-    host.event(40_000 * MS, barred(&[]));
+    host.event(40_000 * MS, out_of_service(&[]));
     assert!(shares(&mut host, 40_001 * MS, 100, 0, 2)[at as usize] > 0);
 }
 
@@ -112,7 +112,7 @@
 fn with_every_worker_out_of_service_a_request_is_refused_at_once_and_told_when_to_come_back() {
     for class in 0..3 {
         let mut host = host(settings(), 2);
-        host.event(MS, barred(&[1, 2]));
+        host.event(MS, out_of_service(&[1, 2]));
         let actions = host.event(2 * MS, Event::Request(request(1, class, LATE)));
         assert_eq!((refused(&actions), sends(&actions).len()), (vec!["1".into()], 0));
         // One that knows of no worker at all waits for the list, as ever.
@@ -124,14 +124,14 @@
 #[test]
 fn a_request_that_waits_is_refused_when_the_last_worker_goes_out_of_service() {
     let mut silent = settings();
-    (silent.report, silent.tells_start) = (ReportSource::Silent, true);
+    (silent.report_source, silent.tells_start) = (ReportSource::None, true);
     let mut host = host(silent, 1);
     let first = host.event(MS, Event::Request(request(1, 0, LATE)));
     assert_eq!(sends(&first).len(), 1);
     // Own jobs wait at the one worker there is: the second waits here.
     let second = host.event(2 * MS, Event::Request(request(2, 0, LATE)));
     assert!(sends(&second).is_empty() && refused(&second).is_empty());
-    assert_eq!(refused(&host.event(3 * MS, barred(&[1]))), ["2"]);
+    assert_eq!(refused(&host.event(3 * MS, out_of_service(&[1]))), ["2"]);
     assert_eq!((host.finals("1"), host.finals("2")), (0, 1));
 }
 
@@ -140,8 +140,8 @@
     let mut host = host(settings(), 2);
     let sent = sends(&host.event(MS, Event::Request(request(1, 2, LATE))));
     assert_eq!(sent.len(), 1);
-    host.event(2 * MS, barred(&[1, 2]));
-    let actions = host.close(3 * MS, "1", 0, Outcome::Cut, 2 * MS, None);
+    host.event(2 * MS, out_of_service(&[1, 2]));
+    let actions = host.close(3 * MS, "1", 0, Outcome::ConnectionLost, 2 * MS, None);
     assert_eq!((refused(&actions).len(), host.finals("1")), (0, 1));
 }
 
@@ -169,7 +169,7 @@
     }
 }
 
-/// Rules win: not there, where a draining, gone, barred, cold or unreachable worker is concerned.
+/// Rules win: not there, where a draining, gone, out-of-service, cold or unreachable worker is concerned.
 #[test]
 fn a_pin_to_a_worker_that_may_not_be_sent_to_falls_back_at_once() {
     let now = 100 * MS;
@@ -186,7 +186,7 @@
     // To one that was never listed: the ordinary path, which is either.
     assert!(goes(&|h| drop(h.event(2 * MS, pins(&[(0, None, 77)])))) <= 2);
     let both = Overrides {
-        barred: vec![WorkerId(2)],
+        out_of_service: vec![WorkerId(2)],
         pins: vec![(ClassId(0), None, WorkerId(2))],
         ..Overrides::default()
     };
@@ -220,7 +220,7 @@
         let first = sends(&host.event(now + MS, Event::Request(request(now, class, now + LATE))));
         assert_eq!(first, [(now.to_string(), 1)]);
         host.event(now + 2 * MS, pins(&[(class, None, 2)]));
-        sends(&host.close(now + 3 * MS, &now.to_string(), 0, Outcome::Cut, MS, None))
+        sends(&host.close(now + 3 * MS, &now.to_string(), 0, Outcome::ConnectionLost, MS, None))
     };
     assert_eq!(sent(&mut host, 1000 * MS, 2), [], "once: no repeat, pinned or not");
     let again = sent(&mut host, 2000 * MS, 1);
@@ -231,7 +231,7 @@
 #[test]
 fn a_request_that_waits_for_its_pinned_worker_goes_elsewhere_when_the_pin_ends() {
     let mut silent = settings();
-    (silent.report, silent.tells_start) = (ReportSource::Silent, true);
+    (silent.report_source, silent.tells_start) = (ReportSource::None, true);
     let mut host = host(silent, 2);
     host.event(MS, pins(&[(0, None, 2)]));
     assert_eq!(sends(&host.event(2 * MS, Event::Request(request(1, 0, LATE)))), [("1".into(), 2)]);
@@ -239,7 +239,7 @@
     // Others of the class are not held up behind it, nor taken along.
     let other = host.event(4 * MS, Event::Request(request(3, 2, LATE)));
     assert_eq!(sends(&other), [("3".into(), 1)]);
-    host.event(5 * MS, Event::Begun(RequestId("3".into()), AttemptNo(0)));
+    host.event(5 * MS, Event::JobStarted(RequestId("3".into()), AttemptNo(0)));
     assert_eq!(sends(&host.event(6 * MS, pins(&[]))), [("2".into(), 1)]);
 }
 
--- a/tests/reports.rs
+++ b/tests/reports.rs
@@ -10,7 +10,7 @@
 fn site() -> Settings {
     let mut s = settings();
     s.instances = 3;
-    s.counts = false;
+    s.reports_count_jobs = false;
     s.worth_by_work = true;
     s.allowed.probe = true;
     s.classes[0].aim = 150 * MS;
@@ -44,7 +44,7 @@
     // Both have shown four slots.
     for worker in 1..=2 {
         let report = free(4.0);
-        host.event(1, Event::Probed { worker: WorkerId(worker), outcome: Outcome::Served, report });
+        host.event(1, Event::ProbeEnded { worker: WorkerId(worker), outcome: Outcome::Served, report });
     }
     let mut now = MS;
     for round in 0..rounds {
@@ -59,7 +59,7 @@
         }
         for (worker, free_slots) in (1..).zip(reports) {
             let (outcome, report) = (Outcome::Served, free(free_slots));
-            host.event(now + 200 * MS, Event::Probed { worker: WorkerId(worker), outcome, report });
+            host.event(now + 200 * MS, Event::ProbeEnded { worker: WorkerId(worker), outcome, report });
         }
     }
     (host, now + 400 * MS)
@@ -175,7 +175,11 @@
 fn a_dead_worker_is_not_looked_at_by_every_job_that_waits() {
     let (mut host, now) = taught([4.0, 4.0], 3);
     // Worker 2 dies: it is found out, and probes fail.
-    let dead = |worker| Event::Probed { worker: WorkerId(worker), outcome: Outcome::NoRoute, report: None };
+    let dead = |worker| Event::ProbeEnded {
+        worker: WorkerId(worker),
+        outcome: Outcome::ConnectFailed,
+        report: None,
+    };
     host.event(now, dead(2));
     host.event(now + MS, dead(2));
     for i in 0..9 {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -36,8 +36,9 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut s = settings();
         s.instances = rng.u32(1..6);
-        s.discovery = if rng.bool() { Discovery::Ask } else { Discovery::Push };
-        s.report = [ReportSource::Answers, ReportSource::Probes, ReportSource::Silent][rng.usize(0..3)];
+        s.discovery = if rng.bool() { Discovery::Subscribe } else { Discovery::Push };
+        s.report_source =
+            [ReportSource::Responses, ReportSource::Probes, ReportSource::None][rng.usize(0..3)];
         s.allowed.probe = rng.bool();
         s.allowed.cancel = rng.bool();
         s.rules.may_shed_begun = rng.bool();
@@ -104,7 +105,7 @@
                     assert!(at > self.now);
                     self.timers.push((at, token));
                 }
-                Action::Subscribe => assert_eq!(self.settings.discovery, Discovery::Ask),
+                Action::Subscribe => assert_eq!(self.settings.discovery, Discovery::Subscribe),
             }
         }
         assert!(self.timers.len() < 50, "timers pile up");
@@ -178,15 +179,15 @@
         let r = self.open.get_mut(id).expect("known");
         let Some(a) = r.attempts.get_mut(attempt).filter(|a| a.2.is_none()) else { return };
         a.2 = Some(!outcome.never_ran(&self.settings.rules));
-        let spent = (now - a.1).max(40 * MS);
-        let complete = r.over || outcome == Outcome::Served;
-        r.over |= complete;
+        let elapsed = (now - a.1).max(40 * MS);
+        let request_done = r.over || outcome == Outcome::Served;
+        r.over |= request_done;
         let free = Some(f64::from(self.rng.u32(0..3)));
-        let with = self.settings.report == ReportSource::Answers;
-        let report = with.then_some(Report { free_slots: free, waiting: Some(0.0), held: Some(0.0) });
+        let with = self.settings.report_source == ReportSource::Responses;
+        let report = with.then_some(Report { free_slots: free, queued: Some(0.0), in_flight: Some(0.0) });
         let id = RequestId(id.into());
         let attempt = AttemptNo(attempt as u32);
-        self.feed(Event::Closed(Closed { id, attempt, outcome, complete, spent, report }));
+        self.feed(Event::AttemptEnded(AttemptEnd { id, attempt, outcome, request_done, elapsed, report }));
     }
 
     fn step(&mut self, i: u64) {
@@ -216,10 +217,10 @@
         while !self.probing.is_empty() && self.rng.bool() {
             let k = self.rng.usize(0..self.probing.len());
             let worker = WorkerId(self.probing.swap_remove(k));
-            let outcome = if self.rng.u8(0..4) > 0 { Outcome::Served } else { Outcome::NoRoute };
+            let outcome = if self.rng.u8(0..4) > 0 { Outcome::Served } else { Outcome::ConnectFailed };
             let held = Some(f64::from(self.rng.u32(0..3)));
-            let report = Some(Report { free_slots: held, waiting: held, held });
-            self.feed(Event::Probed {
+            let report = Some(Report { free_slots: held, queued: held, in_flight: held });
+            self.feed(Event::ProbeEnded {
                 worker,
                 outcome,
                 report: report.filter(|_| outcome == Outcome::Served),
@@ -246,11 +247,11 @@
                     let all = [
                         Outcome::Served,
                         Outcome::Served,
-                        Outcome::Fault,
-                        Outcome::NoRoom,
+                        Outcome::Error,
+                        Outcome::Rejected,
                         Outcome::TimedOut,
-                        Outcome::NoRoute,
-                        Outcome::Cut,
+                        Outcome::ConnectFailed,
+                        Outcome::ConnectionLost,
                         Outcome::Cancelled,
                     ];
                     let outcome = all[self.rng.usize(0..all.len())];
@@ -275,7 +276,7 @@
                 if !ids.is_empty() {
                     let id = ids[self.rng.usize(0..ids.len())].as_str().into();
                     let attempt = AttemptNo(self.rng.u32(0..2));
-                    self.feed(Event::Begun(RequestId(id), attempt));
+                    self.feed(Event::JobStarted(RequestId(id), attempt));
                 }
             }
             97 => {
@@ -286,8 +287,8 @@
             _ => {
                 let outcome = if self.rng.bool() { Outcome::Served } else { Outcome::TimedOut };
                 let worker = WorkerId(self.rng.u32(0..9));
-                let report = Some(Report { free_slots: Some(2.0), waiting: Some(f64::NAN), held: None });
-                self.feed(Event::Probed { worker, outcome, report });
+                let report = Some(Report { free_slots: Some(2.0), queued: Some(f64::NAN), in_flight: None });
+                self.feed(Event::ProbeEnded { worker, outcome, report });
             }
         }
     }
@@ -331,7 +332,7 @@
                 self.drained.insert(e.worker.0, *latest);
             }
         }
-        self.feed(Event::Workers(kind, entries.into()));
+        self.feed(Event::WorkerList(kind, entries.into()));
     }
 }
 
