--- a/dispatcher/src/config/fleet.rs
+++ b/dispatcher/src/config/fleet.rs
@@ -68,13 +68,13 @@
         if !(500..=60_000).contains(&ms) {
             faults.add(key("lease_ms"), format!("{ms} is not between 500 and 60000"));
         }
-        timing.lease = Duration::from_millis(ms);
+        timing.lease_duration = Duration::from_millis(ms);
     }
     if let Some(drift) = raw.drift {
         if drift > 200 {
             faults.add(key("drift"), format!("{drift} is over 200 parts of 1,000"));
         }
-        timing.drift = drift;
+        timing.drift_permille = drift;
     }
     Some(Fleet {
         names,
--- a/dispatcher/src/fleet/api.rs
+++ b/dispatcher/src/fleet/api.rs
@@ -79,7 +79,7 @@
         let inner = &self.0;
         let now = inner.clock.now();
         let of =
-            |incarnation: Incarnation| format!("{}/{}", inner.name(incarnation.member), incarnation.born);
+            |incarnation: Incarnation| format!("{}/{}", inner.name(incarnation.member), incarnation.number);
         let lag = |member| status.lags.iter().find(|(m, _)| *m == member).map(|(_, lag)| *lag);
         let node = inner.node.borrow();
         let mut members: Vec<MemberLine> = node
@@ -88,7 +88,7 @@
             .map(|(member, seen)| MemberLine {
                 member: inner.name(member).into(),
                 state: state_word(seen.state).into(),
-                born: seen.incarnation.map(|l| l.born),
+                born: seen.incarnation.map(|l| l.number),
                 since_ms: now.saturating_sub(seen.since).as_millis() as u64,
                 why: seen.why.into(),
                 votes: status.voters.contains(&member),
@@ -99,7 +99,7 @@
         members.push(MemberLine {
             member: inner.name(me).into(),
             state: "well".into(),
-            born: Some(status.incarnation.born),
+            born: Some(status.incarnation.number),
             since_ms: now.as_millis() as u64,
             why: "it is this process".into(),
             votes: status.voters.contains(&me),
@@ -123,10 +123,10 @@
             }
         }
         owners.sort_by(|a, b| a.thing.cmp(&b.thing));
-        let own = lineroute_fleet::Thing::incarnation(status.incarnation);
+        let own = lineroute_fleet::Resource::incarnation(status.incarnation);
         let may: Vec<String> =
             status.held.iter().map(|(t, ..)| t).filter(|t| **t != own).map(|t| t.to_string()).collect();
-        let why_not = match (status.unanswered, may.is_empty()) {
+        let why_not = match (status.unanswered_since, may.is_empty()) {
             (Some(since), _) => {
                 let ms = now.saturating_sub(since).as_millis();
                 Some(format!("no majority of the voters has answered for {ms} ms: a minority grants nothing"))
@@ -136,7 +136,7 @@
         };
         FleetView {
             name: inner.name(me).into(),
-            born: status.incarnation.born,
+            born: status.incarnation.number,
             began_ms: inner.began_unix,
             leader: status.leader.map(|l| inner.name(l).into()),
             vote: status.vote,
--- a/dispatcher/src/fleet/links.rs
+++ b/dispatcher/src/fleet/links.rs
@@ -6,7 +6,10 @@
 use crate::config::Fleet;
 use lineroute_control::peers::KeyRing;
 use lineroute_fleet::frame::Frame;
-use lineroute_fleet::link::{roster, Called, Dialing, Passport, Peer, Refusal, Sealer, Step};
+use lineroute_fleet::link::{
+    member_list_digest, ClientHandshake, HandshakeStep, LinkError, LocalIdentity, Peer, Sealer,
+    ServerHandshake,
+};
 use lineroute_fleet::{Incarnation, Member};
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
@@ -104,7 +107,7 @@
             member,
             names: config.names.clone(),
             addrs: config.addrs.clone(),
-            roster: roster(&config.names),
+            roster: member_list_digest(&config.names),
             incarnation: Cell::new(incarnation),
             keys: RefCell::new(config.keys.clone()),
             out: RefCell::default(),
@@ -136,9 +139,14 @@
         self.out.borrow_mut().clear();
     }
 
-    fn passport(&self) -> Passport {
+    fn passport(&self) -> LocalIdentity {
         let (incarnation, members) = (self.incarnation.get(), self.names.len() as u16);
-        Passport { incarnation, members, roster: self.roster, keys: self.keys.borrow().clone() }
+        LocalIdentity {
+            incarnation,
+            members,
+            member_list_digest: self.roster,
+            keys: self.keys.borrow().clone(),
+        }
     }
 
     /// Sends a frame, over a link that is there or a new one.
@@ -205,7 +213,7 @@
         let stream = timeout(CONNECT, TcpStream::connect(addr)).await.map_err(late)??;
         stream.set_nodelay(true)?;
         let (stream, peer, sealer) = timeout(HANDSHAKE, self.greet(stream, to)).await.map_err(late)??;
-        if let (Some(known), Some(member)) = (peer.known, self.member.upgrade()) {
+        if let (Some(known), Some(member)) = (peer.known_incarnation, self.member.upgrade()) {
             member.told(known);
         }
         self.look_at(&peer);
@@ -217,7 +225,7 @@
         if nonce == [0; 16] {
             return Err(io::Error::other("no random numbers"));
         }
-        let (mut dialing, hello) = Dialing::new(self.passport(), to, nonce);
+        let (mut handshake, hello) = ClientHandshake::new(self.passport(), to, nonce);
         stream.write_all(&hello).await?;
         let mut bytes = [0; 512];
         loop {
@@ -225,7 +233,7 @@
             if size == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
-            match dialing.receive(&bytes[..size]) {
+            match handshake.receive(&bytes[..size]) {
                 Ok(None) => {}
                 Ok(Some((proof, peer, sealer))) => {
                     stream.write_all(&proof).await?;
@@ -240,13 +248,13 @@
     }
 
     fn look_at(&self, peer: &Peer) {
-        if !peer.same_roster {
+        if !peer.same_member_list {
             let name = self.name(peer.incarnation.member);
             self.tell(|| warn!(member = name, "fleet: its list of members has other names than this one's"));
         }
     }
 
-    fn refuse(&self, who: &str, refusal: &Refusal) {
+    fn refuse(&self, who: &str, refusal: &LinkError) {
         self.count(|c| c.refused += 1);
         let refused = self.counts.get().refused;
         self.tell(|| warn!(who, cause = %refusal, refused, "fleet: a link is refused"));
@@ -291,21 +299,21 @@
         if nonce == [0; 16] {
             return Err(io::Error::other("no random numbers"));
         }
-        let mut called = Called::new(self.passport(), nonce);
+        let mut handshake = ServerHandshake::new(self.passport(), nonce);
         let mut bytes = vec![0; 16 << 10];
         let shake = async {
             loop {
                 let size = stream.read(&mut bytes[..512]).await?;
                 if size == 0 {
-                    self.refuse(&from.to_string(), &Refusal::Unproven);
+                    self.refuse(&from.to_string(), &LinkError::ClosedBeforeProof);
                     return Err(io::Error::from(io::ErrorKind::UnexpectedEof));
                 }
                 let known = |member| self.member.upgrade().and_then(|m| m.known(member));
                 let here = |incarnation: Incarnation| self.is_here(incarnation);
-                match called.receive(&bytes[..size], known, here) {
-                    Ok(Step::More) => {}
-                    Ok(Step::Say(words)) => stream.write_all(&words).await?,
-                    Ok(Step::Open(peer, opener)) => return Ok((peer, opener)),
+                match handshake.receive(&bytes[..size], known, here) {
+                    Ok(HandshakeStep::Incomplete) => {}
+                    Ok(HandshakeStep::Send(words)) => stream.write_all(&words).await?,
+                    Ok(HandshakeStep::Established(peer, opener)) => return Ok((peer, opener)),
                     Err(refusal) => {
                         self.refuse(&from.to_string(), &refusal);
                         return Err(io::Error::other(refusal));
@@ -320,11 +328,11 @@
         loop {
             loop {
                 let body = opener
-                    .frame()
+                    .next_frame()
                     .inspect_err(|refusal| self.refuse(self.name(peer.incarnation.member), refusal));
                 let Some(body) = body.map_err(io::Error::other)? else { break };
                 let Some(frame) = Frame::decode(&body) else {
-                    self.refuse(self.name(peer.incarnation.member), &Refusal::Stranger);
+                    self.refuse(self.name(peer.incarnation.member), &LinkError::Malformed);
                     return Err(io::ErrorKind::InvalidData.into());
                 };
                 open.heard();
@@ -358,7 +366,7 @@
             let addr = self.addrs.get(usize::from(to.0)).copied()?;
             let stream = timeout(CONNECT, TcpStream::connect(addr)).await.ok()?.ok()?;
             let (_, peer, _) = timeout(CONNECT, self.greet(stream, *to)).await.ok()?.ok()?;
-            Some(peer.here)
+            Some(peer.duplicate)
         });
         let answers = futures_util::future::join_all(calls).await;
         answers.into_iter().flatten().any(|here| here)
--- a/dispatcher/src/fleet/mod.rs
+++ b/dispatcher/src/fleet/mod.rs
@@ -15,11 +15,11 @@
 use crate::overrides;
 use lineroute_control::peers::KeyRing;
 use lineroute_fleet::consensus::replica_id_of;
-use lineroute_fleet::frame::{Frame, HealthCheckRequest, Share};
-use lineroute_fleet::members::State;
-use lineroute_fleet::node::{Event, Node, RecoveredReplica, Setup};
+use lineroute_fleet::frame::{Frame, HealthCheckRequest, OwnerReport};
+use lineroute_fleet::members::MemberState;
+use lineroute_fleet::node::{Event, Node, NodeConfig, RecoveredReplica};
 use lineroute_fleet::status::Status;
-use lineroute_fleet::{Incarnation, Member, Thing, Time, Token};
+use lineroute_fleet::{Incarnation, Member, Resource, Time, Token};
 use links::{Counts, Hearer, Links};
 use prober::Prober;
 use raft_log_writer::RaftLogWriter;
@@ -88,11 +88,11 @@
     fn known(&self, member: Member) -> Option<u64> {
         let node = self.node.borrow();
         let known = node.members().all().find(|(m, _)| *m == member).and_then(|(_, seen)| seen.incarnation);
-        known.map(|incarnation| incarnation.born)
+        known.map(|incarnation| incarnation.number)
     }
 
     fn told(&self, born: u64) {
-        self.node.borrow_mut().known(self.clock.now(), born);
+        self.node.borrow_mut().handle_known_incarnation(self.clock.now(), born);
         self.flush();
     }
 }
@@ -112,7 +112,7 @@
     let mut dice = [0; 16];
     getrandom::fill(&mut dice).map_err(|e| format!("fleet: no random numbers: {e}"))?;
     let (seed, random) = (u64::from_be_bytes(half(&dice[..8])), u64::from_be_bytes(half(&dice[8..])));
-    let incarnation = Incarnation { member: config.me, born };
+    let incarnation = Incarnation { member: config.me, number: born };
     let (kept, written) = match &directory {
         Some(directory) => {
             let Recovered { replica_id, log, state } =
@@ -122,7 +122,7 @@
         }
         None => (None, None),
     };
-    let setup = Setup {
+    let node_config = NodeConfig {
         incarnation,
         members: config.names.len() as u16,
         voters: config.voters.clone(),
@@ -137,7 +137,7 @@
     let at = socket.local_addr().map_err(|e| format!("fleet.listen: {e}"))?;
     let inner = Rc::new_cyclic(|me: &Weak<Inner>| Inner {
         me: me.clone(),
-        node: RefCell::new(Node::new(setup, kept)),
+        node: RefCell::new(Node::new(node_config, kept)),
         links: Links::new(&config, incarnation, me.clone() as Weak<dyn Hearer>),
         clock,
         names: config.names.clone(),
@@ -164,12 +164,12 @@
         let inner = inner.clone();
         actix_rt::spawn(async move {
             while let Some((number, result)) = written.recv().await {
-                inner.node.borrow_mut().written(inner.clock.now(), number, result);
+                inner.node.borrow_mut().persisted(inner.clock.now(), number, result);
                 inner.flush();
             }
         });
     }
-    let tick = config.timing.tick;
+    let tick = config.timing.tick_interval;
     actix_rt::spawn(async move {
         let mut ticks = interval(tick);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -199,7 +199,7 @@
     fn flush(&self) {
         let (out, events) = {
             let mut node = self.node.borrow_mut();
-            (node.take_out(), node.take_events())
+            (node.take_frames(), node.take_events())
         };
         out.iter().for_each(|(to, frame)| self.links.send(*to, frame));
         events.into_iter().for_each(|event| self.happened(event));
@@ -207,47 +207,47 @@
 
     fn happened(&self, event: Event) {
         match event {
-            Event::Member(member, seen) => {
-                let (name, born) = (self.name(member), seen.incarnation.map_or(0, |l| l.born));
+            Event::MemberChanged(member, seen) => {
+                let (name, born) = (self.name(member), seen.incarnation.map_or(0, |l| l.number));
                 match seen.state {
-                    State::Dead | State::Suspect => {
+                    MemberState::Dead | MemberState::Suspect => {
                         warn!(member = name, born, cause = seen.why, "fleet: {}", state_word(seen.state));
                     }
                     state => info!(member = name, born, cause = seen.why, "fleet: {}", state_word(state)),
                 }
             }
-            Event::Reborn(incarnation) => {
+            Event::NewIncarnation(incarnation) => {
                 warn!(
-                    born = incarnation.born,
+                    born = incarnation.number,
                     "fleet: this process was declared dead, and goes on as a new incarnation"
                 );
                 let kept =
-                    self.directory.as_ref().map(|directory| directory.next_incarnation(incarnation.born));
+                    self.directory.as_ref().map(|directory| directory.next_incarnation(incarnation.number));
                 if let Some(Err(e)) = kept {
                     error!(error = e, "fleet: the new incarnation can't be kept");
                 }
                 self.links.reborn(incarnation);
             }
-            Event::Won(thing, token) => info!(thing = %thing, token, "fleet: this process owns it"),
+            Event::Acquired(thing, token) => info!(thing = %thing, token, "fleet: this process owns it"),
             Event::Lost(thing, cause) => {
                 info!(thing = %thing, cause, "fleet: this process owns it no longer")
             }
             Event::Stalled(gap) => {
                 warn!(ms = gap.as_millis() as u64, "fleet: this process did not run; its leases are dropped");
             }
-            Event::Leader(leader) => {
+            Event::LeaderChanged(leader) => {
                 info!(leader = leader.map_or("nobody", |l| self.name(l)), "fleet: another leads the voters");
             }
             Event::ReplicaStarted => info!("fleet: this process votes from now on"),
             Event::ReplicaFailed(cause) => {
                 error!(cause, "fleet: this process has no vote until it is started again")
             }
-            Event::Shared(from, share) => self.shared(from, share),
-            Event::Asked(from, request) => self.asked(from, request),
+            Event::OwnerReport(from, share) => self.shared(from, share),
+            Event::HealthCheckRequested(from, request) => self.asked(from, request),
         }
     }
 
-    fn shared(&self, _from: Member, share: Share) {
+    fn shared(&self, _from: Member, share: OwnerReport) {
         let prober = self.prober.borrow().clone();
         prober.iter().for_each(|prober| prober.shared(&share));
     }
@@ -262,12 +262,12 @@
 #[derive(Clone)]
 pub struct FencedOperation {
     fleet: Handle,
-    thing: Thing,
+    thing: Resource,
 }
 
 impl FencedOperation {
     /// An operation under a thing; whether it may begin is asked when it does.
-    pub fn new(fleet: Handle, thing: Thing) -> FencedOperation {
+    pub fn new(fleet: Handle, thing: Resource) -> FencedOperation {
         FencedOperation { fleet, thing }
     }
 
@@ -278,36 +278,36 @@
     }
 }
 
-fn state_word(state: State) -> &'static str {
+fn state_word(state: MemberState) -> &'static str {
     match state {
-        State::Unheard => "unheard",
-        State::Well => "well",
-        State::Suspect => "suspect",
-        State::Dead => "dead",
-        State::Left => "left",
+        MemberState::Unheard => "unheard",
+        MemberState::Alive => "well",
+        MemberState::Suspect => "suspect",
+        MemberState::Dead => "dead",
+        MemberState::Left => "left",
     }
 }
 
 impl Handle {
     /// Under which token an operation for a thing may begin at this very moment; nothing if it may not.
-    pub fn permit(&self, thing: &Thing) -> Option<Token> {
+    pub fn permit(&self, thing: &Resource) -> Option<Token> {
         self.0.node.borrow().permit(thing, self.0.clock.now())
     }
 
     /// Would own a thing from now on, or no longer.
-    pub fn wish(&self, thing: &Thing, wished: bool) {
-        self.0.node.borrow_mut().wish(thing, wished);
+    pub fn wish(&self, thing: &Resource, wished: bool) {
+        self.0.node.borrow_mut().set_wanted(thing, wished);
     }
 
     /// Shares what an owner found with all members; false where it may not.
-    pub fn share(&self, thing: &Thing, words: Vec<u8>) -> bool {
-        let shared = self.0.node.borrow_mut().share(self.0.clock.now(), thing, words);
+    pub fn share(&self, thing: &Resource, words: Vec<u8>) -> bool {
+        let shared = self.0.node.borrow_mut().broadcast_report(self.0.clock.now(), thing, words);
         self.flush();
         shared
     }
 
     /// Asks the owner of a thing for a health check; false where none is known.
-    pub fn request_health_check(&self, thing: &Thing, words: Vec<u8>) -> bool {
+    pub fn request_health_check(&self, thing: &Resource, words: Vec<u8>) -> bool {
         let asked = self.0.node.borrow_mut().request_health_check(thing, words);
         self.flush();
         asked
@@ -315,7 +315,7 @@
 
     /// Members that take part, this one too.
     pub fn here(&self) -> usize {
-        self.0.node.borrow().members().here().len()
+        self.0.node.borrow().members().active().len()
     }
 
     /// Goes over to other keys.
@@ -341,7 +341,7 @@
         };
         let (old, new) = (find(old)?, find(new)?);
         let leader = self.0.node.borrow().status().leader;
-        self.0.node.borrow_mut().replace(old, new).map_err(|e| match leader {
+        self.0.node.borrow_mut().replace_voter(old, new).map_err(|e| match leader {
             Some(leader) => format!("{e}; {} leads", self.0.name(leader)),
             None => e,
         })
--- a/dispatcher/src/fleet/prober.rs
+++ b/dispatcher/src/fleet/prober.rs
@@ -4,8 +4,8 @@
 use super::{FencedOperation, Handle};
 use crate::facade::{Load, Outcome, TargetId};
 use crate::flow::Flows;
-use lineroute_fleet::frame::{HealthCheckRequest, Share};
-use lineroute_fleet::Thing;
+use lineroute_fleet::frame::{HealthCheckRequest, OwnerReport};
+use lineroute_fleet::Resource;
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
@@ -60,7 +60,7 @@
     checking: RefCell<FxHashMap<String, Instant>>,
     /// When an owned zone's targets were last found out.
     found: RefCell<FxHashMap<String, Instant>>,
-    wished: RefCell<FxHashMap<String, Thing>>,
+    wished: RefCell<FxHashMap<String, Resource>>,
 }
 
 impl Prober {
@@ -70,18 +70,18 @@
     }
 
     /// The thing that stands for a zone's probes. Each zone seen is wished for: one of those who see it owns it.
-    fn thing(&self, zone: &str) -> Option<Thing> {
+    fn thing(&self, zone: &str) -> Option<Resource> {
         if let Some(thing) = self.wished.borrow().get(zone) {
             return Some(thing.clone());
         }
-        let thing = Thing::new(format!("probe/{zone}"))?;
+        let thing = Resource::new(format!("probe/{zone}"))?;
         self.fleet.wish(&thing, true);
         self.wished.borrow_mut().insert(zone.into(), thing.clone());
         Some(thing)
     }
 
     /// A fenced operation under a thing that this process owns at present.
-    fn operation(&self, thing: &Thing) -> Option<FencedOperation> {
+    fn operation(&self, thing: &Resource) -> Option<FencedOperation> {
         self.fleet.permit(thing).map(|_| FencedOperation::new(self.fleet.clone(), thing.clone()))
     }
 
@@ -130,10 +130,10 @@
     }
 
     /// An owner shares what it found. The fence was looked at before this.
-    pub fn shared(&self, share: &Share) {
-        let Ok(found) = postcard::from_bytes::<Found>(&share.words) else { return };
+    pub fn shared(&self, share: &OwnerReport) {
+        let Ok(found) = postcard::from_bytes::<Found>(&share.payload) else { return };
         let Some(outcome) = OUTCOMES.get(usize::from(found.outcome)).copied() else { return };
-        let of_it = |w: &Waiting| self.thing(&w.zone).as_ref() == Some(&share.thing);
+        let of_it = |w: &Waiting| self.thing(&w.zone).as_ref() == Some(&share.resource);
         let waited = self.waiting.borrow().get(&found.name).is_some_and(of_it);
         if !waited {
             return;
@@ -145,10 +145,10 @@
 
     /// Somebody would have this process look at a target of a zone that it owns.
     pub fn asked(&self, request: &HealthCheckRequest) {
-        let Ok(name) = std::str::from_utf8(&request.words) else { return };
-        let Some(operation) = self.operation(&request.thing) else { return };
+        let Ok(name) = std::str::from_utf8(&request.payload) else { return };
+        let Some(operation) = self.operation(&request.resource) else { return };
         let seen = self.flows.targets().into_iter().find(|seen| *seen.name == *name);
-        let of_it = seen.filter(|seen| self.thing(&seen.zone).as_ref() == Some(&request.thing));
+        let of_it = seen.filter(|seen| self.thing(&seen.zone).as_ref() == Some(&request.resource));
         let found = of_it.and_then(|seen| Some((self.flows.find(&seen.name)?, seen.zone)));
         let Some((target, zone)) = found else { return };
         if self.is_fresh(name, &zone, target) {
--- a/dispatcher/src/fleet/raft_log_writer.rs
+++ b/dispatcher/src/fleet/raft_log_writer.rs
@@ -3,7 +3,7 @@
 
 use super::raft_state::DurableRaftState;
 use crate::stops;
-use lineroute_fleet::log::{Change, Disk, Written};
+use lineroute_fleet::log::{LogChange, LogStore, WriteStatus};
 use std::sync::mpsc::{channel, sync_channel, Receiver, Sender, SyncSender, TryRecvError};
 use std::thread;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
@@ -19,9 +19,9 @@
 
 /// What the thread is asked to write.
 enum WriteCommand {
-    Keep(u64, Change),
-    Compact(Change),
-    Replace(Change, Sender<Result<(), String>>),
+    Keep(u64, LogChange),
+    Compact(LogChange),
+    Replace(LogChange, Sender<Result<(), String>>),
 }
 
 /// Hands changes to the writer's thread.
@@ -81,19 +81,19 @@
     }
 }
 
-impl Disk for RaftLogWriter {
-    fn keep(&mut self, number: u64, change: &Change) -> Result<Written, String> {
+impl LogStore for RaftLogWriter {
+    fn append(&mut self, number: u64, change: &LogChange) -> Result<WriteStatus, String> {
         let given = self.commands.try_send(WriteCommand::Keep(number, change.clone()));
-        given.map(|()| Written::Later).map_err(|e| format!("the disk does not keep up: {e}"))
+        given.map(|()| WriteStatus::Pending).map_err(|e| format!("the disk does not keep up: {e}"))
     }
 
-    fn replace(&mut self, change: &Change) -> Result<(), String> {
+    fn replace(&mut self, change: &LogChange) -> Result<(), String> {
         let (done, told) = channel();
         self.commands.send(WriteCommand::Replace(change.clone(), done)).map_err(|_| GONE)?;
         told.recv().map_err(|_| GONE)?
     }
 
-    fn compact(&mut self, change: &Change) {
+    fn compact(&mut self, change: &LogChange) {
         // Where there is no place it is asked for again when the log has grown on.
         let _ = self.commands.try_send(WriteCommand::Compact(change.clone()));
     }
--- a/dispatcher/src/fleet/raft_state.rs
+++ b/dispatcher/src/fleet/raft_state.rs
@@ -6,7 +6,7 @@
 //! file is set aside, and this disk starts as another replica, which the leader must let in.
 
 use lineroute_fleet::consensus::ReplicaId;
-use lineroute_fleet::log::{Change, Hard, Log};
+use lineroute_fleet::log::{HardState, Log, LogChange};
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read as _, Write as _};
 use std::path::{Path, PathBuf};
@@ -28,7 +28,7 @@
     /// Bytes of whole records.
     length: u64,
     replica_id: ReplicaId,
-    hard: Hard,
+    hard_state: HardState,
 }
 
 /// What a disk holds at the start of the process.
@@ -74,15 +74,16 @@
             warn!(bytes = size - length, "fleet: a torn last write is cut off the Raft state");
             file.set_len(length).and_then(|()| file.sync_all())?;
         }
-        let hard = log.as_ref().map_or(Hard::default(), |log| log.hard);
-        let state = DurableRaftState { dir: dir.into(), file, length, replica_id, hard };
+        let hard_state = log.as_ref().map_or(HardState::default(), |log| log.hard_state);
+        let state = DurableRaftState { dir: dir.into(), file, length, replica_id, hard_state };
         Ok(Recovered { replica_id, log, state })
     }
 
     fn create(dir: &Path, replica_id: ReplicaId) -> io::Result<Recovered> {
         let (file, length) = write_new(dir, replica_id, None)?;
         info!(replica_id = format!("{replica_id:x}"), "fleet: a new replica: this disk has none");
-        let state = DurableRaftState { dir: dir.into(), file, length, replica_id, hard: Hard::default() };
+        let state =
+            DurableRaftState { dir: dir.into(), file, length, replica_id, hard_state: HardState::default() };
         Ok(Recovered { replica_id, log: None, state })
     }
 }
@@ -124,8 +125,8 @@
     let replica_id = id.map(u64::from_be_bytes).ok_or("it is of another form")?;
     let mut log: Option<Log> = None;
     while let Some((body, size)) = whole(&bytes[at..]) {
-        let change: Change = postcard::from_bytes(body).map_err(|e| format!("a record is none: {e}"))?;
-        log.get_or_insert_default().take(&change);
+        let change: LogChange = postcard::from_bytes(body).map_err(|e| format!("a record is none: {e}"))?;
+        log.get_or_insert_default().apply(&change);
         at += size;
     }
     // A torn write leaves less than it claims, or noise at the end; a record that others follow was damaged.
@@ -141,7 +142,7 @@
 }
 
 /// Writes a file beside the old one and puts it in its place.
-fn write_new(dir: &Path, replica_id: ReplicaId, change: Option<&Change>) -> io::Result<(File, u64)> {
+fn write_new(dir: &Path, replica_id: ReplicaId, change: Option<&LogChange>) -> io::Result<(File, u64)> {
     let next = dir.join(NEXT);
     let mut bytes = record(&[FORMAT, &replica_id.to_be_bytes()].concat());
     if let Some(change) = change {
@@ -161,14 +162,14 @@
     ///
     /// # Errors
     /// None of them is persisted.
-    pub fn append(&mut self, changes: &[Change]) -> Result<(), String> {
-        let (mut bytes, mut hard, mut must_sync) = (Vec::new(), self.hard, false);
+    pub fn append(&mut self, changes: &[LogChange]) -> Result<(), String> {
+        let (mut bytes, mut hard_state, mut must_sync) = (Vec::new(), self.hard_state, false);
         for change in changes {
             bytes.extend(record(&postcard::to_stdvec(change).map_err(|e| e.to_string())?));
-            let before = (hard.term, hard.vote);
-            hard = change.hard.unwrap_or(hard);
+            let before = (hard_state.term, hard_state.vote);
+            hard_state = change.hard_state.unwrap_or(hard_state);
             // How far is agreed may be forgotten: others say it again. All else may not.
-            must_sync |= !change.entries.is_empty() || (hard.term, hard.vote) != before;
+            must_sync |= !change.entries.is_empty() || (hard_state.term, hard_state.vote) != before;
         }
         let written = self.file.write_all(&bytes).and_then(|()| match must_sync {
             true => self.file.sync_data(),
@@ -180,7 +181,7 @@
             return Err(format!("{}: {e}", self.dir.join(NAME).display()));
         }
         self.length += bytes.len() as u64;
-        self.hard = hard;
+        self.hard_state = hard_state;
         Ok(())
     }
 
@@ -189,11 +190,11 @@
     ///
     /// # Errors
     /// The old one is still in place.
-    pub fn replace(&mut self, change: &Change) -> Result<(), String> {
+    pub fn replace(&mut self, change: &LogChange) -> Result<(), String> {
         let written = write_new(&self.dir, self.replica_id, Some(change));
         let (file, length) = written.map_err(|e| format!("{}: {e}", self.dir.join(NEXT).display()))?;
         (self.file, self.length) = (file, length);
-        self.hard = change.hard.unwrap_or(self.hard);
+        self.hard_state = change.hard_state.unwrap_or(self.hard_state);
         Ok(())
     }
 }
@@ -211,12 +212,12 @@
         (dir, directory)
     }
 
-    fn change(index: u64) -> Change {
+    fn change(index: u64) -> LogChange {
         let entry = Entry { kind: 0, term: 1, index, data: vec![7; 40] };
-        Change {
+        LogChange {
             entries: vec![entry],
-            hard: Some(Hard { term: 1, vote: 9, commit: index - 1 }),
-            ..Change::default()
+            hard_state: Some(HardState { term: 1, vote: 9, commit: index - 1 }),
+            ..LogChange::default()
         }
     }
 
@@ -225,7 +226,7 @@
         let (dir, directory) = directory(name);
         let Recovered { replica_id, log, mut state } = directory.raft_state(42).expect("a new replica");
         assert_eq!((replica_id, log.is_none()), (42, true));
-        state.replace(&Log::founded(&[42]).whole()).expect("persisted");
+        state.replace(&Log::bootstrap(&[42]).to_change()).expect("persisted");
         state.append(&[change(2), change(3)]).expect("persisted");
         (dir, directory)
     }
@@ -241,7 +242,7 @@
             fs::write(&path, &bytes).expect("a file");
             let Recovered { replica_id, log, mut state } = directory.raft_state(43).expect("it can be read");
             let log = log.expect("it has voted");
-            assert_eq!((replica_id, log.len(), log.hard.vote), (42, 2, 9), "{torn}");
+            assert_eq!((replica_id, log.len(), log.hard_state.vote), (42, 2, 9), "{torn}");
             state.append(&[change(4)]).expect("persisted");
             let log = directory.raft_state(43).expect("it can be read").log;
             assert_eq!(log.expect("it has voted").len(), 3);
--- a/fleet/src/consensus.rs
+++ b/fleet/src/consensus.rs
@@ -4,7 +4,8 @@
 use crate::frame::{Proposal, RaftMessage, Snapshot};
 use crate::ledger::{Command, Effect, Ledger};
 use crate::log::{
-    entry_in, message_from_engine, message_to_engine, snapshot_in, Change, Disk, Hard, Log, Written,
+    entry_from_engine, message_from_engine, message_to_engine, snapshot_from_engine, HardState, Log,
+    LogChange, LogStore, WriteStatus,
 };
 use crate::timing::Timing;
 use crate::Member;
@@ -61,7 +62,7 @@
 /// A replica of the consensus group: a voter or a learner.
 pub struct RaftReplica<D> {
     node: RawNode<Log>,
-    disk: D,
+    store: D,
     ledger: Ledger,
     applied: u64,
     election: usize,
@@ -84,14 +85,20 @@
     events: Vec<ConsensusEvent>,
 }
 
-impl<D: Disk> RaftReplica<D> {
+impl<D: LogStore> RaftReplica<D> {
     /// Starts a replica from its durable log.
     ///
     /// # Errors
     /// The log or its snapshot can't be used.
-    pub fn new(replica_id: ReplicaId, log: Log, disk: D, timing: &Timing, seed: u64) -> Result<Self, String> {
+    pub fn new(
+        replica_id: ReplicaId,
+        log: Log,
+        store: D,
+        timing: &Timing,
+        seed: u64,
+    ) -> Result<Self, String> {
         let ledger = Ledger::decode(&log.snapshot.data).ok_or("the snapshot is no ledger")?;
-        let election = timing.ticks(timing.election()).max(4);
+        let election = timing.ticks(timing.election_timeout()).max(4);
         let applied = log.snapshot.index;
         let config = Config {
             id: replica_id,
@@ -110,7 +117,7 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let mut replica = RaftReplica {
             node,
-            disk,
+            store,
             ledger,
             applied,
             election,
@@ -170,7 +177,7 @@
     }
 
     /// The disk has kept all up to this number, or failed to.
-    pub fn written(&mut self, number: u64, result: Result<(), String>) {
+    pub fn handle_persisted(&mut self, number: u64, result: Result<(), String>) {
         match result {
             Ok(()) => self.catch_engine_panic(|replica| replica.persisted(number)),
             Err(words) => self.fail(words),
@@ -277,8 +284,8 @@
         let change = durable_change(&ready);
         let number = ready.number();
         let keeps = self.must_keep(&change);
-        let written = self.keep(number, &change, keeps)?;
-        self.node.mut_store().take(&change);
+        let written = self.append(number, &change, keeps)?;
+        self.node.mut_store().apply(&change);
         if let Some(snapshot) = &change.snapshot {
             self.install_snapshot(snapshot);
         }
@@ -291,7 +298,7 @@
         }
         let committed = ready.take_committed_entries();
         self.node.advance_append_async(ready);
-        if written == Written::Now {
+        if written == WriteStatus::Durable {
             self.persisted(number);
         }
         self.apply(committed);
@@ -334,24 +341,26 @@
     }
 
     /// How far is agreed may be forgotten: others say it again. All else may not.
-    fn must_keep(&self, change: &Change) -> bool {
-        let old = self.node.store().hard;
-        let voted = change.hard.is_some_and(|hard| (hard.term, hard.vote) != (old.term, old.vote));
+    fn must_keep(&self, change: &LogChange) -> bool {
+        let old = self.node.store().hard_state;
+        let voted = change
+            .hard_state
+            .is_some_and(|hard_state| (hard_state.term, hard_state.vote) != (old.term, old.vote));
         change.snapshot.is_some() || !change.entries.is_empty() || voted
     }
 
-    fn keep(&mut self, number: u64, change: &Change, must: bool) -> Result<Written, String> {
+    fn append(&mut self, number: u64, change: &LogChange, must: bool) -> Result<WriteStatus, String> {
         if change.snapshot.is_some() {
             // The engine goes on from a snapshot only once it is kept: this one is waited for, and all before it.
             let mut whole = self.node.store().clone();
-            whole.take(change);
-            return self.disk.replace(&whole.whole()).map(|()| Written::Now);
+            whole.apply(change);
+            return self.store.replace(&whole.to_change()).map(|()| WriteStatus::Durable);
         }
         match must {
-            true => self.disk.keep(number, change),
+            true => self.store.append(number, change),
             // Nothing to keep, but what it says may rest on what is still under way.
-            false if self.pending.is_empty() => Ok(Written::Now),
-            false => Ok(Written::Later),
+            false if self.pending.is_empty() => Ok(WriteStatus::Durable),
+            false => Ok(WriteStatus::Pending),
         }
     }
 
@@ -397,7 +406,7 @@
         let mut short = self.node.store().clone();
         short.compact(index, data);
         // A disk that can't keeps the long one, which says the same, and goes on from there.
-        self.disk.compact(&short.whole());
+        self.store.compact(&short.to_change());
         *self.node.mut_store() = short;
         self.configuration_changed = false;
     }
@@ -483,12 +492,16 @@
 }
 
 /// What of a `Ready` must be persisted.
-fn durable_change(ready: &Ready) -> Change {
+fn durable_change(ready: &Ready) -> LogChange {
     let snapshot = ready.snapshot();
     let has_snapshot = *snapshot != raft::eraftpb::Snapshot::default();
-    Change {
-        snapshot: has_snapshot.then(|| snapshot_in(snapshot)),
-        entries: ready.entries().iter().map(entry_in).collect(),
-        hard: ready.hs().map(|hard| Hard { term: hard.term, vote: hard.vote, commit: hard.commit }),
+    LogChange {
+        snapshot: has_snapshot.then(|| snapshot_from_engine(snapshot)),
+        entries: ready.entries().iter().map(entry_from_engine).collect(),
+        hard_state: ready.hs().map(|hard_state| HardState {
+            term: hard_state.term,
+            vote: hard_state.vote,
+            commit: hard_state.commit,
+        }),
     }
 }
--- a/fleet/src/fence.rs
+++ b/fleet/src/fence.rs
@@ -1,33 +1,34 @@
 //! The receiving side of the fence: who has seen a token refuses every smaller one.
 
-use crate::{Thing, Token};
+use crate::{Resource, Token};
 use std::collections::BTreeMap;
 
-/// The highest fencing token seen for each thing.
+/// The highest fencing token seen for each resource.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 pub struct FencingTokens {
-    highest: BTreeMap<Thing, Token>,
+    highest: BTreeMap<Resource, Token>,
 }
 
-/// Things that are remembered. With more, those of the smallest tokens are forgotten: tokens grow over all
-/// things, so these have been out of use for longest.
-const MAX_THINGS: usize = 8192;
+/// Resources that are remembered. With more, those of the smallest tokens are forgotten: tokens grow over all
+/// resources, so these have been out of use for longest.
+const MAX_RESOURCES: usize = 8192;
 
 impl FencingTokens {
     /// Whether an operation under this token may pass; remembers it if so.
-    pub fn admits(&mut self, thing: &Thing, token: Token) -> bool {
-        if let Some(highest) = self.highest.get_mut(thing) {
+    pub fn admits(&mut self, resource: &Resource, token: Token) -> bool {
+        if let Some(highest) = self.highest.get_mut(resource) {
             let passes = token >= *highest;
             *highest = (*highest).max(token);
             return passes;
         }
-        if self.highest.len() >= MAX_THINGS {
-            let oldest = self.highest.iter().min_by_key(|(_, token)| **token).map(|(thing, _)| thing.clone());
-            if let Some(thing) = oldest {
-                self.highest.remove(&thing);
+        if self.highest.len() >= MAX_RESOURCES {
+            let oldest =
+                self.highest.iter().min_by_key(|(_, token)| **token).map(|(resource, _)| resource.clone());
+            if let Some(resource) = oldest {
+                self.highest.remove(&resource);
             }
         }
-        self.highest.insert(thing.clone(), token);
+        self.highest.insert(resource.clone(), token);
         true
     }
 }
@@ -38,7 +39,7 @@
 
     #[test]
     fn a_smaller_token_is_refused_for_its_thing_alone() {
-        let (a, b) = (Thing::new("a").expect("a name"), Thing::new("b").expect("a name"));
+        let (a, b) = (Resource::new("a").expect("a name"), Resource::new("b").expect("a name"));
         let mut tokens = FencingTokens::default();
         assert!(tokens.admits(&a, 4) && tokens.admits(&a, 4) && tokens.admits(&a, 6));
         assert!(!tokens.admits(&a, 5) && tokens.admits(&b, 5) && tokens.admits(&a, 6));
@@ -47,9 +48,9 @@
     #[test]
     fn it_forgets_the_oldest_only() {
         let mut tokens = FencingTokens::default();
-        let name = |i| Thing::new(format!("t{i}")).expect("a name");
-        (0..MAX_THINGS as u64 + 1).for_each(|i| assert!(tokens.admits(&name(i), i + 1)));
-        assert_eq!(tokens.highest.len(), MAX_THINGS);
-        assert!(!tokens.admits(&name(MAX_THINGS as u64), 1));
+        let name = |i| Resource::new(format!("t{i}")).expect("a name");
+        (0..MAX_RESOURCES as u64 + 1).for_each(|i| assert!(tokens.admits(&name(i), i + 1)));
+        assert_eq!(tokens.highest.len(), MAX_RESOURCES);
+        assert!(!tokens.admits(&name(MAX_RESOURCES as u64), 1));
     }
 }
--- a/fleet/src/frame.rs
+++ b/fleet/src/frame.rs
@@ -1,15 +1,15 @@
 //! What members say to each other, and its form. A frame of another version is refused whole.
 
 use crate::ledger::Command;
-use crate::{Incarnation, Member, Thing, Token};
+use crate::{Incarnation, Member, Resource, Token};
 use serde::{Deserialize, Serialize};
 
 /// The form of frames; members of another are told apart at the handshake.
 pub const VERSION: u16 = 1;
 /// The longest frame, in bytes: a snapshot of a full ledger is under half of it.
-pub const MOST_BYTES: usize = 1 << 20;
-/// Things in one request, at most.
-pub const MAX_THINGS_PER_REQUEST: usize = 256;
+pub const MAX_FRAME_BYTES: usize = 1 << 20;
+/// Resources in one request, at most.
+pub const MAX_RESOURCES_PER_REQUEST: usize = 256;
 
 /// One message.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -27,8 +27,8 @@
     /// A member says that its incarnation ends by its own will.
     Leave(Incarnation),
     /// What an owner found and shares with the fleet, under its fence.
-    Share(Share),
-    /// To the owner of a thing: somebody asks for a health check.
+    OwnerReport(OwnerReport),
+    /// To the owner of a resource: somebody asks for a health check.
     HealthCheckRequest(HealthCheckRequest),
 }
 
@@ -91,13 +91,13 @@
     /// Told back with the answer.
     pub number: u64,
     /// What it holds and would go on holding.
-    pub renew: Vec<(Thing, Token)>,
+    pub renew: Vec<(Resource, Token)>,
     /// What it would have.
-    pub want: Vec<Thing>,
+    pub want: Vec<Resource>,
     /// What it would only know the owner of.
-    pub watch: Vec<Thing>,
+    pub watch: Vec<Resource>,
     /// What it gives back.
-    pub release: Vec<(Thing, Token)>,
+    pub release: Vec<(Resource, Token)>,
     /// Orphaned work that it is done with.
     pub settle: Vec<(Incarnation, Token)>,
 }
@@ -121,9 +121,9 @@
     /// Held from the moment of the request on.
     Held {
         /// With the token.
-        things: Vec<(Thing, Token)>,
+        resources: Vec<(Resource, Token)>,
         /// What somebody else has.
-        others: Vec<(Thing, Incarnation, Token)>,
+        others: Vec<(Resource, Incarnation, Token)>,
         /// Incarnations whose orphaned work waits for a recovery owner, some of them.
         orphaned_work: Vec<Incarnation>,
         /// Who votes, for those that do not.
@@ -133,22 +133,22 @@
 
 /// What an owner found.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Share {
+pub struct OwnerReport {
     /// What it owns.
-    pub thing: Thing,
+    pub resource: Resource,
     /// Under which token.
     pub token: Token,
     /// What it says; the crate does not look into it.
-    pub words: Vec<u8>,
+    pub payload: Vec<u8>,
 }
 
 /// What an owner is asked for.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct HealthCheckRequest {
     /// What it owns.
-    pub thing: Thing,
+    pub resource: Resource,
     /// What it is asked; the crate does not look into it.
-    pub words: Vec<u8>,
+    pub payload: Vec<u8>,
 }
 
 /// The payload of an entry of the Raft log.
@@ -178,14 +178,14 @@
 
     /// A frame out of bytes; nothing where they are none, hold more than they should, or go on behind it.
     pub fn decode(bytes: &[u8]) -> Option<Frame> {
-        if bytes.len() > MOST_BYTES {
+        if bytes.len() > MAX_FRAME_BYTES {
             return None;
         }
         let (frame, rest) = postcard::take_from_bytes::<Frame>(bytes).ok()?;
         let fits = match &frame {
             Frame::LeaseRequest(ask) => {
                 ask.renew.len() + ask.want.len() + ask.watch.len() + ask.release.len() + ask.settle.len()
-                    <= MAX_THINGS_PER_REQUEST
+                    <= MAX_RESOURCES_PER_REQUEST
             }
             _ => true,
         };
--- a/fleet/src/leader.rs
+++ b/fleet/src/leader.rs
@@ -5,10 +5,10 @@
 use crate::frame::{LeaseOutcome, LeaseRequest, LeaseResponse};
 use crate::lease_granter::LeaseGranter;
 use crate::ledger::{Command, Effect};
-use crate::log::Disk;
-use crate::members::{Members, State};
+use crate::log::LogStore;
+use crate::members::{MemberState, Members};
 use crate::timing::Timing;
-use crate::{Incarnation, Member, Thing, Time};
+use crate::{Incarnation, Member, Resource, Time};
 use std::collections::{BTreeMap, HashMap};
 
 /// Requests that wait; further ones are let drop, and asked again by those who asked.
@@ -38,8 +38,8 @@
 pub struct Leader {
     granter: LeaseGranter,
     pending: Vec<Pending>,
-    /// Things that a command under way would change.
-    proposed: HashMap<Thing, u64>,
+    /// Resources that a command under way would change.
+    proposed: HashMap<Resource, u64>,
     /// Incarnations that are being declared dead.
     declaring_dead: HashMap<Incarnation, u64>,
     /// The quorum confirmation that was asked for last, and when.
@@ -57,7 +57,7 @@
     }
 
     /// Handles a lease request; a response where it needs no majority.
-    pub fn ask<D: Disk>(
+    pub fn ask<D: LogStore>(
         &mut self,
         now: Time,
         from: Member,
@@ -70,7 +70,7 @@
         {
             return Some(LeaseResponse {
                 number: ask.number,
-                outcome: LeaseOutcome::DeclaredDead(dead.born),
+                outcome: LeaseOutcome::DeclaredDead(dead.number),
             });
         }
         if self.pending.len() >= MAX_PENDING_REQUESTS || ask.incarnation.member != from {
@@ -79,8 +79,10 @@
         // A member has one request open: an older one of it is not waited for any more.
         self.pending.retain(|p| p.from != from);
         let mut last = None;
-        let commands =
-            ask.release.iter().map(|(thing, token)| Command::Release { thing: thing.clone(), token: *token });
+        let commands = ask
+            .release
+            .iter()
+            .map(|(resource, token)| Command::Release { resource: resource.clone(), token: *token });
         let commands = commands.chain(
             ask.settle
                 .iter()
@@ -89,18 +91,18 @@
         for command in commands {
             last = replica.propose(command).or(last);
         }
-        for thing in &ask.want {
-            let of_other = thing.is_incarnation() && *thing != Thing::incarnation(ask.incarnation);
-            let held = replica.ledger().grant(thing);
+        for resource in &ask.want {
+            let of_other = resource.is_incarnation() && *resource != Resource::incarnation(ask.incarnation);
+            let held = replica.ledger().grant(resource);
             let has = held.is_some_and(|g| g.holder == ask.incarnation);
-            let free = self.granter.is_free(thing, replica.ledger(), now, timing);
-            if of_other || has || !free || self.proposed.contains_key(thing) {
+            let free = self.granter.is_free(resource, replica.ledger(), now, timing);
+            if of_other || has || !free || self.proposed.contains_key(resource) {
                 continue;
             }
             let expect = held.map_or(0, |g| g.token);
-            let command = Command::Grant { thing: thing.clone(), holder: ask.incarnation, expect };
+            let command = Command::Grant { resource: resource.clone(), holder: ask.incarnation, expect };
             if let Some(index) = replica.propose(command) {
-                self.proposed.insert(thing.clone(), index);
+                self.proposed.insert(resource.clone(), index);
                 last = Some(index);
             }
         }
@@ -110,8 +112,8 @@
     }
 
     /// Asks a majority to confirm the leadership, if somebody waits for it and none is under way.
-    pub fn confirm<D: Disk>(&mut self, now: Time, replica: &mut RaftReplica<D>, timing: &Timing) {
-        let late = self.quorum_asked_at.is_some_and(|at| now >= at + timing.tick * 4);
+    pub fn confirm<D: LogStore>(&mut self, now: Time, replica: &mut RaftReplica<D>, timing: &Timing) {
+        let late = self.quorum_asked_at.is_some_and(|at| now >= at + timing.tick_interval * 4);
         if self.quorum_asked_at.is_some() && !late {
             return;
         }
@@ -123,7 +125,7 @@
     }
 
     /// A majority has confirmed, since it was asked under this number.
-    pub fn confirmed<D: Disk>(
+    pub fn confirmed<D: LogStore>(
         &mut self,
         now: Time,
         number: u64,
@@ -137,7 +139,7 @@
     }
 
     /// An entry was applied.
-    pub fn applied<D: Disk>(
+    pub fn applied<D: LogStore>(
         &mut self,
         now: Time,
         index: u64,
@@ -145,15 +147,15 @@
         replica: &RaftReplica<D>,
         timing: &Timing,
     ) -> Vec<(Member, LeaseResponse)> {
-        if let Effect::Granted(thing, _) = effect {
-            self.granter.renewed(thing, now, timing);
+        if let Effect::Granted(resource, _) = effect {
+            self.granter.renewed(resource, now, timing);
         }
         self.proposed.retain(|_, at| *at > index);
         self.declaring_dead.retain(|_, at| *at > index);
         self.answer_ready(now, replica, timing, |wait| matches!(wait, Wait::Entry(at) if at <= index))
     }
 
-    fn answer_ready<D: Disk>(
+    fn answer_ready<D: LogStore>(
         &mut self,
         now: Time,
         replica: &RaftReplica<D>,
@@ -167,7 +169,7 @@
         answers.collect()
     }
 
-    fn response<D: Disk>(
+    fn response<D: LogStore>(
         &mut self,
         now: Time,
         ask: LeaseRequest,
@@ -178,37 +180,37 @@
         let number = ask.number;
         if let Some(dead) = ledger.latest_dead(ask.incarnation.member).filter(|dead| ask.incarnation <= *dead)
         {
-            return LeaseResponse { number, outcome: LeaseOutcome::DeclaredDead(dead.born) };
+            return LeaseResponse { number, outcome: LeaseOutcome::DeclaredDead(dead.number) };
         }
-        let (mut things, mut others) = (Vec::new(), Vec::new());
-        let renew = ask.renew.into_iter().map(|(thing, token)| (thing, Some(token)));
-        let known = ask.want.into_iter().chain(ask.watch).map(|thing| (thing, None));
-        for (thing, token) in renew.chain(known) {
-            let Some(grant) = ledger.grant(&thing) else { continue };
+        let (mut resources, mut others) = (Vec::new(), Vec::new());
+        let renew = ask.renew.into_iter().map(|(resource, token)| (resource, Some(token)));
+        let known = ask.want.into_iter().chain(ask.watch).map(|resource| (resource, None));
+        for (resource, token) in renew.chain(known) {
+            let Some(grant) = ledger.grant(&resource) else { continue };
             // What is being granted to another is held by nobody any more.
-            let going = self.proposed.contains_key(&thing);
+            let going = self.proposed.contains_key(&resource);
             if grant.holder == ask.incarnation && token.is_none_or(|t| t == grant.token) && !going {
-                self.granter.renewed(&thing, now, timing);
-                things.push((thing, grant.token));
-            } else if grant.holder != ask.incarnation && !self.granter.has_expired(&thing, now, timing) {
+                self.granter.renewed(&resource, now, timing);
+                resources.push((resource, grant.token));
+            } else if grant.holder != ask.incarnation && !self.granter.has_expired(&resource, now, timing) {
                 // Whose lease has run out owns it no longer, whatever the ledger says.
-                others.push((thing, grant.holder, grant.token));
+                others.push((resource, grant.holder, grant.token));
             }
         }
         let open = |incarnation: &&Incarnation| {
-            let thing = Thing::orphaned_work(**incarnation);
-            self.granter.is_free(&thing, ledger, now, timing)
+            let resource = Resource::orphaned_work(**incarnation);
+            self.granter.is_free(&resource, ledger, now, timing)
         };
         let orphaned_work = ledger.orphaned_work().iter().filter(open).take(MAX_OFFERED).copied().collect();
         let mut voters: Vec<Member> =
             replica.configuration().0.iter().filter_map(|s| member_of(*s)).collect();
         voters.sort_unstable();
         voters.dedup();
-        LeaseResponse { number, outcome: LeaseOutcome::Held { things, others, orphaned_work, voters } }
+        LeaseResponse { number, outcome: LeaseOutcome::Held { resources, others, orphaned_work, voters } }
     }
 
     /// What a leader does by itself: deaths declared, and one step of a change of replicas.
-    pub fn tick<D: Disk>(
+    pub fn tick<D: LogStore>(
         &mut self,
         now: Time,
         (floor, uninitialized): (u64, &BTreeMap<Member, ReplicaId>),
@@ -224,13 +226,13 @@
         self.granter.forget(replica.ledger(), now);
         self.declare_dead(now, replica, members, timing);
         if now >= self.configuration_step_at {
-            self.configuration_step_at = now + timing.renewal();
+            self.configuration_step_at = now + timing.renewal_interval();
             self.advance_configuration(uninitialized, replica);
         }
     }
 
     /// Proposes to declare those incarnations over whose members are gone and whose leases have run out.
-    fn declare_dead<D: Disk>(
+    fn declare_dead<D: LogStore>(
         &mut self,
         now: Time,
         replica: &mut RaftReplica<D>,
@@ -238,9 +240,9 @@
         timing: &Timing,
     ) {
         let incarnations: Vec<Incarnation> =
-            replica.ledger().grants().filter_map(|(thing, _)| thing.as_incarnation()).collect();
+            replica.ledger().grants().filter_map(|(resource, _)| resource.as_incarnation()).collect();
         for incarnation in incarnations.into_iter().filter(|incarnation| is_gone(incarnation, members)) {
-            let over = self.granter.has_expired(&Thing::incarnation(incarnation), now, timing);
+            let over = self.granter.has_expired(&Resource::incarnation(incarnation), now, timing);
             if over && !self.declaring_dead.contains_key(&incarnation) {
                 if let Some(index) = replica.propose(Command::DeclareDead { incarnation }) {
                     self.declaring_dead.insert(incarnation, index);
@@ -255,7 +257,7 @@
     }
 
     /// One step towards each member's present replica: it learns, the old one leaves, it votes.
-    fn advance_configuration<D: Disk>(
+    fn advance_configuration<D: LogStore>(
         &mut self,
         uninitialized: &BTreeMap<Member, ReplicaId>,
         replica: &mut RaftReplica<D>,
@@ -296,13 +298,13 @@
 /// Whether an incarnation has ended, as far as gossip tells.
 fn is_gone(incarnation: &Incarnation, members: &Members) -> bool {
     if incarnation.member == members.me().member {
-        return incarnation.born < members.me().born;
+        return incarnation.number < members.me().number;
     }
     let seen = members.all().find(|(m, _)| *m == incarnation.member).map(|(_, s)| s);
     seen.is_some_and(|s| {
         s.incarnation.is_some_and(|known| known > *incarnation)
-            || (s.incarnation == Some(*incarnation) && matches!(s.state, State::Dead | State::Left))
+            || (s.incarnation == Some(*incarnation) && matches!(s.state, MemberState::Dead | MemberState::Left))
             // After a restart of all, one that never comes back is never heard of either.
-            || s.state == State::Unheard
+            || s.state == MemberState::Unheard
     })
 }
--- a/fleet/src/lease.rs
+++ b/fleet/src/lease.rs
@@ -1,7 +1,7 @@
 //! What this process holds, and until when by its own clock.
 
 use crate::timing::Timing;
-use crate::{Thing, Time, Token};
+use crate::{Resource, Time, Token};
 use std::collections::BTreeMap;
 
 /// Requests whose answers are still believed.
@@ -16,7 +16,7 @@
 /// The leases of one process.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 pub struct Leases {
-    held: BTreeMap<Thing, Held>,
+    held: BTreeMap<Resource, Held>,
     /// When each request that has no answer yet was asked.
     asked: BTreeMap<u64, Time>,
     /// When this process last checked its clock as it should.
@@ -26,15 +26,15 @@
 impl Leases {
     /// Checks the clock: what was held through a time in which this process did not run is dropped, all
     /// of it, before anything else is done. Tells what was lost, and whether to a stop.
-    pub fn check_clock(&mut self, now: Time, timing: &Timing) -> (Vec<Thing>, bool) {
-        let stopped = now.saturating_sub(self.seen) > timing.stall();
+    pub fn check_clock(&mut self, now: Time, timing: &Timing) -> (Vec<Resource>, bool) {
+        let stopped = now.saturating_sub(self.seen) > timing.stall_threshold();
         self.seen = self.seen.max(now);
         if stopped {
             // Answers to what was asked before the stop are as old as it is.
             self.asked.clear();
         }
         let over = |held: &Held| stopped || held.until <= now;
-        let lost: Vec<Thing> = self.held.iter().filter(|(_, h)| over(h)).map(|(t, _)| t.clone()).collect();
+        let lost: Vec<Resource> = self.held.iter().filter(|(_, h)| over(h)).map(|(t, _)| t.clone()).collect();
         self.held.retain(|_, h| !over(h));
         (lost, stopped)
     }
@@ -51,47 +51,47 @@
     pub fn granted(
         &mut self,
         number: u64,
-        things: &[(Thing, Token)],
+        resources: &[(Resource, Token)],
         timing: &Timing,
-    ) -> Vec<(Thing, Token)> {
+    ) -> Vec<(Resource, Token)> {
         let Some(asked) = self.asked.remove(&number) else { return Vec::new() };
-        let until = asked + timing.held();
+        let until = asked + timing.lease_validity();
         let mut new = Vec::new();
-        for (thing, token) in things {
-            let old = self.held.get(thing).copied();
+        for (resource, token) in resources {
+            let old = self.held.get(resource).copied();
             if old.is_some_and(|old| old.token > *token) || until <= self.seen {
                 continue;
             }
             if old.is_none_or(|old| old.token < *token) {
-                new.push((thing.clone(), *token));
+                new.push((resource.clone(), *token));
             }
             let until = old.filter(|old| old.token == *token).map_or(until, |old| old.until.max(until));
-            self.held.insert(thing.clone(), Held { token: *token, until });
+            self.held.insert(resource.clone(), Held { token: *token, until });
         }
         new
     }
 
-    /// Under which token an operation for a thing may begin at this very moment; nothing if it may not. A process
+    /// Under which token an operation for a resource may begin at this very moment; nothing if it may not. A process
     /// that has not checked its clock for longer than it should was stopped, and may do nothing.
-    pub fn permit(&self, thing: &Thing, now: Time, timing: &Timing) -> Option<Token> {
-        let awake = now.saturating_sub(self.seen) <= timing.stall();
-        self.held.get(thing).filter(|held| awake && now < held.until).map(|held| held.token)
+    pub fn permit(&self, resource: &Resource, now: Time, timing: &Timing) -> Option<Token> {
+        let awake = now.saturating_sub(self.seen) <= timing.stall_threshold();
+        self.held.get(resource).filter(|held| awake && now < held.until).map(|held| held.token)
     }
 
-    /// Gives a thing up; under which token it was held.
-    pub fn drop_thing(&mut self, thing: &Thing) -> Option<Token> {
-        self.held.remove(thing).map(|held| held.token)
+    /// Gives a resource up; under which token it was held.
+    pub fn remove(&mut self, resource: &Resource) -> Option<Token> {
+        self.held.remove(resource).map(|held| held.token)
     }
 
     /// Gives everything up; what that was.
-    pub fn drop_all(&mut self) -> Vec<Thing> {
+    pub fn drop_all(&mut self) -> Vec<Resource> {
         self.asked.clear();
         std::mem::take(&mut self.held).into_keys().collect()
     }
 
-    /// All that is held: thing, token, until when.
-    pub fn all(&self) -> impl Iterator<Item = (&Thing, Token, Time)> {
-        self.held.iter().map(|(thing, held)| (thing, held.token, held.until))
+    /// All that is held: resource, token, until when.
+    pub fn all(&self) -> impl Iterator<Item = (&Resource, Token, Time)> {
+        self.held.iter().map(|(resource, held)| (resource, held.token, held.until))
     }
 }
 
@@ -104,49 +104,49 @@
         Duration::from_millis(ms)
     }
 
-    fn held() -> (Leases, Thing, Timing) {
-        let (timing, thing) = (Timing::default(), Thing::new("probe/a").expect("a name"));
+    fn held() -> (Leases, Resource, Timing) {
+        let (timing, resource) = (Timing::default(), Resource::new("probe/a").expect("a name"));
         let mut leases = Leases::default();
         leases.check_clock(ms(0), &timing);
         leases.ask(1, ms(100));
         leases.check_clock(ms(400), &timing);
-        assert_eq!(leases.granted(1, &[(thing.clone(), 7)], &timing), [(thing.clone(), 7)]);
-        (leases, thing, timing)
+        assert_eq!(leases.granted(1, &[(resource.clone(), 7)], &timing), [(resource.clone(), 7)]);
+        (leases, resource, timing)
     }
 
     #[test]
     fn a_lease_counts_from_the_request_less_the_drift() {
-        let (mut leases, thing, timing) = held();
+        let (mut leases, resource, timing) = held();
         for now in [800, 1200, 1560] {
             leases.check_clock(ms(now), &timing);
-            assert_eq!(leases.permit(&thing, ms(now), &timing), Some(7), "{now}");
+            assert_eq!(leases.permit(&resource, ms(now), &timing), Some(7), "{now}");
         }
         // 100 ms + 1,500 ms less 2 in 100.
-        assert_eq!(leases.permit(&thing, ms(1569), &timing), Some(7));
-        assert_eq!(leases.permit(&thing, ms(1570), &timing), None);
-        assert_eq!(leases.check_clock(ms(1570), &timing), (vec![thing], false));
+        assert_eq!(leases.permit(&resource, ms(1569), &timing), Some(7));
+        assert_eq!(leases.permit(&resource, ms(1570), &timing), None);
+        assert_eq!(leases.check_clock(ms(1570), &timing), (vec![resource], false));
     }
 
     #[test]
     fn a_process_that_was_stopped_may_do_nothing_even_before_it_notices() {
-        let (mut leases, thing, timing) = held();
+        let (mut leases, resource, timing) = held();
         // Its next look would come at 450; it was stopped until 1000, and the lease would last until 1570.
-        assert_eq!(leases.permit(&thing, ms(1000), &timing), None);
-        assert_eq!(leases.check_clock(ms(1000), &timing), (vec![thing.clone()], true));
-        assert_eq!(leases.permit(&thing, ms(1000), &timing), None);
+        assert_eq!(leases.permit(&resource, ms(1000), &timing), None);
+        assert_eq!(leases.check_clock(ms(1000), &timing), (vec![resource.clone()], true));
+        assert_eq!(leases.permit(&resource, ms(1000), &timing), None);
     }
 
     #[test]
     fn an_answer_to_what_was_asked_before_a_stop_grants_nothing() {
-        let (mut leases, thing, timing) = held();
+        let (mut leases, resource, timing) = held();
         leases.ask(2, ms(420));
         leases.check_clock(ms(1000), &timing);
-        assert!(leases.granted(2, &[(thing.clone(), 7)], &timing).is_empty());
-        assert_eq!(leases.permit(&thing, ms(1000), &timing), None);
+        assert!(leases.granted(2, &[(resource.clone(), 7)], &timing).is_empty());
+        assert_eq!(leases.permit(&resource, ms(1000), &timing), None);
         // Nor does one that was never asked, or that comes when its lease is over.
-        assert!(leases.granted(9, &[(thing.clone(), 8)], &timing).is_empty());
+        assert!(leases.granted(9, &[(resource.clone(), 8)], &timing).is_empty());
         leases.ask(3, ms(1000));
         (1..6).for_each(|n| drop(leases.check_clock(ms(1000 + n * 400), &timing)));
-        assert!(leases.granted(3, &[(thing, 8)], &timing).is_empty());
+        assert!(leases.granted(3, &[(resource, 8)], &timing).is_empty());
     }
 }
--- a/fleet/src/lease_client.rs
+++ b/fleet/src/lease_client.rs
@@ -1,24 +1,24 @@
 //! The lease client: what this process wants to own, and its requests to the leader. One request at a time
 //! covers all its leases, so that what a member costs does not grow with the fleet or with what it owns.
 
-use crate::frame::{LeaseOutcome, LeaseRequest, MAX_THINGS_PER_REQUEST};
+use crate::frame::{LeaseOutcome, LeaseRequest, MAX_RESOURCES_PER_REQUEST};
 use crate::lease::Leases;
 use crate::timing::Timing;
-use crate::{Incarnation, Member, Thing, Time, Token};
+use crate::{Incarnation, Member, Resource, Time, Token};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// So many members request a thing, the first by its rank; the others leave it to them.
-const CANDIDATES_PER_THING: usize = 2;
+/// So many members request a resource, the first by its rank; the others leave it to them.
+const CANDIDATES_PER_RESOURCE: usize = 2;
 
 /// The client's side of the leases of one process.
 pub struct LeaseClient {
-    wishes: BTreeSet<Thing>,
+    wanted: BTreeSet<Resource>,
     recovers: bool,
     offered: Vec<Incarnation>,
-    releases: Vec<(Thing, Token)>,
+    releases: Vec<(Resource, Token)>,
     settles: Vec<(Incarnation, Token)>,
     /// Who has what this one would have.
-    others: BTreeMap<Thing, (Incarnation, Token)>,
+    others: BTreeMap<Resource, (Incarnation, Token)>,
     voters: Vec<Member>,
     leader: Option<Member>,
     /// The request that has no answer yet, when it was asked, and of whom.
@@ -27,11 +27,11 @@
     next_at: Time,
     turn: usize,
     /// Since when no leader has answered.
-    unanswered: Option<Time>,
+    unanswered_since: Option<Time>,
     /// This one stands in line for something.
     waits: bool,
     /// Since when nobody has what this one would have.
-    free: BTreeMap<Thing, Time>,
+    free: BTreeMap<Resource, Time>,
 }
 
 /// What a response came to.
@@ -39,7 +39,7 @@
     /// Nothing that is of this request.
     Nothing,
     /// These are held from the moment of the request on.
-    Held(u64, Vec<(Thing, Token)>),
+    Held(u64, Vec<(Resource, Token)>),
     /// This process was declared dead; incarnations up to this one are over.
     DeclaredDead(u64),
 }
@@ -48,7 +48,7 @@
     /// A client of these voters, as long as it hears of no others.
     pub fn new(voters: Vec<Member>, turn: usize) -> LeaseClient {
         LeaseClient {
-            wishes: BTreeSet::new(),
+            wanted: BTreeSet::new(),
             recovers: false,
             offered: Vec::new(),
             releases: Vec::new(),
@@ -60,28 +60,28 @@
             number: 0,
             next_at: Time::ZERO,
             turn,
-            unanswered: None,
+            unanswered_since: None,
             waits: false,
             free: BTreeMap::new(),
         }
     }
 
-    /// Would own a thing from now on, or no longer.
-    pub fn wish(&mut self, thing: Thing, wished: bool) {
-        match wished {
-            true => drop(self.wishes.insert(thing)),
-            false => drop(self.wishes.remove(&thing)),
+    /// Would own a resource from now on, or no longer.
+    pub fn set_wanted(&mut self, resource: Resource, wanted: bool) {
+        match wanted {
+            true => drop(self.wanted.insert(resource)),
+            false => drop(self.wanted.remove(&resource)),
         }
     }
 
     /// Would recover orphaned work.
-    pub fn recovers(&mut self, recovers: bool) {
+    pub fn set_recovers(&mut self, recovers: bool) {
         self.recovers = recovers;
     }
 
-    /// Gives a thing back with the next request.
-    pub fn release(&mut self, thing: Thing, token: Token) {
-        self.releases.push((thing, token));
+    /// Gives a resource back with the next request.
+    pub fn release(&mut self, resource: Resource, token: Token) {
+        self.releases.push((resource, token));
         self.next_at = Time::ZERO;
     }
 
@@ -108,11 +108,11 @@
         timing: &Timing,
     ) -> Option<(Member, LeaseRequest)> {
         if let Some((_, asked, of)) = self.open {
-            if now < asked + timing.again() * 2 {
+            if now < asked + timing.retry_interval() * 2 {
                 return None;
             }
             // Whoever does not answer is not asked first again.
-            self.unanswered.get_or_insert(asked);
+            self.unanswered_since.get_or_insert(asked);
             if self.leader == Some(of) {
                 self.leader = None;
             }
@@ -125,9 +125,9 @@
             self.turn += 1;
             self.voters[self.turn % self.voters.len()]
         });
-        let held: BTreeSet<&Thing> = leases.all().map(|(thing, ..)| thing).collect();
-        let own = Thing::incarnation(me);
-        let mut want: Vec<Thing> = Vec::new();
+        let held: BTreeSet<&Resource> = leases.all().map(|(resource, ..)| resource).collect();
+        let own = Resource::incarnation(me);
+        let mut want: Vec<Resource> = Vec::new();
         if !held.contains(&own) {
             want.push(own);
         }
@@ -135,24 +135,26 @@
             .offered
             .iter()
             .filter(|_| self.recovers)
-            .map(|incarnation| Thing::orphaned_work(*incarnation));
-        let wished = self.wishes.iter().cloned().chain(orphaned_work);
-        let mut watch: Vec<Thing> = Vec::new();
-        for thing in wished.filter(|t| !held.contains(t)) {
+            .map(|incarnation| Resource::orphaned_work(*incarnation));
+        let wanted = self.wanted.iter().cloned().chain(orphaned_work);
+        let mut watch: Vec<Resource> = Vec::new();
+        for resource in wanted.filter(|t| !held.contains(t)) {
             // Those at the head of a line may all be gone, and not be known to be: then it is anybody's.
-            let late = self.free.get(&thing).is_some_and(|since| now >= *since + timing.lease / 2);
-            match late || is_candidate(&thing, me.member, here, self.leader) {
-                true => want.push(thing),
-                false => watch.push(thing),
+            let late =
+                self.free.get(&resource).is_some_and(|since| now >= *since + timing.lease_duration / 2);
+            match late || is_candidate(&resource, me.member, here, self.leader) {
+                true => want.push(resource),
+                false => watch.push(resource),
             }
         }
-        watch.truncate(MAX_THINGS_PER_REQUEST / 8);
+        watch.truncate(MAX_RESOURCES_PER_REQUEST / 8);
         self.waits = !want.is_empty();
-        let mut renew: Vec<(Thing, Token)> = leases.all().map(|(t, token, _)| (t.clone(), token)).collect();
-        renew.truncate(MAX_THINGS_PER_REQUEST / 2);
-        want.truncate(MAX_THINGS_PER_REQUEST / 4);
-        let release = take(&mut self.releases, MAX_THINGS_PER_REQUEST / 8);
-        let settle = take(&mut self.settles, MAX_THINGS_PER_REQUEST / 8);
+        let mut renew: Vec<(Resource, Token)> =
+            leases.all().map(|(t, token, _)| (t.clone(), token)).collect();
+        renew.truncate(MAX_RESOURCES_PER_REQUEST / 2);
+        want.truncate(MAX_RESOURCES_PER_REQUEST / 4);
+        let release = take(&mut self.releases, MAX_RESOURCES_PER_REQUEST / 8);
+        let settle = take(&mut self.settles, MAX_RESOURCES_PER_REQUEST / 8);
         self.number += 1;
         self.open = Some((self.number, now, to));
         Some((to, LeaseRequest { incarnation: me, number: self.number, renew, want, watch, release, settle }))
@@ -173,17 +175,17 @@
         self.open = None;
         match outcome {
             LeaseOutcome::NotLeader(leader) => {
-                self.unanswered.get_or_insert(now);
+                self.unanswered_since.get_or_insert(now);
                 self.leader = leader.filter(|l| *l != from);
-                self.next_at = now + if self.leader.is_some() { Time::ZERO } else { timing.tick };
+                self.next_at = now + if self.leader.is_some() { Time::ZERO } else { timing.tick_interval };
                 LeaseReply::Nothing
             }
-            LeaseOutcome::DeclaredDead(born) => {
+            LeaseOutcome::DeclaredDead(number) => {
                 self.leader = Some(from);
-                LeaseReply::DeclaredDead(born)
+                LeaseReply::DeclaredDead(number)
             }
-            LeaseOutcome::Held { things, others, orphaned_work, voters } => {
-                self.unanswered = None;
+            LeaseOutcome::Held { resources, others, orphaned_work, voters } => {
+                self.unanswered_since = None;
                 self.leader = Some(from);
                 if !voters.is_empty() {
                     self.voters = voters;
@@ -191,32 +193,32 @@
                 self.offered = orphaned_work;
                 self.others = others
                     .into_iter()
-                    .map(|(thing, incarnation, token)| (thing, (incarnation, token)))
+                    .map(|(resource, incarnation, token)| (resource, (incarnation, token)))
                     .collect();
-                let has = |thing: &Thing| things.iter().any(|(t, _)| t == thing);
-                let free = |t: &&Thing| !has(t) && !self.others.contains_key(t);
-                let free: Vec<Thing> = self.wishes.iter().filter(free).cloned().collect();
-                self.free.retain(|thing, _| free.contains(thing));
-                for thing in free {
-                    self.free.entry(thing).or_insert(now);
+                let has = |resource: &Resource| resources.iter().any(|(t, _)| t == resource);
+                let free = |t: &&Resource| !has(t) && !self.others.contains_key(t);
+                let free: Vec<Resource> = self.wanted.iter().filter(free).cloned().collect();
+                self.free.retain(|resource, _| free.contains(resource));
+                for resource in free {
+                    self.free.entry(resource).or_insert(now);
                 }
-                let lacks = self.wishes.iter().any(|t| !has(t) && !self.others.contains_key(t));
+                let lacks = self.wanted.iter().any(|t| !has(t) && !self.others.contains_key(t));
                 // Whoever stands in line asks more often: it is on these that the time without an owner hangs.
                 let wants = lacks || self.waits;
-                self.next_at = now + if wants { timing.again() } else { timing.renewal() };
-                LeaseReply::Held(open, things)
+                self.next_at = now + if wants { timing.retry_interval() } else { timing.renewal_interval() };
+                LeaseReply::Held(open, resources)
             }
         }
     }
 
-    /// Who has a thing, as far as the leader last told this one.
-    pub fn holder(&self, thing: &Thing) -> Option<(Incarnation, Token)> {
-        self.others.get(thing).copied()
+    /// Who has a resource, as far as the leader last told this one.
+    pub fn holder(&self, resource: &Resource) -> Option<(Incarnation, Token)> {
+        self.others.get(resource).copied()
     }
 
     /// Since when no leader has answered; nothing while one does.
-    pub fn unanswered(&self) -> Option<Time> {
-        self.unanswered
+    pub fn unanswered_since(&self) -> Option<Time> {
+        self.unanswered_since
     }
 
     /// Who leads, as far as is known.
@@ -235,19 +237,19 @@
     std::mem::replace(from, rest)
 }
 
-/// Whether a member is among the first by rank that may request a thing. Each thing has a ranking of its own; the
+/// Whether a member is among the first by rank that may request a resource. Each resource has a ranking of its own; the
 /// leader is the last in each, so that whoever owns something and whoever grants it do not go together.
-fn is_candidate(thing: &Thing, me: Member, here: &[Member], leader: Option<Member>) -> bool {
+fn is_candidate(resource: &Resource, me: Member, here: &[Member], leader: Option<Member>) -> bool {
     let rank = |member: Member| {
         let mut hasher = blake3::Hasher::new();
-        hasher.update(thing.name().as_bytes());
+        hasher.update(resource.name().as_bytes());
         hasher.update(&member.0.to_be_bytes());
         let hash = hasher.finalize();
         let number = hash.as_bytes().first_chunk::<8>().map_or(0, |bytes| u64::from_be_bytes(*bytes));
         (Some(member) == leader, number)
     };
     let mine = rank(me);
-    here.iter().filter(|m| **m != me && rank(**m) < mine).count() < CANDIDATES_PER_THING
+    here.iter().filter(|m| **m != me && rank(**m) < mine).count() < CANDIDATES_PER_RESOURCE
 }
 
 #[cfg(test)]
@@ -258,13 +260,13 @@
     fn few_are_candidates_for_a_thing_and_the_leader_last() {
         let here: Vec<Member> = (0..50).map(Member).collect();
         for name in ["probe/a", "probe/b", "ledger"] {
-            let thing = Thing::new(name).expect("a name");
+            let resource = Resource::new(name).expect("a name");
             let first: Vec<Member> =
-                here.iter().copied().filter(|m| is_candidate(&thing, *m, &here, None)).collect();
-            assert_eq!(first.len(), CANDIDATES_PER_THING, "{name}");
-            assert!(!is_candidate(&thing, first[0], &here, Some(first[0])));
+                here.iter().copied().filter(|m| is_candidate(&resource, *m, &here, None)).collect();
+            assert_eq!(first.len(), CANDIDATES_PER_RESOURCE, "{name}");
+            assert!(!is_candidate(&resource, first[0], &here, Some(first[0])));
             // The one who is alone takes all.
-            assert!(is_candidate(&thing, first[0], &first[..1], Some(first[0])));
+            assert!(is_candidate(&resource, first[0], &first[..1], Some(first[0])));
         }
     }
 }
--- a/fleet/src/lease_granter.rs
+++ b/fleet/src/lease_granter.rs
@@ -1,8 +1,8 @@
-//! The lease granter: when a leader may grant a thing to another member, by its own clock and only while it leads.
+//! The lease granter: when a leader may grant a resource to another member, by its own clock and only while it leads.
 
 use crate::ledger::Ledger;
 use crate::timing::Timing;
-use crate::{Thing, Time};
+use crate::{Resource, Time};
 use std::collections::BTreeMap;
 
 /// A leader's view of when each lease ends.
@@ -10,7 +10,7 @@
 pub struct LeaseGranter {
     /// Since when it leads: whatever its predecessor renewed may have been renewed until then.
     began: Time,
-    ends: BTreeMap<Thing, Time>,
+    ends: BTreeMap<Resource, Time>,
 }
 
 impl LeaseGranter {
@@ -20,22 +20,22 @@
     }
 
     /// A lease was granted or renewed, as a majority has confirmed since it was asked for.
-    pub fn renewed(&mut self, thing: &Thing, now: Time, timing: &Timing) {
-        self.ends.insert(thing.clone(), now + timing.withheld());
+    pub fn renewed(&mut self, resource: &Resource, now: Time, timing: &Timing) {
+        self.ends.insert(resource.clone(), now + timing.grant_exclusion());
     }
 
-    /// Whether a thing may be granted to another: nobody has it, or whoever has it must have stopped by now.
-    pub fn is_free(&self, thing: &Thing, ledger: &Ledger, now: Time, timing: &Timing) -> bool {
-        ledger.grant(thing).is_none() || self.has_expired(thing, now, timing)
+    /// Whether a resource may be granted to another: nobody has it, or whoever has it must have stopped by now.
+    pub fn is_free(&self, resource: &Resource, ledger: &Ledger, now: Time, timing: &Timing) -> bool {
+        ledger.grant(resource).is_none() || self.has_expired(resource, now, timing)
     }
 
-    /// Whether the lease of a thing has run out, if ever it was granted, also where the ledger knows of none.
-    pub fn has_expired(&self, thing: &Thing, now: Time, timing: &Timing) -> bool {
-        self.ends.get(thing).copied().unwrap_or(self.began + timing.withheld()) <= now
+    /// Whether the lease of a resource has run out, if ever it was granted, also where the ledger knows of none.
+    pub fn has_expired(&self, resource: &Resource, now: Time, timing: &Timing) -> bool {
+        self.ends.get(resource).copied().unwrap_or(self.began + timing.grant_exclusion()) <= now
     }
 
     /// Forgets what stands in the ledger no longer.
     pub fn forget(&mut self, ledger: &Ledger, now: Time) {
-        self.ends.retain(|thing, end| *end > now || ledger.grant(thing).is_some());
+        self.ends.retain(|resource, end| *end > now || ledger.grant(resource).is_some());
     }
 }
--- a/fleet/src/ledger.rs
+++ b/fleet/src/ledger.rs
@@ -1,16 +1,16 @@
 //! What the voters agree on: who has which token, who is dead, whose orphaned work is whose. The same commands in the
 //! same order give the same ledger, to the byte. No time is in it.
 
-use crate::{Incarnation, Member, Thing, Token};
+use crate::{Incarnation, Member, Resource, Token};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Things that may be owned at a time; further ones are refused.
-pub const MAX_THINGS: usize = 4096;
+/// Resources that may be owned at a time; further ones are refused.
+pub const MAX_RESOURCES: usize = 4096;
 /// Incarnations whose orphaned work waits to be settled; with more, the oldest is given up as nobody's.
 pub const MAX_ORPHANED: usize = 1024;
 
-/// Who has a thing.
+/// Who has a resource.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Grant {
     /// What it is done under.
@@ -27,19 +27,19 @@
         /// The time of day when the leader began, as a number that grows faster than tokens do.
         floor: Token,
     },
-    /// Grant a thing, provided that the token it has now is still `expect` (0: nobody has it).
+    /// Grant a resource, provided that the token it has now is still `expect` (0: nobody has it).
     Grant {
         /// What is granted.
-        thing: Thing,
+        resource: Resource,
         /// To whom.
         holder: Incarnation,
         /// The token that the one who asks to grant has seen.
         expect: Token,
     },
-    /// The owner gives a thing back.
+    /// The owner gives a resource back.
     Release {
         /// What is given back.
-        thing: Thing,
+        resource: Resource,
         /// Under which token it was held.
         token: Token,
     },
@@ -60,10 +60,10 @@
 /// What a command came to.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Effect {
-    /// The thing is granted.
-    Granted(Thing, Grant),
-    /// The thing is nobody's.
-    Released(Thing),
+    /// The resource is granted.
+    Granted(Resource, Grant),
+    /// The resource is nobody's.
+    Released(Resource),
     /// The incarnation is over, and its orphaned work waits.
     DeclaredDead(Incarnation),
     /// The orphaned work is done with.
@@ -77,7 +77,7 @@
 pub struct Ledger {
     /// The token that was granted last.
     last: Token,
-    grants: BTreeMap<Thing, Grant>,
+    grants: BTreeMap<Resource, Grant>,
     /// By member: this incarnation and all before it are over.
     dead: BTreeMap<Member, u64>,
     /// Incarnations whose orphaned work is not settled, in the order of declaration.
@@ -92,21 +92,21 @@
                 self.last = self.last.max(floor);
                 Effect::Stale
             }
-            Command::Grant { thing, holder, expect } => {
-                let held = self.grants.get(&thing).map_or(0, |g| g.token);
-                let full = held == 0 && self.grants.len() >= MAX_THINGS;
-                if held != expect || full || self.is_dead(holder) || !self.may_recover(&thing) {
+            Command::Grant { resource, holder, expect } => {
+                let held = self.grants.get(&resource).map_or(0, |g| g.token);
+                let full = held == 0 && self.grants.len() >= MAX_RESOURCES;
+                if held != expect || full || self.is_dead(holder) || !self.may_recover(&resource) {
                     return Effect::Stale;
                 }
                 self.last += 1;
                 let grant = Grant { token: self.last, holder };
-                self.grants.insert(thing.clone(), grant);
-                Effect::Granted(thing, grant)
+                self.grants.insert(resource.clone(), grant);
+                Effect::Granted(resource, grant)
             }
-            Command::Release { thing, token } => match self.grants.get(&thing) {
+            Command::Release { resource, token } => match self.grants.get(&resource) {
                 Some(grant) if grant.token == token => {
-                    self.grants.remove(&thing);
-                    Effect::Released(thing)
+                    self.grants.remove(&resource);
+                    Effect::Released(resource)
                 }
                 _ => Effect::Stale,
             },
@@ -114,22 +114,22 @@
                 if self.is_dead(incarnation) {
                     return Effect::Stale;
                 }
-                self.dead.insert(incarnation.member, incarnation.born);
+                self.dead.insert(incarnation.member, incarnation.number);
                 if self.orphaned_work.len() >= MAX_ORPHANED {
                     let oldest = self.orphaned_work.remove(0);
-                    self.grants.remove(&Thing::orphaned_work(oldest));
+                    self.grants.remove(&Resource::orphaned_work(oldest));
                 }
                 self.orphaned_work.push(incarnation);
                 // Nobody renews it; the orphaned work is what stands for it from now on.
-                self.grants.remove(&Thing::incarnation(incarnation));
+                self.grants.remove(&Resource::incarnation(incarnation));
                 Effect::DeclaredDead(incarnation)
             }
             Command::Settle { incarnation, token } => {
-                let thing = Thing::orphaned_work(incarnation);
-                if self.grants.get(&thing).is_none_or(|g| g.token != token) {
+                let resource = Resource::orphaned_work(incarnation);
+                if self.grants.get(&resource).is_none_or(|g| g.token != token) {
                     return Effect::Stale;
                 }
-                self.grants.remove(&thing);
+                self.grants.remove(&resource);
                 self.orphaned_work.retain(|e| *e != incarnation);
                 Effect::Settled(incarnation)
             }
@@ -137,29 +137,29 @@
     }
 
     /// Orphaned work can be had only while it is not settled: after that it is never granted again.
-    fn may_recover(&self, thing: &Thing) -> bool {
-        !thing.is_orphaned_work()
-            || self.orphaned_work.iter().any(|incarnation| Thing::orphaned_work(*incarnation) == *thing)
+    fn may_recover(&self, resource: &Resource) -> bool {
+        !resource.is_orphaned_work()
+            || self.orphaned_work.iter().any(|incarnation| Resource::orphaned_work(*incarnation) == *resource)
     }
 
-    /// Who has a thing.
-    pub fn grant(&self, thing: &Thing) -> Option<Grant> {
-        self.grants.get(thing).copied()
+    /// Who has a resource.
+    pub fn grant(&self, resource: &Resource) -> Option<Grant> {
+        self.grants.get(resource).copied()
     }
 
-    /// All grants, by the names of the things.
-    pub fn grants(&self) -> impl Iterator<Item = (&Thing, &Grant)> {
+    /// All grants, by the names of the resources.
+    pub fn grants(&self) -> impl Iterator<Item = (&Resource, &Grant)> {
         self.grants.iter()
     }
 
     /// Whether an incarnation is over by decision.
     pub fn is_dead(&self, incarnation: Incarnation) -> bool {
-        self.dead.get(&incarnation.member).is_some_and(|born| incarnation.born <= *born)
+        self.dead.get(&incarnation.member).is_some_and(|number| incarnation.number <= *number)
     }
 
     /// The greatest incarnation of a member that is over.
     pub fn latest_dead(&self, member: Member) -> Option<Incarnation> {
-        self.dead.get(&member).map(|born| Incarnation { member, born: *born })
+        self.dead.get(&member).map(|number| Incarnation { member, number: *number })
     }
 
     /// Incarnations whose orphaned work is not settled, in the order of declaration.
@@ -190,27 +190,27 @@
 mod tests {
     use super::*;
 
-    fn incarnation(member: u16, born: u64) -> Incarnation {
-        Incarnation { member: Member(member), born }
+    fn incarnation(member: u16, number: u64) -> Incarnation {
+        Incarnation { member: Member(member), number }
     }
 
-    fn grant(thing: &Thing, holder: Incarnation, expect: Token) -> Command {
-        Command::Grant { thing: thing.clone(), holder, expect }
+    fn grant(resource: &Resource, holder: Incarnation, expect: Token) -> Command {
+        Command::Grant { resource: resource.clone(), holder, expect }
     }
 
     #[test]
     fn a_grant_that_expects_an_old_token_changes_nothing() {
         let mut ledger = Ledger::default();
-        let thing = Thing::new("probe/a").expect("a name");
-        let first = ledger.apply(grant(&thing, incarnation(0, 1), 0));
-        assert_eq!(first, Effect::Granted(thing.clone(), Grant { token: 1, holder: incarnation(0, 1) }));
-        assert_eq!(ledger.apply(grant(&thing, incarnation(1, 1), 0)), Effect::Stale);
-        assert_ne!(ledger.apply(grant(&thing, incarnation(1, 1), 1)), Effect::Stale);
-        assert_eq!(ledger.apply(Command::Release { thing: thing.clone(), token: 1 }), Effect::Stale);
-        assert_ne!(ledger.apply(Command::Release { thing: thing.clone(), token: 2 }), Effect::Stale);
-        // A token never comes again, also for a thing that was given back.
-        assert_ne!(ledger.apply(grant(&thing, incarnation(0, 1), 0)), Effect::Stale);
-        assert_eq!(ledger.grant(&thing).map(|g| g.token), Some(3));
+        let resource = Resource::new("probe/a").expect("a name");
+        let first = ledger.apply(grant(&resource, incarnation(0, 1), 0));
+        assert_eq!(first, Effect::Granted(resource.clone(), Grant { token: 1, holder: incarnation(0, 1) }));
+        assert_eq!(ledger.apply(grant(&resource, incarnation(1, 1), 0)), Effect::Stale);
+        assert_ne!(ledger.apply(grant(&resource, incarnation(1, 1), 1)), Effect::Stale);
+        assert_eq!(ledger.apply(Command::Release { resource: resource.clone(), token: 1 }), Effect::Stale);
+        assert_ne!(ledger.apply(Command::Release { resource: resource.clone(), token: 2 }), Effect::Stale);
+        // A token never comes again, also for a resource that was given back.
+        assert_ne!(ledger.apply(grant(&resource, incarnation(0, 1), 0)), Effect::Stale);
+        assert_eq!(ledger.grant(&resource).map(|g| g.token), Some(3));
         assert_eq!(Ledger::decode(&ledger.encode()), Some(ledger));
     }
 
@@ -218,14 +218,14 @@
     fn orphaned_work_is_granted_after_a_death_until_it_is_settled_and_never_again() {
         let mut ledger = Ledger::default();
         let (dead, recovery_owner) = (incarnation(0, 7), incarnation(1, 1));
-        let orphaned_work = Thing::orphaned_work(dead);
+        let orphaned_work = Resource::orphaned_work(dead);
         assert_eq!(ledger.apply(grant(&orphaned_work, recovery_owner, 0)), Effect::Stale);
         assert_eq!(ledger.apply(Command::DeclareDead { incarnation: dead }), Effect::DeclaredDead(dead));
         assert_eq!(ledger.apply(Command::DeclareDead { incarnation: dead }), Effect::Stale);
         // The dead get nothing; the next incarnation does.
         assert_eq!(ledger.apply(grant(&orphaned_work, dead, 0)), Effect::Stale);
         assert_ne!(
-            ledger.apply(grant(&Thing::incarnation(incarnation(0, 8)), incarnation(0, 8), 0)),
+            ledger.apply(grant(&Resource::incarnation(incarnation(0, 8)), incarnation(0, 8), 0)),
             Effect::Stale
         );
         let Effect::Granted(_, granted) = ledger.apply(grant(&orphaned_work, recovery_owner, 0)) else {
@@ -244,12 +244,12 @@
     }
 
     #[test]
-    fn things_and_orphaned_work_are_bounded() {
+    fn resources_and_orphaned_work_are_bounded() {
         let mut ledger = Ledger::default();
-        for i in 0..MAX_THINGS + 1 {
-            let thing = Thing::new(format!("t/{i}")).expect("a name");
-            let granted = ledger.apply(grant(&thing, incarnation(0, 1), 0)) != Effect::Stale;
-            assert_eq!(granted, i < MAX_THINGS);
+        for i in 0..MAX_RESOURCES + 1 {
+            let resource = Resource::new(format!("t/{i}")).expect("a name");
+            let granted = ledger.apply(grant(&resource, incarnation(0, 1), 0)) != Effect::Stale;
+            assert_eq!(granted, i < MAX_RESOURCES);
         }
         for i in 0..=MAX_ORPHANED as u64 {
             ledger.apply(Command::DeclareDead { incarnation: incarnation(3, i + 1) });
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -39,50 +39,51 @@
     /// Whose incarnation it is.
     pub member: Member,
     /// Greater in each later incarnation of the member.
-    pub born: u64,
+    pub number: u64,
 }
 
-/// A thing that has one owner at a time: a path of plain words, such as `probe/a`.
+/// A resource that has one owner at a time: a path of plain words, such as `probe/a`.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct Thing(String);
+pub struct Resource(String);
 
-/// The names of things that stand for an incarnation and for its orphaned work begin so. They go over the wire and
+/// The names of resources that stand for an incarnation and for its orphaned work begin so. They go over the wire and
 /// into the Raft log: they can't be changed.
 const INCARNATION_PREFIX: &str = "life/";
 const ORPHANED_WORK_PREFIX: &str = "estate/";
 
-impl Thing {
+impl Resource {
     /// The longest name, in bytes.
-    pub const LONGEST: usize = 120;
+    pub const MAX_NAME_BYTES: usize = 120;
 
-    /// A thing by its name; nothing where that holds other characters than letters, digits and `-_./:`, or is
+    /// A resource by its name; nothing where that holds other characters than letters, digits and `-_./:`, or is
     /// empty or too long.
-    pub fn new(name: impl Into<String>) -> Option<Thing> {
+    pub fn new(name: impl Into<String>) -> Option<Resource> {
         let name = name.into();
         let plain = |c: char| c.is_ascii_alphanumeric() || "-_./:".contains(c);
-        let good = !name.is_empty() && name.len() <= Thing::LONGEST && name.chars().all(plain);
-        good.then_some(Thing(name))
+        let good = !name.is_empty() && name.len() <= Resource::MAX_NAME_BYTES && name.chars().all(plain);
+        good.then_some(Resource(name))
     }
 
     /// The orphaned work of an incarnation that has ended: whoever holds this is its recovery owner.
-    pub fn orphaned_work(of: Incarnation) -> Thing {
-        Thing(format!("{ORPHANED_WORK_PREFIX}{}/{}", of.member.0, of.born))
+    pub fn orphaned_work(of: Incarnation) -> Resource {
+        Resource(format!("{ORPHANED_WORK_PREFIX}{}/{}", of.member.0, of.number))
     }
 
     /// An incarnation itself: while its member holds this, nobody may recover its work.
-    pub fn incarnation(of: Incarnation) -> Thing {
-        Thing(format!("{INCARNATION_PREFIX}{}/{}", of.member.0, of.born))
+    pub fn incarnation(of: Incarnation) -> Resource {
+        Resource(format!("{INCARNATION_PREFIX}{}/{}", of.member.0, of.number))
     }
 
     /// Whose incarnation this is, if it is one.
     pub fn as_incarnation(&self) -> Option<Incarnation> {
-        let (member, born) = self.0.strip_prefix(INCARNATION_PREFIX)?.split_once('/')?;
-        Some(Incarnation { member: Member(member.parse().ok()?), born: born.parse().ok()? })
+        let (member, number) = self.0.strip_prefix(INCARNATION_PREFIX)?.split_once('/')?;
+        Some(Incarnation { member: Member(member.parse().ok()?), number: number.parse().ok()? })
     }
 
     /// Whose orphaned work this is, if it is any.
     pub fn as_orphaned_work(&self) -> Option<Incarnation> {
-        Thing(format!("{INCARNATION_PREFIX}{}", self.0.strip_prefix(ORPHANED_WORK_PREFIX)?)).as_incarnation()
+        Resource(format!("{INCARNATION_PREFIX}{}", self.0.strip_prefix(ORPHANED_WORK_PREFIX)?))
+            .as_incarnation()
     }
 
     /// Whether this is an incarnation.
@@ -101,11 +102,11 @@
     }
 }
 
-impl std::fmt::Display for Thing {
+impl std::fmt::Display for Resource {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-/// Greater with each grant, over all things and for good.
+/// Greater with each grant, over all resources and for good.
 pub type Token = u64;
--- a/fleet/src/log.rs
+++ b/fleet/src/log.rs
@@ -2,7 +2,8 @@
 
 use crate::frame::{Entry, RaftMessage, Snapshot};
 use raft::eraftpb::{
-    ConfState, Entry as RaftEntry, EntryType, HardState, Message, MessageType, Snapshot as RaftSnapshot,
+    ConfState, Entry as RaftEntry, EntryType, HardState as RaftHardState, Message, MessageType,
+    Snapshot as RaftSnapshot,
 };
 use raft::{Error, GetEntriesContext, RaftState, Storage, StorageError};
 use serde::{Deserialize, Serialize};
@@ -10,7 +11,7 @@
 /// What a voter must never forget: its term, its vote, and how far is agreed.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[allow(missing_docs)]
-pub struct Hard {
+pub struct HardState {
     pub term: u64,
     pub vote: u64,
     pub commit: u64,
@@ -18,48 +19,48 @@
 
 /// A change that is kept before anything is said that rests on it.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Change {
+pub struct LogChange {
     /// Replaces all that was kept before.
     pub snapshot: Option<Snapshot>,
     /// Replace entries of the same index, and all behind it.
     pub entries: Vec<Entry>,
     /// Replaces the one before.
-    pub hard: Option<Hard>,
+    pub hard_state: Option<HardState>,
 }
 
-impl Change {
+impl LogChange {
     /// Whether nothing is in it.
     pub fn is_empty(&self) -> bool {
-        *self == Change::default()
+        *self == LogChange::default()
     }
 }
 
 /// When a change outlasts a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Written {
+pub enum WriteStatus {
     /// On return.
-    Now,
-    /// Once [`crate::node::Node::written`] is told its number, or a greater one.
-    Later,
+    Durable,
+    /// Once [`crate::node::Node::persisted`] is told its number, or a greater one.
+    Pending,
 }
 
 /// Where a voter keeps what it must not forget. Changes are kept in the order in which they come.
-pub trait Disk {
+pub trait LogStore {
     /// Adds a change. Numbers only grow.
     ///
     /// # Errors
     /// It is not kept. The voter then says nothing more that would need it.
-    fn keep(&mut self, number: u64, change: &Change) -> Result<Written, String>;
+    fn append(&mut self, number: u64, change: &LogChange) -> Result<WriteStatus, String>;
 
     /// Replaces everything by this one change; on return it outlasts a crash, and a crash on the way leaves the
     /// old or the new.
     ///
     /// # Errors
     /// The old is still kept.
-    fn replace(&mut self, change: &Change) -> Result<(), String>;
+    fn replace(&mut self, change: &LogChange) -> Result<(), String>;
 
     /// The same in the disk's own time, where the old says no less than the new: whether it is done does not matter.
-    fn compact(&mut self, change: &Change) {
+    fn compact(&mut self, change: &LogChange) {
         let _ = self.replace(change);
     }
 }
@@ -68,7 +69,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Log {
     /// What was kept last.
-    pub hard: Hard,
+    pub hard_state: HardState,
     /// Everything up to its index is in it.
     pub snapshot: Snapshot,
     /// Those who vote at the log's end, as far as applied.
@@ -80,33 +81,37 @@
 
 impl Log {
     /// The log of a fleet that begins with these voters.
-    pub fn founded(voters: &[u64]) -> Log {
+    pub fn bootstrap(voters: &[u64]) -> Log {
         let snapshot = Snapshot { index: 1, term: 1, voters: voters.to_vec(), ..Snapshot::default() };
-        let hard = Hard { term: 1, vote: 0, commit: 1 };
-        Log { hard, voters: voters.to_vec(), snapshot, ..Log::default() }
+        let hard_state = HardState { term: 1, vote: 0, commit: 1 };
+        Log { hard_state, voters: voters.to_vec(), snapshot, ..Log::default() }
     }
 
     /// Takes a change in, as it was kept or is read back.
-    pub fn take(&mut self, change: &Change) {
+    pub fn apply(&mut self, change: &LogChange) {
         if let Some(snapshot) = &change.snapshot {
             self.snapshot = snapshot.clone();
             (self.voters, self.learners) = (snapshot.voters.clone(), snapshot.learners.clone());
             self.entries.clear();
-            self.hard.commit = self.hard.commit.max(snapshot.index);
+            self.hard_state.commit = self.hard_state.commit.max(snapshot.index);
         }
         if let Some(first) = change.entries.first() {
             let keep = first.index.saturating_sub(self.snapshot.index + 1) as usize;
             self.entries.truncate(keep);
             self.entries.extend(change.entries.iter().cloned());
         }
-        if let Some(hard) = change.hard {
-            self.hard = hard;
+        if let Some(hard_state) = change.hard_state {
+            self.hard_state = hard_state;
         }
     }
 
     /// Everything as one change, for a disk that is written anew.
-    pub fn whole(&self) -> Change {
-        Change { snapshot: Some(self.snapshot.clone()), entries: self.entries.clone(), hard: Some(self.hard) }
+    pub fn to_change(&self) -> LogChange {
+        LogChange {
+            snapshot: Some(self.snapshot.clone()),
+            entries: self.entries.clone(),
+            hard_state: Some(self.hard_state),
+        }
     }
 
     /// Forgets the entries up to an index, which a snapshot with this ledger stands for.
@@ -135,11 +140,11 @@
 
 impl Storage for Log {
     fn initial_state(&self) -> raft::Result<RaftState> {
-        let mut hard = HardState::default();
-        hard.term = self.hard.term;
-        hard.vote = self.hard.vote;
-        hard.commit = self.hard.commit;
-        Ok(RaftState::new(hard, conf(&self.snapshot.voters, &self.snapshot.learners)))
+        let mut hard_state = RaftHardState::default();
+        hard_state.term = self.hard_state.term;
+        hard_state.vote = self.hard_state.vote;
+        hard_state.commit = self.hard_state.commit;
+        Ok(RaftState::new(hard_state, conf_state(&self.snapshot.voters, &self.snapshot.learners)))
     }
 
     fn entries(
@@ -164,7 +169,7 @@
                 break;
             }
             room = room.saturating_sub(size);
-            out.push(entry_out(entry));
+            out.push(entry_to_engine(entry));
         }
         Ok(out)
     }
@@ -192,19 +197,19 @@
         if self.snapshot.index < request_index {
             return Err(Error::Store(StorageError::SnapshotTemporarilyUnavailable));
         }
-        Ok(snapshot_out(&self.snapshot))
+        Ok(snapshot_to_engine(&self.snapshot))
     }
 }
 
 /// Those who vote and those who learn, as the engine has it.
-pub fn conf(voters: &[u64], learners: &[u64]) -> ConfState {
+pub fn conf_state(voters: &[u64], learners: &[u64]) -> ConfState {
     let mut conf = ConfState::default();
     conf.set_voters(voters.to_vec());
     conf.set_learners(learners.to_vec());
     conf
 }
 
-fn entry_out(entry: &Entry) -> RaftEntry {
+fn entry_to_engine(entry: &Entry) -> RaftEntry {
     let mut out = RaftEntry::default();
     out.set_entry_type(match entry.kind {
         1 => EntryType::EntryConfChange,
@@ -217,7 +222,7 @@
 }
 
 /// An entry as it is kept and sent.
-pub fn entry_in(entry: &RaftEntry) -> Entry {
+pub fn entry_from_engine(entry: &RaftEntry) -> Entry {
     let kind = match entry.get_entry_type() {
         EntryType::EntryNormal => 0,
         EntryType::EntryConfChange => 1,
@@ -226,16 +231,16 @@
     Entry { kind, term: entry.term, index: entry.index, data: entry.data.to_vec() }
 }
 
-fn snapshot_out(snapshot: &Snapshot) -> RaftSnapshot {
+fn snapshot_to_engine(snapshot: &Snapshot) -> RaftSnapshot {
     let mut out = RaftSnapshot { data: snapshot.data.clone().into(), ..RaftSnapshot::default() };
     let meta = out.mut_metadata();
     (meta.index, meta.term) = (snapshot.index, snapshot.term);
-    meta.set_conf_state(conf(&snapshot.voters, &snapshot.learners));
+    meta.set_conf_state(conf_state(&snapshot.voters, &snapshot.learners));
     out
 }
 
 /// A snapshot as it is kept and sent.
-pub fn snapshot_in(snapshot: &RaftSnapshot) -> Snapshot {
+pub fn snapshot_from_engine(snapshot: &RaftSnapshot) -> Snapshot {
     let meta = snapshot.get_metadata();
     let state = meta.get_conf_state();
     Snapshot {
@@ -249,7 +254,7 @@
 
 /// Kinds of messages that pass between voters. What the engine sends to itself is none of them: whoever would
 /// forge one could start elections.
-const PASSING: [MessageType; 12] = [
+const MESSAGE_KINDS: [MessageType; 12] = [
     MessageType::MsgAppend,
     MessageType::MsgAppendResponse,
     MessageType::MsgRequestVote,
@@ -266,9 +271,9 @@
 
 /// A message as it is sent; nothing for one that stays inside.
 pub fn message_from_engine(message: &Message) -> Option<RaftMessage> {
-    let kind = PASSING.iter().position(|kind| *kind == message.get_msg_type())? as u8;
-    let snapshot =
-        (message.get_msg_type() == MessageType::MsgSnapshot).then(|| snapshot_in(message.get_snapshot()));
+    let kind = MESSAGE_KINDS.iter().position(|kind| *kind == message.get_msg_type())? as u8;
+    let snapshot = (message.get_msg_type() == MessageType::MsgSnapshot)
+        .then(|| snapshot_from_engine(message.get_snapshot()));
     Some(RaftMessage {
         kind,
         to: message.to,
@@ -276,7 +281,7 @@
         term: message.term,
         log_term: message.log_term,
         index: message.index,
-        entries: message.entries.iter().map(entry_in).collect(),
+        entries: message.entries.iter().map(entry_from_engine).collect(),
         commit: message.commit,
         commit_term: message.commit_term,
         snapshot,
@@ -290,15 +295,15 @@
 
 /// A message for the engine; nothing for a kind that never passes.
 pub fn message_to_engine(message: &RaftMessage) -> Option<Message> {
-    let kind = *PASSING.get(message.kind as usize)?;
+    let kind = *MESSAGE_KINDS.get(message.kind as usize)?;
     let mut out = Message::default();
     out.set_msg_type(kind);
     (out.to, out.from, out.term) = (message.to, message.from, message.term);
     (out.log_term, out.index) = (message.log_term, message.index);
-    out.set_entries(message.entries.iter().map(entry_out).collect::<Vec<_>>().into());
+    out.set_entries(message.entries.iter().map(entry_to_engine).collect::<Vec<_>>().into());
     (out.commit, out.commit_term) = (message.commit, message.commit_term);
     if let Some(snapshot) = &message.snapshot {
-        out.set_snapshot(snapshot_out(snapshot));
+        out.set_snapshot(snapshot_to_engine(snapshot));
     }
     (out.request_snapshot, out.reject, out.reject_hint) =
         (message.request_snapshot, message.reject, message.reject_hint);
--- a/fleet/src/members.rs
+++ b/fleet/src/members.rs
@@ -15,15 +15,15 @@
 use std::time::Duration;
 
 /// The longest message of the gossip, in bytes.
-const MOST_BYTES: usize = 1400;
+const MAX_MESSAGE_BYTES: usize = 1400;
 
 /// How a member is, as far as this one has heard.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum State {
+pub enum MemberState {
     /// Nothing was ever heard of it.
     Unheard,
     /// It answers.
-    Well,
+    Alive,
     /// It did not answer somebody, and may still.
     Suspect,
     /// It was declared dead, and told so if it can hear.
@@ -34,11 +34,11 @@
 
 /// A member as this one sees it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seen {
+pub struct MemberStatus {
     /// Its newest incarnation, where one is known.
     pub incarnation: Option<Incarnation>,
     /// How it is.
-    pub state: State,
+    pub state: MemberState,
     /// Since when, by this process's clock.
     pub since: Time,
     /// What made it so.
@@ -47,18 +47,18 @@
 
 /// What has changed.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Change {
+pub enum MembershipChange {
     /// Of another member, or of this one where that has begun a new incarnation.
-    Member(Member, Seen),
+    Member(Member, MemberStatus),
     /// This process was declared dead, and goes on as this incarnation.
-    Reborn(Incarnation),
+    NewIncarnation(Incarnation),
 }
 
 impl Identity for Incarnation {
     type Addr = Member;
 
     fn renew(&self) -> Option<Incarnation> {
-        Some(Incarnation { born: self.born + 1, ..*self })
+        Some(Incarnation { number: self.number + 1, ..*self })
     }
 
     fn addr(&self) -> Member {
@@ -66,7 +66,7 @@
     }
 
     fn win_addr_conflict(&self, other: &Incarnation) -> bool {
-        self.born > other.born
+        self.number > other.number
     }
 }
 
@@ -177,9 +177,9 @@
 pub struct Members {
     foca: Foca<Incarnation, Compact, StdRng, NoCustomBroadcast>,
     asked: Asked,
-    seen: BTreeMap<Member, Seen>,
+    seen: BTreeMap<Member, MemberStatus>,
     me: Incarnation,
-    changes: Vec<Change>,
+    changes: Vec<MembershipChange>,
     refused: u64,
     gone: bool,
     join_at: Time,
@@ -190,9 +190,9 @@
     /// This member among so many.
     pub fn new(me: Incarnation, count: u16, timing: &Timing, seed: u64) -> Members {
         let all = (0..count).map(Member).filter(|m| *m != me.member);
-        let unheard = Seen {
+        let unheard = MemberStatus {
             incarnation: None,
-            state: State::Unheard,
+            state: MemberState::Unheard,
             since: Time::ZERO,
             why: "nothing was heard of it",
         };
@@ -237,10 +237,10 @@
         if now >= self.join_at {
             let alone = self.foca.num_members() == 0;
             let missing: Vec<Member> =
-                self.seen.iter().filter(|(_, s)| alone || !is_here(s.state)).map(|(m, _)| *m).collect();
+                self.seen.iter().filter(|(_, s)| alone || !is_active(s.state)).map(|(m, _)| *m).collect();
             if !missing.is_empty() {
                 self.next = (self.next + 1) % missing.len();
-                let to = Incarnation { member: missing[self.next], born: 0 };
+                let to = Incarnation { member: missing[self.next], number: 0 };
                 let _ = self.foca.announce(to, &mut self.asked);
             }
             self.join_at = now + if alone { Duration::from_millis(200) } else { Duration::from_secs(2) };
@@ -249,15 +249,15 @@
     }
 
     /// Goes on as a later incarnation than any that others know of, unless the present one is that.
-    pub fn reborn(&mut self, now: Time, after: u64) {
-        if self.me.born > after {
+    pub fn begin_incarnation(&mut self, now: Time, after: u64) {
+        if self.me.number > after {
             return;
         }
         self.asked.now = now;
-        let incarnation = Incarnation { born: after + 1, ..self.me };
+        let incarnation = Incarnation { number: after + 1, ..self.me };
         if self.foca.change_identity(incarnation, &mut self.asked).is_ok() {
             self.me = incarnation;
-            self.changes.push(Change::Reborn(incarnation));
+            self.changes.push(MembershipChange::NewIncarnation(incarnation));
         }
         self.read();
     }
@@ -275,22 +275,25 @@
     pub fn left(&mut self, now: Time, incarnation: Incarnation) {
         let known = self.seen.get(&incarnation.member).and_then(|s| s.incarnation);
         if incarnation.member != self.me.member && known.is_none_or(|known| known <= incarnation) {
-            self.set(now, incarnation, State::Left, "it said that it goes");
+            self.set(now, incarnation, MemberState::Left, "it said that it goes");
         }
     }
 
-    fn set(&mut self, now: Time, incarnation: Incarnation, state: State, why: &'static str) {
+    fn set(&mut self, now: Time, incarnation: Incarnation, state: MemberState, why: &'static str) {
         let Some(seen) = self.seen.get_mut(&incarnation.member) else { return };
         if seen.incarnation.is_some_and(|known| known > incarnation)
             || (seen.incarnation == Some(incarnation) && seen.state == state)
         {
             return;
         }
-        if seen.incarnation == Some(incarnation) && seen.state == State::Left && state == State::Dead {
+        if seen.incarnation == Some(incarnation)
+            && seen.state == MemberState::Left
+            && state == MemberState::Dead
+        {
             return;
         }
-        *seen = Seen { incarnation: Some(incarnation), state, since: now, why };
-        self.changes.push(Change::Member(incarnation.member, seen.clone()));
+        *seen = MemberStatus { incarnation: Some(incarnation), state, since: now, why };
+        self.changes.push(MembershipChange::Member(incarnation.member, seen.clone()));
     }
 
     /// Turns what the gossip tells into what has changed.
@@ -300,7 +303,7 @@
         for news in std::mem::take(&mut self.asked.news) {
             match news {
                 OwnedNotification::MemberUp(incarnation) => {
-                    self.set(now, incarnation, State::Well, "it was heard of")
+                    self.set(now, incarnation, MemberState::Alive, "it was heard of")
                 }
                 OwnedNotification::MemberDown(incarnation) => {
                     let ours = own == Some(incarnation);
@@ -309,31 +312,36 @@
                     } else {
                         "others declared it"
                     };
-                    self.set(now, incarnation, State::Dead, why);
+                    self.set(now, incarnation, MemberState::Dead, why);
                 }
                 OwnedNotification::Rename(_, new) => {
-                    self.set(now, new, State::Well, "it began a new incarnation")
+                    self.set(now, new, MemberState::Alive, "it began a new incarnation")
                 }
                 OwnedNotification::ProbeFailed(_, incarnation) => own = Some(incarnation),
                 OwnedNotification::Rejoin(incarnation) => {
                     self.me = incarnation;
-                    self.changes.push(Change::Reborn(incarnation));
+                    self.changes.push(MembershipChange::NewIncarnation(incarnation));
                 }
                 _ => {}
             }
         }
         // Suspicion is told by no event: the list says it.
-        let told: Vec<(Incarnation, State)> = self
+        let told: Vec<(Incarnation, MemberState)> = self
             .foca
             .iter_members()
-            .map(|m| (*m.id(), if m.state() == foca::State::Suspect { State::Suspect } else { State::Well }))
+            .map(|m| {
+                (
+                    *m.id(),
+                    if m.state() == foca::State::Suspect { MemberState::Suspect } else { MemberState::Alive },
+                )
+            })
             .collect();
         for (incarnation, state) in told {
             let why = match state {
-                State::Suspect if own == Some(incarnation) => {
+                MemberState::Suspect if own == Some(incarnation) => {
                     "it did not answer this member, nor others for it"
                 }
-                State::Suspect => "others had no answer from it",
+                MemberState::Suspect => "others had no answer from it",
                 _ => "it answers",
             };
             self.set(now, incarnation, state, why);
@@ -341,32 +349,32 @@
     }
 
     /// Messages of the gossip, and to whom.
-    pub fn take_out(&mut self) -> Vec<(Member, Vec<u8>)> {
+    pub fn take_messages(&mut self) -> Vec<(Member, Vec<u8>)> {
         std::mem::take(&mut self.asked.out)
     }
 
     /// What has changed.
-    pub fn take_changes(&mut self) -> Vec<Change> {
+    pub fn take_changes(&mut self) -> Vec<MembershipChange> {
         std::mem::take(&mut self.changes)
     }
 
     /// All others, as this one sees them.
-    pub fn all(&self) -> impl Iterator<Item = (Member, &Seen)> {
+    pub fn all(&self) -> impl Iterator<Item = (Member, &MemberStatus)> {
         self.seen.iter().map(|(m, s)| (*m, s))
     }
 
     /// How a member is.
-    pub fn state(&self, member: Member) -> State {
+    pub fn state(&self, member: Member) -> MemberState {
         if member == self.me.member {
-            return if self.gone { State::Left } else { State::Well };
+            return if self.gone { MemberState::Left } else { MemberState::Alive };
         }
-        self.seen.get(&member).map_or(State::Unheard, |s| s.state)
+        self.seen.get(&member).map_or(MemberState::Unheard, |s| s.state)
     }
 
     /// Members that take part, this one too.
-    pub fn here(&self) -> Vec<Member> {
+    pub fn active(&self) -> Vec<Member> {
         let mut all: Vec<Member> =
-            self.seen.iter().filter(|(_, s)| is_here(s.state)).map(|(m, _)| *m).collect();
+            self.seen.iter().filter(|(_, s)| is_active(s.state)).map(|(m, _)| *m).collect();
         if !self.gone {
             all.push(self.me.member);
         }
@@ -380,8 +388,8 @@
     }
 }
 
-fn is_here(state: State) -> bool {
-    matches!(state, State::Well | State::Suspect)
+fn is_active(state: MemberState) -> bool {
+    matches!(state, MemberState::Alive | MemberState::Suspect)
 }
 
 fn config(count: u16, timing: &Timing) -> Config {
@@ -389,19 +397,19 @@
     // Each change is passed on about three times the logarithm of the members.
     let spread = 3 * (u16::BITS - count.leading_zeros()) + 4;
     Config {
-        probe_period: timing.probe,
-        probe_rtt: timing.probe * 2 / 5,
+        probe_period: timing.probe_interval,
+        probe_rtt: timing.probe_interval * 2 / 5,
         num_indirect_probes: some(3),
         max_transmissions: NonZeroU8::new(spread as u8).unwrap_or(NonZeroU8::MIN),
-        suspect_to_down_after: timing.suspicion,
+        suspect_to_down_after: timing.suspicion_timeout,
         remove_down_after: Some(Duration::from_secs(600)),
-        max_packet_size: some(MOST_BYTES),
+        max_packet_size: some(MAX_MESSAGE_BYTES),
         notify_down_members: true,
         periodic_announce: Some(PeriodicParams { frequency: Duration::from_secs(20), num_members: some(1) }),
         periodic_announce_to_down_members: Some(PeriodicParams {
             frequency: Duration::from_secs(2),
             num_members: some(1),
         }),
-        periodic_gossip: Some(PeriodicParams { frequency: timing.probe / 2, num_members: some(2) }),
+        periodic_gossip: Some(PeriodicParams { frequency: timing.probe_interval / 2, num_members: some(2) }),
     }
 }
--- a/fleet/src/node.rs
+++ b/fleet/src/node.rs
@@ -1,16 +1,16 @@
 //! A member of the fleet, whole: gossip, lease requests, and where it has one, its Raft replica. Frames and the time
-//! go in; frames and events come out. Whoever drives it must call [`Node::tick`] every [`Timing::tick`].
+//! go in; frames and events come out. Whoever drives it must call [`Node::tick`] every [`Timing::tick_interval`].
 
 use crate::consensus::{member_of, ConsensusEvent, RaftReplica, ReplicaId};
 use crate::fence::FencingTokens;
-use crate::frame::{Frame, HealthCheckRequest, LeaseResponse, RaftMessage, ReplicaAnnouncement, Share};
+use crate::frame::{Frame, HealthCheckRequest, LeaseResponse, OwnerReport, RaftMessage, ReplicaAnnouncement};
 use crate::leader::Leader;
 use crate::lease::Leases;
 use crate::lease_client::{LeaseClient, LeaseReply};
-use crate::log::{Disk, Log};
-use crate::members::{Change, Members, Seen, State};
+use crate::log::{Log, LogStore};
+use crate::members::{MemberState, MemberStatus, Members, MembershipChange};
 use crate::timing::Timing;
-use crate::{Incarnation, Member, Thing, Time, Token};
+use crate::{Incarnation, Member, Resource, Time, Token};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 
 /// Who a node is.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct NodeConfig {
     /// This process's incarnation.
     pub incarnation: Incarnation,
     /// How many members there are.
@@ -58,22 +58,22 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A member is seen otherwise than before.
-    Member(Member, Seen),
+    MemberChanged(Member, MemberStatus),
     /// This process was declared dead. What it held is lost, and others may have what it had begun; it goes on
     /// as this incarnation.
-    Reborn(Incarnation),
-    /// This process owns a thing from now on.
-    Won(Thing, Token),
+    NewIncarnation(Incarnation),
+    /// This process owns a resource from now on.
+    Acquired(Resource, Token),
     /// It does no longer.
-    Lost(Thing, &'static str),
+    Lost(Resource, &'static str),
     /// It did not run for so long; all its leases are dropped.
     Stalled(Duration),
     /// Who leads the voters, as far as this process is told.
-    Leader(Option<Member>),
+    LeaderChanged(Option<Member>),
     /// An owner shares what it found, under a fence that holds.
-    Shared(Member, Share),
+    OwnerReport(Member, OwnerReport),
     /// Somebody asks this process, as an owner, for a health check.
-    Asked(Member, HealthCheckRequest),
+    HealthCheckRequested(Member, HealthCheckRequest),
     /// The replica of this member takes part from now on: the group is founded, or it has joined.
     ReplicaStarted,
     /// This process has no vote until it is started again.
@@ -82,7 +82,7 @@
 
 /// A member of the fleet.
 pub struct Node<D> {
-    setup: Setup,
+    config: NodeConfig,
     pub(crate) members: Members,
     pub(crate) leases: Leases,
     pub(crate) lease_client: LeaseClient,
@@ -92,19 +92,19 @@
     announcements: BTreeMap<Member, ReplicaAnnouncement>,
     announce_at: Time,
     fencing_tokens: FencingTokens,
-    stale: u64,
+    stale_reports: u64,
     leader: Option<Member>,
     out: Vec<(Member, Frame)>,
     events: Vec<Event>,
     now: Time,
 }
 
-impl<D: Disk> Node<D> {
-    /// A member that begins. `kept` is its replica, where it has a disk for one.
-    pub fn new(setup: Setup, kept: Option<RecoveredReplica<D>>) -> Node<D> {
-        let Setup { incarnation, members, timing, seed, .. } = &setup;
+impl<D: LogStore> Node<D> {
+    /// A member that begins. `recovered` is its replica, where it has a disk for one.
+    pub fn new(config: NodeConfig, recovered: Option<RecoveredReplica<D>>) -> Node<D> {
+        let NodeConfig { incarnation, members, timing, seed, .. } = &config;
         let mut events = Vec::new();
-        let participation = match kept {
+        let participation = match recovered {
             None => Participation::NonVoter,
             Some(RecoveredReplica { replica_id, log: None, disk }) => {
                 Participation::Uninitialized(replica_id, disk)
@@ -122,18 +122,18 @@
         Node {
             members: Members::new(*incarnation, *members, timing, *seed),
             leases: Leases::default(),
-            lease_client: LeaseClient::new(setup.voters.clone(), *seed as usize % 64),
+            lease_client: LeaseClient::new(config.voters.clone(), *seed as usize % 64),
             participation,
             leading: None,
             announcements: BTreeMap::new(),
             announce_at: Time::ZERO,
             fencing_tokens: FencingTokens::default(),
-            stale: 0,
+            stale_reports: 0,
             leader: None,
             out: Vec::new(),
             events,
             now: Time::ZERO,
-            setup,
+            config,
         }
     }
 
@@ -149,7 +149,13 @@
         if let (Some(leading), Participation::Active(replica)) = (&mut self.leading, &mut self.participation)
         {
             let uninitialized = self.announcements.iter().map(|(m, r)| (*m, r.replica_id)).collect();
-            leading.tick(now, (self.setup.floor, &uninitialized), replica, &self.members, &self.setup.timing);
+            leading.tick(
+                now,
+                (self.config.floor, &uninitialized),
+                replica,
+                &self.members,
+                &self.config.timing,
+            );
         }
         self.settle(now);
         self.request_leases(now);
@@ -171,28 +177,28 @@
             Frame::Announcement(_) => {}
             Frame::LeaseRequest(ask) => self.asked(now, from, ask),
             Frame::LeaseResponse(answer) => self.answered(now, from, answer),
-            Frame::HealthCheckRequest(look) => self.events.push(Event::Asked(from, look)),
-            Frame::Share(share) => match self.fencing_tokens.admits(&share.thing, share.token) {
-                true => self.events.push(Event::Shared(from, share)),
-                false => self.stale += 1,
+            Frame::HealthCheckRequest(look) => self.events.push(Event::HealthCheckRequested(from, look)),
+            Frame::OwnerReport(report) => match self.fencing_tokens.admits(&report.resource, report.token) {
+                true => self.events.push(Event::OwnerReport(from, report)),
+                false => self.stale_reports += 1,
             },
         }
         self.changes();
     }
 
     /// Another member knows of a later incarnation of this one: it goes on as one that is later still.
-    pub fn known(&mut self, now: Time, born: u64) {
-        if born > self.members.me().born {
-            self.members.reborn(now, born);
+    pub fn handle_known_incarnation(&mut self, now: Time, number: u64) {
+        if number > self.members.me().number {
+            self.members.begin_incarnation(now, number);
             self.changes();
         }
     }
 
     /// The disk has kept all changes up to this number, or failed to.
-    pub fn written(&mut self, now: Time, number: u64, result: Result<(), String>) {
+    pub fn persisted(&mut self, now: Time, number: u64, result: Result<(), String>) {
         self.drop_expired_leases(now);
         if let Participation::Active(replica) = &mut self.participation {
-            replica.written(number, result);
+            replica.handle_persisted(number, result);
             self.settle(now);
         }
         self.changes();
@@ -202,12 +208,12 @@
     fn drop_expired_leases(&mut self, now: Time) {
         let gap = now.saturating_sub(self.now);
         self.now = self.now.max(now);
-        let (lost, stopped) = self.leases.check_clock(now, &self.setup.timing);
+        let (lost, stopped) = self.leases.check_clock(now, &self.config.timing);
         if stopped && gap < now {
             self.events.push(Event::Stalled(gap));
         }
         let why = if stopped { "this process was stopped" } else { "it was not renewed in time" };
-        self.events.extend(lost.into_iter().map(|thing| Event::Lost(thing, why)));
+        self.events.extend(lost.into_iter().map(|resource| Event::Lost(resource, why)));
     }
 
     fn step(&mut self, now: Time, message: &RaftMessage) {
@@ -236,14 +242,14 @@
             }
             _ => return,
         };
-        let mut to = self.setup.voters.clone();
+        let mut to = self.config.voters.clone();
         to.extend(configured.iter().filter_map(|s| member_of(*s)));
         to.extend(self.lease_client.voters());
         to.extend(self.announcements.keys());
         to.sort_unstable();
         to.dedup();
         let announcement = ReplicaAnnouncement { replica_id, configured };
-        let others = to.into_iter().filter(|m| *m != self.setup.incarnation.member);
+        let others = to.into_iter().filter(|m| *m != self.config.incarnation.member);
         self.out.extend(others.map(|m| (m, Frame::Announcement(announcement.clone()))));
         self.start_replica();
     }
@@ -268,29 +274,31 @@
     fn start_replica(&mut self) {
         let Participation::Uninitialized(replica_id, _) = &self.participation else { return };
         let replica_id = *replica_id;
-        let me = self.setup.incarnation.member;
+        let me = self.config.incarnation.member;
         let log = if self.announcements.values().any(|a| a.configured.contains(&replica_id)) {
             // It is told everything by the others.
             Log::default()
         } else {
-            let others = self.setup.voters.iter().filter(|m| **m != me);
+            let others = self.config.voters.iter().filter(|m| **m != me);
             let uninitialized = |m: &Member| {
                 self.announcements.get(m).filter(|a| a.configured.is_empty()).map(|a| a.replica_id)
             };
             let configured: Option<Vec<ReplicaId>> = others.map(uninitialized).collect();
-            let Some(mut configured) = configured.filter(|_| self.setup.voters.contains(&me)) else { return };
+            let Some(mut configured) = configured.filter(|_| self.config.voters.contains(&me)) else {
+                return;
+            };
             configured.push(replica_id);
             configured.sort_unstable();
-            Log::founded(&configured)
+            Log::bootstrap(&configured)
         };
         let Participation::Uninitialized(replica_id, mut disk) =
             std::mem::replace(&mut self.participation, Participation::NonVoter)
         else {
             return;
         };
-        let kept = disk.replace(&log.whole());
+        let kept = disk.replace(&log.to_change());
         let replica = kept.and_then(|()| {
-            RaftReplica::new(replica_id, log, disk, &self.setup.timing, self.setup.seed.rotate_left(17))
+            RaftReplica::new(replica_id, log, disk, &self.config.timing, self.config.seed.rotate_left(17))
         });
         match replica {
             Ok(replica) => {
@@ -307,7 +315,7 @@
 
     /// Takes on what the agreement has come to, until it comes to nothing more.
     fn settle(&mut self, now: Time) {
-        let timing = self.setup.timing;
+        let timing = self.config.timing;
         let Participation::Active(replica) = &mut self.participation else { return };
         let mut answers = Vec::new();
         loop {
@@ -342,7 +350,7 @@
             }
         }
         let messages = replica.take_messages();
-        let me = self.setup.incarnation.member;
+        let me = self.config.incarnation.member;
         for message in messages {
             // None: an earlier replica of this member, which is gone with its disk.
             if let Some(to) = member_of(message.to).filter(|m| *m != me) {
@@ -355,7 +363,7 @@
     }
 
     fn reply(&mut self, now: Time, to: Member, answer: LeaseResponse) {
-        match to == self.setup.incarnation.member {
+        match to == self.config.incarnation.member {
             true => self.answered(now, to, answer),
             false => self.out.push((to, Frame::LeaseResponse(answer))),
         }
@@ -367,7 +375,7 @@
             |leader| Some(LeaseResponse { number, outcome: crate::frame::LeaseOutcome::NotLeader(leader) });
         let answer = match (&mut self.leading, &mut self.participation) {
             (Some(leading), Participation::Active(replica)) => {
-                leading.ask(now, from, ask, replica, &self.setup.timing)
+                leading.ask(now, from, ask, replica, &self.config.timing)
             }
             (None, Participation::Active(replica)) => elsewhere(replica.leader().and_then(member_of)),
             _ => elsewhere(None),
@@ -379,13 +387,13 @@
     }
 
     fn request_leases(&mut self, now: Time) {
-        let here = self.members.here();
+        let here = self.members.active();
         let me = self.members.me();
-        let asked = self.lease_client.next_request(now, me, &here, &self.leases, &self.setup.timing);
+        let asked = self.lease_client.next_request(now, me, &here, &self.leases, &self.config.timing);
         let Some((to, ask)) = asked else { return };
         self.leases.ask(ask.number, now);
-        for (thing, _) in &ask.release {
-            self.leases.drop_thing(thing);
+        for (resource, _) in &ask.release {
+            self.leases.remove(resource);
         }
         match to == me.member {
             true => self.asked(now, to, ask),
@@ -394,110 +402,112 @@
     }
 
     fn answered(&mut self, now: Time, from: Member, answer: LeaseResponse) {
-        let timing = self.setup.timing;
+        let timing = self.config.timing;
         match self.lease_client.receive(now, from, answer.number, answer.outcome, &timing) {
             LeaseReply::Nothing => {}
-            LeaseReply::Held(number, things) => {
-                let held: Vec<Thing> = self.leases.all().map(|(thing, ..)| thing.clone()).collect();
+            LeaseReply::Held(number, resources) => {
+                let held: Vec<Resource> = self.leases.all().map(|(resource, ..)| resource.clone()).collect();
                 let gone = held.into_iter().filter(|h| self.lease_client.holder(h).is_some());
-                for thing in gone.collect::<Vec<_>>() {
-                    self.leases.drop_thing(&thing);
-                    self.events.push(Event::Lost(thing, "another owns it"));
+                for resource in gone.collect::<Vec<_>>() {
+                    self.leases.remove(&resource);
+                    self.events.push(Event::Lost(resource, "another owns it"));
                 }
-                let new = self.leases.granted(number, &things, &timing);
-                self.events.extend(new.into_iter().map(|(thing, token)| Event::Won(thing, token)));
+                let new = self.leases.granted(number, &resources, &timing);
+                self.events.extend(new.into_iter().map(|(resource, token)| Event::Acquired(resource, token)));
             }
-            LeaseReply::DeclaredDead(born) => self.members.reborn(now, born),
+            LeaseReply::DeclaredDead(number) => self.members.begin_incarnation(now, number),
         }
         let leader = self.lease_client.leader();
         if leader.is_some() && std::mem::replace(&mut self.leader, leader) != leader {
-            self.events.push(Event::Leader(leader));
+            self.events.push(Event::LeaderChanged(leader));
         }
     }
 
     /// Passes on what the gossip has come to.
     fn changes(&mut self) {
-        self.out.extend(self.members.take_out().into_iter().map(|(to, bytes)| (to, Frame::Swim(bytes))));
+        self.out.extend(self.members.take_messages().into_iter().map(|(to, bytes)| (to, Frame::Swim(bytes))));
         for change in self.members.take_changes() {
             match change {
-                Change::Member(member, seen) => self.events.push(Event::Member(member, seen)),
-                Change::Reborn(incarnation) => {
+                MembershipChange::Member(member, seen) => {
+                    self.events.push(Event::MemberChanged(member, seen))
+                }
+                MembershipChange::NewIncarnation(incarnation) => {
                     let lost = self.leases.drop_all();
                     let why = "this process was declared dead";
-                    self.events.extend(lost.into_iter().map(|thing| Event::Lost(thing, why)));
+                    self.events.extend(lost.into_iter().map(|resource| Event::Lost(resource, why)));
                     self.lease_client.reborn();
-                    self.events.push(Event::Reborn(incarnation));
+                    self.events.push(Event::NewIncarnation(incarnation));
                 }
             }
         }
     }
 
-    /// Would own a thing from now on, or no longer: what is held of it is given back.
-    pub fn wish(&mut self, thing: &Thing, wished: bool) {
-        self.lease_client.wish(thing.clone(), wished);
-        if !wished {
-            self.release(thing);
+    /// Would own a resource from now on, or no longer: what is held of it is given back.
+    pub fn set_wanted(&mut self, resource: &Resource, wanted: bool) {
+        self.lease_client.set_wanted(resource.clone(), wanted);
+        if !wanted {
+            self.release(resource);
         }
     }
 
-    /// Gives a thing back. It must not be acted for any more when this is called.
-    pub fn release(&mut self, thing: &Thing) {
-        if let Some(token) = self.leases.drop_thing(thing) {
-            self.lease_client.release(thing.clone(), token);
-            self.events.push(Event::Lost(thing.clone(), "it was given back"));
+    /// Gives a resource back. It must not be acted for any more when this is called.
+    pub fn release(&mut self, resource: &Resource) {
+        if let Some(token) = self.leases.remove(resource) {
+            self.lease_client.release(resource.clone(), token);
+            self.events.push(Event::Lost(resource.clone(), "it was given back"));
         }
     }
 
     /// Would recover orphaned work, or no longer.
-    pub fn recovers(&mut self, recovers: bool) {
-        self.lease_client.recovers(recovers);
+    pub fn set_recovers(&mut self, recovers: bool) {
+        self.lease_client.set_recovers(recovers);
     }
 
     /// Is done with orphaned work that it took over.
-    pub fn settled(&mut self, incarnation: Incarnation) {
-        let thing = Thing::orphaned_work(incarnation);
-        if let Some(token) = self.leases.drop_thing(&thing) {
+    pub fn complete_recovery(&mut self, incarnation: Incarnation) {
+        let resource = Resource::orphaned_work(incarnation);
+        if let Some(token) = self.leases.remove(&resource) {
             self.lease_client.settle(incarnation, token);
-            self.events.push(Event::Lost(thing, "it is settled"));
+            self.events.push(Event::Lost(resource, "it is settled"));
         }
     }
 
-    /// Under which token an operation for a thing may begin at this very moment; nothing if it may not. To be asked
+    /// Under which token an operation for a resource may begin at this very moment; nothing if it may not. To be asked
     /// right before the operation, with the clock as it is then.
-    pub fn permit(&self, thing: &Thing, now: Time) -> Option<Token> {
-        self.leases.permit(thing, now, &self.setup.timing)
+    pub fn permit(&self, resource: &Resource, now: Time) -> Option<Token> {
+        self.leases.permit(resource, now, &self.config.timing)
     }
 
-    /// Who owns a thing, as far as the leader last told this process, if it does not itself.
-    pub fn holder(&self, thing: &Thing) -> Option<(Incarnation, Token)> {
-        self.lease_client.holder(thing)
+    /// Who owns a resource, as far as the leader last told this process, if it does not itself.
+    pub fn holder(&self, resource: &Resource) -> Option<(Incarnation, Token)> {
+        self.lease_client.holder(resource)
     }
 
     /// Since when no leader has answered; nothing while one does.
-    pub fn unanswered(&self) -> Option<Time> {
-        self.lease_client.unanswered()
+    pub fn unanswered_since(&self) -> Option<Time> {
+        self.lease_client.unanswered_since()
     }
 
     /// Shares what an owner found with all who are here; false where it may not act.
-    pub fn share(&mut self, now: Time, thing: &Thing, words: Vec<u8>) -> bool {
-        let Some(token) = self.permit(thing, now) else { return false };
-        let share = Share { thing: thing.clone(), token, words };
+    pub fn broadcast_report(&mut self, now: Time, resource: &Resource, payload: Vec<u8>) -> bool {
+        let Some(token) = self.permit(resource, now) else { return false };
+        let report = OwnerReport { resource: resource.clone(), token, payload };
         let me = self.members.me().member;
-        let others = self.members.here().into_iter().filter(|m| *m != me);
-        self.out.extend(others.map(|m| (m, Frame::Share(share.clone()))));
+        let others = self.members.active().into_iter().filter(|m| *m != me);
+        self.out.extend(others.map(|m| (m, Frame::OwnerReport(report.clone()))));
         true
     }
 
-    /// Asks the owner of a thing for a health check; false where none is known.
-    pub fn request_health_check(&mut self, thing: &Thing, words: Vec<u8>) -> bool {
+    /// Asks the owner of a resource for a health check; false where none is known.
+    pub fn request_health_check(&mut self, resource: &Resource, payload: Vec<u8>) -> bool {
         let Some((owner, _)) =
-            self.lease_client.holder(thing).filter(|_| self.lease_client.unanswered().is_none())
+            self.lease_client.holder(resource).filter(|_| self.lease_client.unanswered_since().is_none())
         else {
             return false;
         };
         self.out.push((
             owner.member,
-            Frame::HealthCheckRequest(HealthCheckRequest { thing: thing.clone(), words }),
+            Frame::HealthCheckRequest(HealthCheckRequest { resource: resource.clone(), payload }),
         ));
         true
     }
@@ -506,7 +516,7 @@
     ///
     /// # Errors
     /// This process does not lead, or the order makes no sense.
-    pub fn replace(&mut self, old: Member, new: Member) -> Result<(), String> {
+    pub fn replace_voter(&mut self, old: Member, new: Member) -> Result<(), String> {
         let (Some(leading), Participation::Active(replica)) = (&mut self.leading, &self.participation) else {
             return Err("this process does not lead the voters".into());
         };
@@ -523,18 +533,18 @@
 
     /// Ends this incarnation by its own will: gives everything back and says so.
     pub fn leave(&mut self, now: Time) {
-        let held: Vec<Thing> = self.leases.all().map(|(thing, ..)| thing.clone()).collect();
-        held.iter().for_each(|thing| self.release(thing));
+        let held: Vec<Resource> = self.leases.all().map(|(resource, ..)| resource.clone()).collect();
+        held.iter().for_each(|resource| self.release(resource));
         self.request_leases(now);
         let me = self.members.me();
-        let others = self.members.here().into_iter().filter(|m| *m != me.member);
+        let others = self.members.active().into_iter().filter(|m| *m != me.member);
         self.out.extend(others.map(|m| (m, Frame::Leave(me))));
         self.members.leave(now);
         self.changes();
     }
 
     /// Frames that go out.
-    pub fn take_out(&mut self) -> Vec<(Member, Frame)> {
+    pub fn take_frames(&mut self) -> Vec<(Member, Frame)> {
         std::mem::take(&mut self.out)
     }
 
@@ -549,12 +559,12 @@
     }
 
     /// Shares that were refused, since their tokens were old.
-    pub fn stale(&self) -> u64 {
-        self.stale
+    pub fn stale_reports(&self) -> u64 {
+        self.stale_reports
     }
 
     /// Whether a member takes part, as far as this one has heard.
-    pub fn is_here(&self, member: Member) -> bool {
-        matches!(self.members.state(member), State::Well | State::Suspect)
+    pub fn is_active(&self, member: Member) -> bool {
+        matches!(self.members.state(member), MemberState::Alive | MemberState::Suspect)
     }
 }
--- a/fleet/src/status.rs
+++ b/fleet/src/status.rs
@@ -1,9 +1,9 @@
 //! How a node is, for those who look at it.
 
 use crate::consensus::member_of;
-use crate::log::Disk;
+use crate::log::LogStore;
 use crate::node::{Node, Participation};
-use crate::{Incarnation, Member, Thing, Time, Token};
+use crate::{Incarnation, Member, Resource, Time, Token};
 
 /// How a node is, for those who look at it.
 #[derive(Clone, Debug, PartialEq)]
@@ -11,15 +11,15 @@
     /// This process's incarnation.
     pub incarnation: Incarnation,
     /// Whether it asked a leader and was answered; nothing: it is answered, else since when not.
-    pub unanswered: Option<Time>,
+    pub unanswered_since: Option<Time>,
     /// Who leads.
     pub leader: Option<Member>,
     /// Who votes.
     pub voters: Vec<Member>,
     /// What this process holds: token, until when.
-    pub held: Vec<(Thing, Token, Time)>,
+    pub held: Vec<(Resource, Token, Time)>,
     /// What is known of others' ownership.
-    pub owners: Vec<(Thing, Incarnation, Token)>,
+    pub owners: Vec<(Resource, Incarnation, Token)>,
     /// Incarnations whose orphaned work waits.
     pub orphaned_work: Vec<Incarnation>,
     /// What its replica does: none, waiting, learning, voting, leading, or why it is lost.
@@ -32,7 +32,7 @@
     pub applied: u64,
 }
 
-impl<D: Disk> Node<D> {
+impl<D: LogStore> Node<D> {
     /// How it is.
     pub fn status(&self) -> Status {
         let replica = match &self.participation {
@@ -53,12 +53,16 @@
         let lags = replica.map_or(Vec::new(), |replica| replica.lags());
         Status {
             incarnation: self.members.me(),
-            unanswered: self.lease_client.unanswered(),
+            unanswered_since: self.lease_client.unanswered_since(),
             leader: self.lease_client.leader(),
             voters: self.lease_client.voters().to_vec(),
-            held: self.leases.all().map(|(thing, token, until)| (thing.clone(), token, until)).collect(),
+            held: self
+                .leases
+                .all()
+                .map(|(resource, token, until)| (resource.clone(), token, until))
+                .collect(),
             owners: replica.map_or(Vec::new(), |replica| {
-                replica.ledger().grants().map(|(thing, g)| (thing.clone(), g.holder, g.token)).collect()
+                replica.ledger().grants().map(|(resource, g)| (resource.clone(), g.holder, g.token)).collect()
             }),
             orphaned_work: replica.map_or(Vec::new(), |replica| replica.ledger().orphaned_work().to_vec()),
             vote,
--- a/fleet/tests/model.rs
+++ b/fleet/tests/model.rs
@@ -7,7 +7,7 @@
 use lineroute_fleet::lease_granter::LeaseGranter;
 use lineroute_fleet::ledger::{Command, Effect, Ledger};
 use lineroute_fleet::timing::Timing;
-use lineroute_fleet::{Incarnation, Member, Thing, Time, Token};
+use lineroute_fleet::{Incarnation, Member, Resource, Time, Token};
 use stateright::{Checker, Model, Property};
 use std::time::Duration;
 
@@ -15,16 +15,16 @@
 const STEPS: u8 = 4;
 const REQUESTS: u64 = 2;
 
-fn thing() -> Thing {
-    Thing::new("probe/a").expect("a name")
+fn resource() -> Resource {
+    Resource::new("probe/a").expect("a name")
 }
 
 fn timing() -> Timing {
-    Timing { lease: Duration::from_millis(1000), ..Timing::default() }
+    Timing { lease_duration: Duration::from_millis(1000), ..Timing::default() }
 }
 
 fn incarnation(owner: usize) -> Incarnation {
-    Incarnation { member: Member(owner as u16), born: 1 }
+    Incarnation { member: Member(owner as u16), number: 1 }
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq)]
@@ -139,12 +139,12 @@
             }
             Step::Serve(i) => {
                 let number = state.owners[i].asked.take()?;
-                let held = state.ledger.grant(&thing());
+                let held = state.ledger.grant(&resource());
                 let token = match held {
                     Some(grant) if grant.holder == incarnation(i) => Some(grant.token),
-                    _ if state.granter.is_free(&thing(), &state.ledger, true_time, &timing) => {
+                    _ if state.granter.is_free(&resource(), &state.ledger, true_time, &timing) => {
                         let expect = held.map_or(0, |g| g.token);
-                        let command = Command::Grant { thing: thing(), holder: incarnation(i), expect };
+                        let command = Command::Grant { resource: resource(), holder: incarnation(i), expect };
                         match state.ledger.apply(command) {
                             Effect::Granted(_, grant) => Some(grant.token),
                             _ => None,
@@ -153,24 +153,24 @@
                     _ => None,
                 };
                 if let Some(token) = token {
-                    state.granter.renewed(&thing(), true_time, &timing);
+                    state.granter.renewed(&resource(), true_time, &timing);
                     state.owners[i].answered = Some((number, token));
                 }
             }
             Step::Hear(i) => {
                 let (number, token) = state.owners[i].answered.take()?;
-                state.owners[i].leases.granted(number, &[(thing(), token)], &timing);
+                state.owners[i].leases.granted(number, &[(resource(), token)], &timing);
             }
             Step::Lose(i) => (state.owners[i].asked, state.owners[i].answered) = (None, None),
             Step::Look(i) => {
                 let now = self.clock(i, state.steps);
-                let token = state.owners[i].leases.permit(&thing(), now, &timing)?;
-                state.let_act |= state.ledger.grant(&thing()).is_none_or(|g| g.token != token);
+                let token = state.owners[i].leases.permit(&resource(), now, &timing)?;
+                state.let_act |= state.ledger.grant(&resource()).is_none_or(|g| g.token != token);
                 state.owners[i].looked = Some(token);
             }
             Step::Write(i) => {
                 let token = state.owners[i].looked.take()?;
-                let passes = state.fencing_tokens.admits(&thing(), token);
+                let passes = state.fencing_tokens.admits(&resource(), token);
                 state.passed_late |= passes && token < state.highest;
                 state.refused |= !passes;
                 state.highest = state.highest.max(token);
@@ -184,7 +184,7 @@
             Property::always("one owner by true time", |fleet: &Fleet, s: &State| {
                 let may = |i: usize| {
                     let now = fleet.clock(i, s.steps);
-                    s.owners[i].leases.permit(&thing(), now, &timing()).is_some()
+                    s.owners[i].leases.permit(&resource(), now, &timing()).is_some()
                 };
                 !(may(0) && may(1))
             }),
--- a/fleet/tests/strange.rs
+++ b/fleet/tests/strange.rs
@@ -5,7 +5,7 @@
 use common::{replica_of, voter};
 use lineroute_fleet::frame::{Frame, RaftMessage};
 use lineroute_fleet::node::Event;
-use lineroute_fleet::{Member, Thing};
+use lineroute_fleet::{Member, Resource};
 use std::time::Duration;
 
 /// Found by the fuzz target `frames`: the engine panics at a heartbeat that claims more than there is.
@@ -35,8 +35,8 @@
     assert!(node.take_events().iter().any(|e| matches!(e, Event::ReplicaFailed(_))));
     assert!(node.status().vote.starts_with("lost"), "{}", node.status().vote);
     // It goes on as a member: it gossips and asks, and grants nothing.
-    node.wish(&Thing::new("probe/a").expect("a name"), true);
-    node.take_out();
+    node.set_wanted(&Resource::new("probe/a").expect("a name"), true);
+    node.take_frames();
     (2..60).for_each(|tick| node.tick(Duration::from_millis(tick * 50)));
-    assert!(!node.take_out().is_empty());
+    assert!(!node.take_frames().is_empty());
 }
--- a/fleet/tests/wire_format.rs
+++ b/fleet/tests/wire_format.rs
@@ -2,21 +2,21 @@
 //! so these bytes never change; they were written by the build of commit 42234eb.
 
 use lineroute_fleet::frame::{
-    Entry, Frame, HealthCheckRequest, LeaseOutcome, LeaseRequest, LeaseResponse, Proposal, RaftMessage,
-    ReplicaAnnouncement, Share, Snapshot,
+    Entry, Frame, HealthCheckRequest, LeaseOutcome, LeaseRequest, LeaseResponse, OwnerReport, Proposal,
+    RaftMessage, ReplicaAnnouncement, Snapshot,
 };
 use lineroute_fleet::ledger::{Command, Ledger};
-use lineroute_fleet::log::{Change, Hard};
-use lineroute_fleet::{Incarnation, Member, Thing};
+use lineroute_fleet::log::{HardState, LogChange};
+use lineroute_fleet::{Incarnation, Member, Resource};
 
-const INCARNATION: Incarnation = Incarnation { member: Member(3), born: 300 };
+const INCARNATION: Incarnation = Incarnation { member: Member(3), number: 300 };
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-fn probe() -> Thing {
-    Thing::new("probe/a").expect("a name")
+fn probe() -> Resource {
+    Resource::new("probe/a").expect("a name")
 }
 
 fn entry() -> Entry {
@@ -60,8 +60,8 @@
     let request = LeaseRequest {
         incarnation: INCARNATION,
         number: 1,
-        renew: vec![(Thing::incarnation(INCARNATION), 2)],
-        want: vec![Thing::orphaned_work(INCARNATION)],
+        renew: vec![(Resource::incarnation(INCARNATION), 2)],
+        want: vec![Resource::orphaned_work(INCARNATION)],
         watch: vec![probe()],
         release: vec![(probe(), 3)],
         settle: vec![(INCARNATION, 4)],
@@ -74,7 +74,7 @@
     assert_frame(response(LeaseOutcome::NotLeader(Some(Member(2)))), "0407000102");
     assert_frame(response(LeaseOutcome::DeclaredDead(9)), "04070109");
     let held = LeaseOutcome::Held {
-        things: vec![(probe(), 1)],
+        resources: vec![(probe(), 1)],
         others: vec![(probe(), INCARNATION, 2)],
         orphaned_work: vec![INCARNATION],
         voters: vec![Member(1)],
@@ -87,10 +87,10 @@
     assert_frame(Frame::Swim(vec![1, 2]), "00020102");
     assert_frame(Frame::Leave(INCARNATION), "0503ac02");
     assert_frame(
-        Frame::Share(Share { thing: probe(), token: 5, words: vec![6] }),
+        Frame::OwnerReport(OwnerReport { resource: probe(), token: 5, payload: vec![6] }),
         "060770726f62652f61050106",
     );
-    let request = HealthCheckRequest { thing: probe(), words: vec![7] };
+    let request = HealthCheckRequest { resource: probe(), payload: vec![7] };
     assert_frame(Frame::HealthCheckRequest(request), "070770726f62652f610107");
 }
 
@@ -98,8 +98,8 @@
 fn log_entries_and_the_ledger_keep_their_bytes() {
     let commands = [
         (Command::Begin { floor: 100 }, "0064"),
-        (Command::Grant { thing: probe(), holder: INCARNATION, expect: 0 }, "010770726f62652f6103ac0200"),
-        (Command::Release { thing: probe(), token: 5 }, "020770726f62652f6105"),
+        (Command::Grant { resource: probe(), holder: INCARNATION, expect: 0 }, "010770726f62652f6103ac0200"),
+        (Command::Release { resource: probe(), token: 5 }, "020770726f62652f6105"),
         (Command::DeclareDead { incarnation: INCARNATION }, "0303ac02"),
         (Command::Settle { incarnation: INCARNATION, token: 6 }, "0403ac0206"),
     ];
@@ -113,8 +113,8 @@
 
 #[test]
 fn durable_changes_keep_their_bytes() {
-    let hard = Some(Hard { term: 1, vote: 2, commit: 3 });
-    let change = Change { snapshot: Some(snapshot()), entries: vec![entry()], hard };
+    let hard_state = Some(HardState { term: 1, vote: 2, commit: 3 });
+    let change = LogChange { snapshot: Some(snapshot()), entries: vec![entry()], hard_state };
     let bytes = postcard::to_stdvec(&change).expect("it can be written");
     assert_eq!(hex(&bytes), "0101020103010401050101020302040501010203");
 }
--- a/fuzz/fuzz_targets/frames.rs
+++ b/fuzz/fuzz_targets/frames.rs
@@ -34,6 +34,6 @@
             node.receive(now, Member(from), frame);
         }
         node.tick(now);
-        let (_, _) = (node.take_out(), node.take_events());
+        let (_, _) = (node.take_frames(), node.take_events());
     }
 });
--- a/lab/src/scale/membership.rs
+++ b/lab/src/scale/membership.rs
@@ -5,7 +5,7 @@
 use super::target;
 use super::usage::ThreadTimer;
 use crate::sim::idle;
-use lineroute_fleet::members::{Members, State};
+use lineroute_fleet::members::{MemberState, Members};
 use lineroute_fleet::timing::Timing;
 use lineroute_fleet::{Incarnation, Member};
 use std::cmp::Reverse;
@@ -141,7 +141,7 @@
     fn new(count: u16, loss_percent: u32, seed: u64) -> Self {
         let timing = Timing::default();
         let mut dice = fastrand::Rng::with_seed(seed);
-        let incarnation = |member| Incarnation { member: Member(member), born: 1 };
+        let incarnation = |member| Incarnation { member: Member(member), number: 1 };
         let members =
             (0..count).map(|m| Some(Members::new(incarnation(m), count, &timing, dice.u64(..)))).collect();
         let mut cluster = Self {
@@ -184,7 +184,7 @@
         let Some(members) = &mut self.members[usize::from(member)] else { return };
         members.tick(now);
         self.send(member);
-        self.at(self.timing.tick, Step::Tick(member));
+        self.at(self.timing.tick_interval, Step::Tick(member));
     }
 
     fn deliver(&mut self, to: u16, bytes: &[u8]) {
@@ -197,7 +197,7 @@
     fn send(&mut self, member: u16) {
         let Some(members) = &mut self.members[usize::from(member)] else { return };
         members.take_changes();
-        for (to, bytes) in members.take_out() {
+        for (to, bytes) in members.take_messages() {
             self.messages += 1;
             self.bytes += bytes.len() as u64;
             if self.dice.u32(0..100) >= self.loss_percent {
@@ -209,12 +209,12 @@
 
     /// Whether all others have declared a member dead.
     fn all_know_dead(&self, member: u16) -> bool {
-        self.members.iter().flatten().all(|members| members.state(Member(member)) == State::Dead)
+        self.members.iter().flatten().all(|members| members.state(Member(member)) == MemberState::Dead)
     }
 
     /// Lives that ended although their members never stopped.
     fn false_alarms(&self) -> u64 {
-        self.members.iter().flatten().map(|members| members.me().born - 1).sum()
+        self.members.iter().flatten().map(|members| members.me().number - 1).sum()
     }
 }
 
--- a/lab/src/scale/work_records.rs
+++ b/lab/src/scale/work_records.rs
@@ -86,7 +86,7 @@
         Row::measured(Role::Dispatcher, quantity, unit, size, points, Mechanism::WorkRecords).timed()
     };
     let rate = target::STARTS_PER_SECOND * WORDS_OF_A_TASK / target::DISPATCHERS;
-    let bytes = record(0, Incarnation { member: Member(0), born: 1 }).encode().len() as f64;
+    let bytes = record(0, Incarnation { member: Member(0), number: 1 }).encode().len() as f64;
     vec![
         row("one word on a record: choice of its holders", "us", scaled(1e6)),
         row("words of the peak's starts, spread over all", "core", scaled(rate))
@@ -127,7 +127,7 @@
 }
 
 fn owner(member: u16) -> Incarnation {
-    Incarnation { member: Member(member), born: 1 }
+    Incarnation { member: Member(member), number: 1 }
 }
 
 fn replica_sets(member: u16, members: u16) -> ReplicaSets {
--- a/lab/src/sim/disk.rs
+++ b/lab/src/sim/disk.rs
@@ -1,7 +1,7 @@
 //! Disks of the simulation: they take their time, fill up, and are lost.
 
 use lineroute_fleet::consensus::ReplicaId;
-use lineroute_fleet::log::{Change, Disk, Written};
+use lineroute_fleet::log::{LogChange, LogStore, WriteStatus};
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -10,10 +10,10 @@
 #[derive(Clone, Debug, Default)]
 pub struct Platter {
     pub replica_id: Option<ReplicaId>,
-    pub changes: Vec<Change>,
+    pub changes: Vec<LogChange>,
     pub full: bool,
     /// What it was given and has not kept yet, by number; lost with the process.
-    pub under_way: VecDeque<(u64, Change)>,
+    pub under_way: VecDeque<(u64, LogChange)>,
     /// Whether it takes its time at all.
     pub slow: bool,
     /// One write is being made. What comes meanwhile goes with the next.
@@ -41,21 +41,21 @@
 #[derive(Clone)]
 pub struct SimDisk(pub Rc<RefCell<Platter>>);
 
-impl Disk for SimDisk {
-    fn keep(&mut self, number: u64, change: &Change) -> Result<Written, String> {
+impl LogStore for SimDisk {
+    fn append(&mut self, number: u64, change: &LogChange) -> Result<WriteStatus, String> {
         let mut platter = self.0.borrow_mut();
         if platter.slow {
             platter.under_way.push_back((number, change.clone()));
-            return Ok(Written::Later);
+            return Ok(WriteStatus::Pending);
         }
         if platter.full {
             return Err("the disk is full".into());
         }
         platter.changes.push(change.clone());
-        Ok(Written::Now)
+        Ok(WriteStatus::Durable)
     }
 
-    fn replace(&mut self, change: &Change) -> Result<(), String> {
+    fn replace(&mut self, change: &LogChange) -> Result<(), String> {
         let mut platter = self.0.borrow_mut();
         if platter.full {
             return Err("the disk is full".into());
@@ -66,7 +66,7 @@
         Ok(())
     }
 
-    fn compact(&mut self, change: &Change) {
+    fn compact(&mut self, change: &LogChange) {
         // What is under way stays so: the change holds it, and keeping it again changes nothing.
         let mut platter = self.0.borrow_mut();
         if !platter.full && platter.under_way.is_empty() {
--- a/lab/src/sim/rules.rs
+++ b/lab/src/sim/rules.rs
@@ -1,11 +1,11 @@
 //! The rules that must hold at every moment of true time.
 
 use super::world::{Process, What, World, LOOK};
-use lineroute_fleet::{Member, Thing};
+use lineroute_fleet::{Member, Resource};
 
 impl World {
     /// A member may act for a thing at this moment of true time.
-    pub(super) fn acts(&mut self, member: u16, thing: &Thing) {
+    pub(super) fn acts(&mut self, member: u16, thing: &Resource) {
         let now = self.clock(member);
         let Some(token) =
             self.processes[usize::from(member)].node.as_ref().and_then(|n| n.permit(thing, now))
--- a/lab/src/sim/world.rs
+++ b/lab/src/sim/world.rs
@@ -5,9 +5,9 @@
 use lineroute_fleet::consensus::replica_id_of;
 use lineroute_fleet::frame::Frame;
 use lineroute_fleet::log::Log;
-use lineroute_fleet::node::{Event, Node, RecoveredReplica, Setup};
+use lineroute_fleet::node::{Event, Node, NodeConfig, RecoveredReplica};
 use lineroute_fleet::timing::Timing;
-use lineroute_fleet::{Incarnation, Member, Thing, Time, Token};
+use lineroute_fleet::{Incarnation, Member, Resource, Time, Token};
 use std::cell::RefCell;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -108,10 +108,10 @@
     calm: bool,
     /// How long disks take at most; now and then one stands still for much longer.
     disk: Duration,
-    pub(super) things: Vec<Thing>,
+    pub(super) things: Vec<Resource>,
     /// By thing: the highest token that anybody could act under, and who.
-    pub(super) highest: BTreeMap<Thing, (Token, Member)>,
-    pub(super) ownerless: BTreeMap<Thing, Time>,
+    pub(super) highest: BTreeMap<Resource, (Token, Member)>,
+    pub(super) ownerless: BTreeMap<Resource, Time>,
     /// When last no majority of the voters could run and hear each other.
     pub(super) bad: Time,
     pub(super) report: Report,
@@ -120,7 +120,7 @@
 impl World {
     pub fn new(seed: u64, size: Size) -> World {
         let mut dice = fastrand::Rng::with_seed(seed);
-        let things = ["probe/a", "probe/b", "ledger"].into_iter().filter_map(Thing::new).collect();
+        let things = ["probe/a", "probe/b", "ledger"].into_iter().filter_map(Resource::new).collect();
         let mut world = World {
             size,
             timing: Timing::default(),
@@ -195,23 +195,23 @@
             let replica_id = *platter.replica_id.get_or_insert_with(|| replica_id_of(Member(member), seed));
             let log = (!platter.changes.is_empty()).then(|| {
                 let mut log = Log::default();
-                platter.changes.iter().for_each(|change| log.take(change));
+                platter.changes.iter().for_each(|change| log.apply(change));
                 log
             });
             assert!(!new || log.is_none());
             RecoveredReplica { replica_id, log, disk: SimDisk(process.platter.clone()) }
         });
-        let setup = Setup {
-            incarnation: Incarnation { member: Member(member), born: process.born },
+        let node_config = NodeConfig {
+            incarnation: Incarnation { member: Member(member), number: process.born },
             members: self.size.members,
             voters,
             timing: self.timing,
             seed,
             floor: now.as_secs(),
         };
-        let mut node = Node::new(setup, kept);
-        self.things.iter().for_each(|thing| node.wish(thing, true));
-        node.recovers(true);
+        let mut node = Node::new(node_config, kept);
+        self.things.iter().for_each(|thing| node.set_wanted(thing, true));
+        node.set_recovers(true);
         process.node = Some(node);
         let generation = process.generation;
         let first = Duration::from_micros(self.dice.u64(0..50_000));
@@ -260,7 +260,7 @@
             return;
         }
         // A tick of its own clock; while it is stopped nothing happens, and the next comes late.
-        let span = self.timing.tick.as_nanos() as u64 * 1_000_000 / process.rate;
+        let span = self.timing.tick_interval.as_nanos() as u64 * 1_000_000 / process.rate;
         if !process.stopped {
             if let Some(node) = &mut process.node {
                 node.tick(now);
@@ -273,15 +273,15 @@
     /// Takes what a node says and does.
     fn drain(&mut self, member: u16) {
         let Some(node) = &mut self.processes[usize::from(member)].node else { return };
-        let (out, events) = (node.take_out(), node.take_events());
+        let (out, events) = (node.take_frames(), node.take_events());
         for event in events {
             self.note(&event);
             match event {
-                Event::Won(thing, token) => {
+                Event::Acquired(thing, token) => {
                     self.report.wins += 1;
                     self.won(member, &thing, token);
                 }
-                Event::Reborn(_) => self.report.reborn += 1,
+                Event::NewIncarnation(_) => self.report.reborn += 1,
                 _ => {}
             }
         }
@@ -326,17 +326,17 @@
     fn told(&mut self, member: u16, number: u64, result: Result<(), String>) {
         let now = self.clock(member);
         if let Some(node) = &mut self.processes[usize::from(member)].node {
-            node.written(now, number, result);
+            node.persisted(now, number, result);
         }
         self.drain(member);
     }
 
     /// Orphaned work that was taken over is worked on for a while and settled.
-    fn won(&mut self, member: u16, thing: &Thing, _token: Token) {
+    fn won(&mut self, member: u16, thing: &Resource, _token: Token) {
         let Some(incarnation) = thing.as_orphaned_work() else { return };
         if self.dice.u32(0..3) > 0 {
             if let Some(node) = &mut self.processes[usize::from(member)].node {
-                node.settled(incarnation);
+                node.complete_recovery(incarnation);
             }
         }
     }
@@ -490,7 +490,8 @@
         }
         let Some(node) = &process.node else { return };
         // The very first instruction after the stop may be an act: the last look at the clock comes before it.
-        let may: Vec<Thing> = self.things.iter().filter(|t| node.permit(t, now).is_some()).cloned().collect();
+        let may: Vec<Resource> =
+            self.things.iter().filter(|t| node.permit(t, now).is_some()).cloned().collect();
         for thing in may {
             self.acts(member, &thing);
         }
--- a/work/src/record.rs
+++ b/work/src/record.rs
@@ -29,7 +29,7 @@
 
     /// The job of a reference, where there is no key: references are unique for one incarnation of a dispatcher only.
     pub fn of_reference(incarnation: Incarnation, reference: &str) -> Id {
-        Id::digest(b"reference", &format!("{}/{}", incarnation.member.0, incarnation.born), reference)
+        Id::digest(b"reference", &format!("{}/{}", incarnation.member.0, incarnation.number), reference)
     }
 
     fn digest(sort: &[u8], scope: &str, word: &str) -> Id {
--- a/work/src/recovery.rs
+++ b/work/src/recovery.rs
@@ -197,7 +197,7 @@
     use super::*;
     use crate::sample;
 
-    const DEAD: Incarnation = Incarnation { member: Member(0), born: 1 };
+    const DEAD: Incarnation = Incarnation { member: Member(0), number: 1 };
     const SECOND: Duration = Duration::from_secs(1);
 
     fn record(n: u8, effect: Effect) -> Record {
--- a/work/src/replica_holder.rs
+++ b/work/src/replica_holder.rs
@@ -69,7 +69,7 @@
 
 /// All incarnations of an incarnation's member, in their order.
 fn incarnations_of(incarnation: Incarnation) -> std::ops::RangeInclusive<Incarnation> {
-    Incarnation { born: 0, ..incarnation }..=Incarnation { born: u64::MAX, ..incarnation }
+    Incarnation { number: 0, ..incarnation }..=Incarnation { number: u64::MAX, ..incarnation }
 }
 
 impl ReplicaHolder {
@@ -152,7 +152,7 @@
     /// Whether an incarnation is under recovery, or a later one of the same member.
     fn is_over(&self, incarnation: Incarnation) -> bool {
         let latest = self.recovery_leases.range(incarnations_of(incarnation)).next_back();
-        latest.is_some_and(|(claimed, _)| claimed.born >= incarnation.born)
+        latest.is_some_and(|(claimed, _)| claimed.number >= incarnation.number)
     }
 
     /// A page of an incarnation's records, those behind an id; nothing where the recovery lease is not the latest.
@@ -210,7 +210,7 @@
     const LIMITS: Limits = Limits { records: 3, bytes: 4096, answers: Duration::from_secs(5) };
 
     fn incarnation(member: u16) -> Incarnation {
-        Incarnation { member: Member(member), born: 1 }
+        Incarnation { member: Member(member), number: 1 }
     }
 
     fn record(n: u8, owner: Incarnation) -> Record {
@@ -245,13 +245,12 @@
     #[test]
     fn however_many_incarnations_are_under_recovery_no_earlier_one_writes_again() {
         let mut holder = ReplicaHolder::new(LIMITS);
-        for born in 1..40 {
-            assert!(holder.accept_recovery_lease(Incarnation { born, ..incarnation(0) }, born));
+        for number in 1..40 {
+            assert!(holder.accept_recovery_lease(Incarnation { number, ..incarnation(0) }, number));
         }
-        let spoken = |born| record(1, Incarnation { born, ..incarnation(0) });
-        assert!(
-            (1..40).all(|born| holder.clone().keep(Time::ZERO, spoken(born)) == Err(Refusal::UnderRecovery))
-        );
+        let spoken = |number| record(1, Incarnation { number, ..incarnation(0) });
+        assert!((1..40)
+            .all(|number| holder.clone().keep(Time::ZERO, spoken(number)) == Err(Refusal::UnderRecovery)));
         assert_eq!(holder.keep(Time::ZERO, spoken(40)), Ok(1));
         assert_eq!(holder.keep(Time::ZERO, record(2, incarnation(1))), Ok(1));
         assert!(holder.recovery_leases.len() <= MAX_RECOVERY_LEASES);
--- a/work/src/replica_set.rs
+++ b/work/src/replica_set.rs
@@ -276,7 +276,7 @@
 
     const ID: Id = Id([3; 16]);
     const LEFT: Duration = Duration::from_secs(2);
-    const ME: Incarnation = Incarnation { member: Member(0), born: 1 };
+    const ME: Incarnation = Incarnation { member: Member(0), number: 1 };
 
     fn ms(ms: u64) -> Time {
         Duration::from_millis(ms)
--- a/work/tests/model.rs
+++ b/work/tests/model.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 const ID: Id = Id([7; 16]);
-const OWNER: Incarnation = Incarnation { member: Member(0), born: 1 };
+const OWNER: Incarnation = Incarnation { member: Member(0), number: 1 };
 const TOKEN: u64 = 5;
 const LEFT: Duration = Duration::from_secs(2);
 /// After this a replica holder that has not answered counts as silent.
--- a/work/tests/wire_format.rs
+++ b/work/tests/wire_format.rs
@@ -5,8 +5,8 @@
 use lineroute_work::record::{Answer, Asked, Effect, Id, Record};
 use std::time::Duration;
 
-const OWNER: Incarnation = Incarnation { member: Member(3), born: 300 };
-const RECOVERY_OWNER: Incarnation = Incarnation { member: Member(4), born: 5 };
+const OWNER: Incarnation = Incarnation { member: Member(3), number: 300 };
+const RECOVERY_OWNER: Incarnation = Incarnation { member: Member(4), number: 5 };
 const SECOND: Duration = Duration::from_secs(1);
 
 fn hex(bytes: &[u8]) -> String {
