--- a/dispatcher/src/body.rs
+++ b/dispatcher/src/body.rs
@@ -4,7 +4,7 @@
 //! All of it lives on one thread. No borrow is held over an await.
 
 use bytes::Bytes;
-use lineroute_stream::{Budget, Replay, Reread, Share};
+use lineroute_stream::{Budget, ReplayBuffer, ReplayCursor, Share};
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::fmt;
@@ -78,8 +78,8 @@
         if let Some(share) = share {
             let mut budget = self.budget.0.borrow_mut();
             let before = share.held();
-            budget.take(share, held.saturating_sub(before));
-            budget.give(share, before.saturating_sub(held));
+            budget.acquire(share, held.saturating_sub(before));
+            budget.release(share, before.saturating_sub(held));
         }
     }
 }
@@ -106,7 +106,7 @@
         if state.reader_gone {
             return Poll::Ready(None);
         }
-        let room = state.share.as_ref().map_or(0, |share| self.0.budget.0.borrow().room(share));
+        let room = state.share.as_ref().map_or(0, |share| self.0.budget.0.borrow().available(share));
         if room > 0 {
             return Poll::Ready(Some(room));
         }
@@ -186,7 +186,7 @@
     /// Whether what is kept leaves the writer no room.
     fn is_cramped(&self) -> bool {
         let state = self.0.state.borrow();
-        let room = state.share.as_ref().map_or(0, |share| self.0.budget.0.borrow().room(share));
+        let room = state.share.as_ref().map_or(0, |share| self.0.budget.0.borrow().available(share));
         room == 0 && state.queue.is_empty() && state.kept > 0
     }
 }
@@ -208,7 +208,7 @@
 
 struct Source {
     reader: Reader,
-    replay: Replay,
+    replay: ReplayBuffer,
     /// Counts attempts: only the last one reads.
     attempt: u32,
     /// It came to no whole end: nothing of it is worth sending again.
@@ -220,7 +220,7 @@
     pub fn new(reader: Reader, replay: usize) -> Self {
         Upload(Rc::new(RefCell::new(Source {
             reader,
-            replay: Replay::new(replay),
+            replay: ReplayBuffer::new(replay),
             attempt: 0,
             broken: false,
         })))
@@ -229,16 +229,16 @@
     /// Whether an attempt could send all of it.
     pub fn can_repeat(&self) -> bool {
         let source = self.0.borrow();
-        source.replay.is_whole() && !source.broken
+        source.replay.is_complete() && !source.broken
     }
 
     /// Reads it for an attempt; `None`: its beginning is gone.
     pub fn attempt(&self) -> Option<Attempt> {
         let source = &mut *self.0.borrow_mut();
         source.attempt += 1;
-        source.replay.is_whole().then(|| Attempt {
+        source.replay.is_complete().then(|| Attempt {
             upload: self.clone(),
-            at: Reread::default(),
+            at: ReplayCursor::default(),
             number: source.attempt,
         })
     }
@@ -253,7 +253,7 @@
 /// An attempt's view of an upload.
 pub struct Attempt {
     upload: Upload,
-    at: Reread,
+    at: ReplayCursor,
     number: u32,
 }
 
@@ -268,21 +268,21 @@
         if source.attempt != self.number {
             return Poll::Ready(Err(Ended::Broken));
         }
-        if let Some(bytes) = source.replay.next(&mut self.at) {
+        if let Some(bytes) = source.replay.next_chunk(&mut self.at) {
             return Poll::Ready(Ok(bytes));
         }
         // Guards against a wait for ever: what is held to be sent again must not keep the rest out.
         if source.reader.is_cramped() {
-            source.replay.let_go();
+            source.replay.discard();
             source.reader.keep(0);
         }
         let next = source.reader.poll_next(cx);
         source.broken |= matches!(next, Poll::Ready(Err(Ended::Broken)));
         if let Poll::Ready(Ok(bytes)) = &next {
-            source.replay.pass(bytes);
+            source.replay.push(bytes);
             source.reader.keep(source.replay.held());
             // What has just passed is behind this attempt.
-            source.replay.next(&mut self.at);
+            source.replay.next_chunk(&mut self.at);
         }
         next
     }
--- a/dispatcher/src/config/checked.rs
+++ b/dispatcher/src/config/checked.rs
@@ -7,7 +7,7 @@
 use lineroute_fleet::Member;
 use lineroute_http1::Forwarding;
 use lineroute_settings::Site;
-use lineroute_stream::PaceLimits;
+use lineroute_stream::ProgressLimits;
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -53,7 +53,7 @@
     /// Those of requests pass as they come.
     pub stream: bool,
     pub max_body: u64,
-    pub pace: PaceLimits,
+    pub pace: ProgressLimits,
     pub replay: usize,
 }
 
--- a/dispatcher/src/config/mod.rs
+++ b/dispatcher/src/config/mod.rs
@@ -21,7 +21,7 @@
 use lineroute_control::watch::LARGE_TIER;
 use lineroute_http1::Forwarding;
 use lineroute_settings::Site;
-use lineroute_stream::PaceLimits;
+use lineroute_stream::ProgressLimits;
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use serde_json::{json, Map, Value};
@@ -274,10 +274,10 @@
         let passing = upstream.map(|upstream| PassingRoute {
             stream: raw.stream,
             max_body: raw.max_body.unwrap_or(if raw.stream { u64::MAX } else { 64 << 10 }),
-            pace: PaceLimits {
-                idle: Duration::from_millis(raw.idle_ms.unwrap_or(30_000)),
-                least: raw.least_rate.unwrap_or(1024),
-                over: Duration::from_secs(5),
+            pace: ProgressLimits {
+                idle_timeout: Duration::from_millis(raw.idle_ms.unwrap_or(30_000)),
+                min_bytes_per_second: raw.least_rate.unwrap_or(1024),
+                window: Duration::from_secs(5),
             },
             replay: upstream.replay,
         });
--- a/dispatcher/src/targets/upstream.rs
+++ b/dispatcher/src/targets/upstream.rs
@@ -14,7 +14,7 @@
     forward_headers, Encoder, Event, Fault, Forwarding, Framing, Incoming, RequestHead, ResponseHead,
 };
 use lineroute_permit::RetryPermit;
-use lineroute_stream::{judge, End, Pace, PaceLimits, Stage, Verdict};
+use lineroute_stream::{classify, AttemptEnd, AttemptResult, AttemptStage, ProgressLimits, ProgressMonitor};
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
 use std::net::{IpAddr, SocketAddr};
@@ -41,14 +41,14 @@
     pub client: Option<IpAddr>,
     /// The stated length of a body that streams.
     pub length: Option<u64>,
-    pub pace: PaceLimits,
+    pub pace: ProgressLimits,
     /// Taken by the attempt whose answer passes.
     pub answer: RefCell<Option<(Writer, Reader)>>,
 }
 
 struct Out {
     task: JoinHandle<()>,
-    stage: Rc<Cell<Stage>>,
+    stage: Rc<Cell<AttemptStage>>,
 }
 
 struct Inner {
@@ -69,7 +69,7 @@
 
 /// How an attempt ended.
 struct Ending {
-    verdict: Verdict,
+    verdict: AttemptResult,
     /// The fault is not the worker's: the client went or was too slow, or this machine lacked something.
     blameless: bool,
     /// A whole answer, for a front that takes only these.
@@ -78,7 +78,7 @@
 }
 
 impl Ending {
-    fn of(verdict: Verdict) -> Ending {
+    fn of(verdict: AttemptResult) -> Ending {
         Ending { verdict, blameless: false, result: None, reusable: false }
     }
 }
@@ -171,8 +171,8 @@
         }
     }
 
-    async fn attempt(&self, forward: &Forward, stage: &Cell<Stage>) -> Ending {
-        let never = || Ending::of(Verdict::NeverRan);
+    async fn attempt(&self, forward: &Forward, stage: &Cell<AttemptStage>) -> Ending {
+        let never = || Ending::of(AttemptResult::NotExecuted);
         if self.0.calls.get() >= self.0.most {
             return Ending { blameless: true, ..never() };
         }
@@ -204,19 +204,23 @@
             None => return Ending { blameless: true, ..never() },
         };
         let pace = asked.map_or(
-            PaceLimits { idle: Duration::from_secs(3600), least: 0, over: Duration::from_secs(5) },
+            ProgressLimits {
+                idle_timeout: Duration::from_secs(3600),
+                min_bytes_per_second: 0,
+                window: Duration::from_secs(5),
+            },
             |a| a.pace,
         );
         let method = asked.map_or(Method::POST, |a| a.head.method.clone());
-        stage.set(Stage::Head);
+        stage.set(AttemptStage::SendingHead);
         let (mut read, mut write) = stream.into_split();
         let Ok(bytes) = head.write(framing) else { return Ending { blameless: true, ..never() } };
         let written = write.write_all(&bytes).await;
         self.0.flows.first_byte_written(forward, None);
         if written.is_err() {
-            return Ending::of(judge(stage.get(), End::Broken));
+            return Ending::of(classify(stage.get(), AttemptEnd::Broken));
         }
-        stage.set(Stage::Uploading);
+        stage.set(AttemptStage::SendingBody);
         let upload = self.upload(body, &mut write, Encoder::new(framing), pace);
         let answer = self.answer(forward, asked, &mut read, Incoming::new(method), stage, pace);
         let (mut uploaded, mut sent) = (false, false);
@@ -230,16 +234,16 @@
                         match done {
                             Ok(()) => {
                                 sent = true;
-                                if stage.get() == Stage::Uploading {
-                                    stage.set(Stage::Waiting);
+                                if stage.get() == AttemptStage::SendingBody {
+                                    stage.set(AttemptStage::AwaitingResponse);
                                 }
                             }
                             Err(Stuck::Upstream) => {}
                             Err(Stuck::Client) => {
-                                let verdict = judge(stage.get(), End::GivenUp);
+                                let verdict = classify(stage.get(), AttemptEnd::GivenUp);
                                 break Ending { blameless: true, ..Ending::of(verdict) };
                             }
-                            Err(Stuck::UpstreamSlow) => break Ending::of(judge(stage.get(), End::Late)),
+                            Err(Stuck::UpstreamSlow) => break Ending::of(classify(stage.get(), AttemptEnd::TimedOut)),
                         }
                     }
                     ending = &mut answer => break ending,
@@ -286,12 +290,12 @@
         mut body: Source,
         write: &mut OwnedWriteHalf,
         mut encoder: Encoder,
-        limits: PaceLimits,
+        limits: ProgressLimits,
     ) -> Result<(), Stuck> {
-        let (mut client, mut upstream) = (Pace::new(limits), Pace::new(limits));
+        let (mut client, mut upstream) = (ProgressMonitor::new(limits), ProgressMonitor::new(limits));
         let mut framed = Vec::new();
         loop {
-            client.wait(self.now());
+            client.start_waiting(self.now());
             let next = tokio::select! {
                 next = body.next() => next,
                 () = self.too_slow(&client) => return Err(Stuck::Client),
@@ -301,12 +305,12 @@
                 Err(Ended::Broken) => return Err(Stuck::Client),
                 Err(Ended::Whole) => break,
             };
-            client.moved(self.now(), chunk.len());
+            client.record_progress(self.now(), chunk.len());
             framed.clear();
             let behind = encoder.data(chunk.len(), &mut framed).map_err(|_| Stuck::Client)?;
             for mut part in [&framed[..], &chunk[..], behind] {
                 while !part.is_empty() {
-                    upstream.wait(self.now());
+                    upstream.start_waiting(self.now());
                     let written = tokio::select! {
                         written = write.write(part) => written,
                         () = self.too_slow(&upstream) => return Err(Stuck::UpstreamSlow),
@@ -315,7 +319,7 @@
                         Ok(count) if count > 0 => part = &part[count..],
                         _ => return Err(Stuck::Upstream),
                     }
-                    upstream.moved(self.now(), written.unwrap_or(0));
+                    upstream.record_progress(self.now(), written.unwrap_or(0));
                 }
             }
         }
@@ -326,9 +330,9 @@
 
     /// Resolves when a peer that is waited for has been too slow. It must have moved nothing since this was
     /// called.
-    async fn too_slow(&self, pace: &Pace) {
+    async fn too_slow(&self, pace: &ProgressMonitor) {
         loop {
-            let Some(due) = pace.due() else { return std::future::pending().await };
+            let Some(due) = pace.next_check() else { return std::future::pending().await };
             tokio::time::sleep(due.saturating_sub(self.now())).await;
             if pace.check(self.now()).is_some() {
                 return;
@@ -343,16 +347,16 @@
         asked: Option<&Asked>,
         read: &mut OwnedReadHalf,
         mut incoming: Incoming,
-        stage: &Cell<Stage>,
-        limits: PaceLimits,
+        stage: &Cell<AttemptStage>,
+        limits: ProgressLimits,
     ) -> Ending {
-        let (mut client, mut upstream) = (Pace::new(limits), Pace::new(limits));
+        let (mut client, mut upstream) = (ProgressMonitor::new(limits), ProgressMonitor::new(limits));
         let mut input = BytesMut::new();
         let mut writer: Option<Writer> = None;
         let (mut whole, mut status) = (BytesMut::new(), 0);
-        let broken = |fault: Fault, stage: Stage| {
+        let broken = |fault: Fault, stage: AttemptStage| {
             warn!(target = %forward.name, error = %fault, "upstream: not an answer");
-            Ending::of(judge(stage, End::Broken))
+            Ending::of(classify(stage, AttemptEnd::Broken))
         };
         loop {
             loop {
@@ -367,21 +371,25 @@
                     Event::Head(head) => {
                         status = head.status.as_u16();
                         let rejected = head.headers.get("x-rejected").is_some_and(|v| v.as_bytes() == b"1");
-                        let verdict = judge(stage.get(), End::Status(status, rejected));
-                        if verdict != Verdict::Passes {
+                        let verdict = classify(stage.get(), AttemptEnd::Status(status, rejected));
+                        if verdict != AttemptResult::Committed {
                             return Ending::of(verdict);
                         }
                         if let Some(asked) = asked {
                             match self.pass(forward, asked, head) {
                                 Some(passing) => writer = Some(passing),
-                                None => return Ending { blameless: true, ..Ending::of(Verdict::GivenUp) },
+                                None => {
+                                    return Ending { blameless: true, ..Ending::of(AttemptResult::GivenUp) }
+                                }
                             }
-                            stage.set(Stage::Answering);
+                            stage.set(AttemptStage::ReceivingResponse);
                         }
                     }
                     Event::Data(data) => match &writer {
                         Some(writer) => writer.push(data),
-                        None if whole.len() + data.len() > MAX_WHOLE => return Ending::of(Verdict::Failed),
+                        None if whole.len() + data.len() > MAX_WHOLE => {
+                            return Ending::of(AttemptResult::Failed)
+                        }
                         None => whole.extend_from_slice(&data),
                     },
                     Event::End { reusable } => return self.whole(writer, whole, status, reusable),
@@ -389,7 +397,7 @@
             }
             let mut room = IN_ONE_GO;
             if let Some(writer) = &writer {
-                client.wait(self.now());
+                client.start_waiting(self.now());
                 let held = tokio::select! {
                     room = writer.room() => room,
                     () = self.too_slow(&client) => {
@@ -398,12 +406,15 @@
                     }
                 };
                 let Some(free) = held else {
-                    return Ending { blameless: true, ..Ending::of(judge(stage.get(), End::GivenUp)) };
+                    return Ending {
+                        blameless: true,
+                        ..Ending::of(classify(stage.get(), AttemptEnd::GivenUp))
+                    };
                 };
-                client.moved(self.now(), free);
+                client.record_progress(self.now(), free);
                 room = free.min(IN_ONE_GO);
             }
-            upstream.wait(self.now());
+            upstream.start_waiting(self.now());
             input.reserve(room);
             let mut limited = (&mut *read).take(room as u64);
             let gone = async {
@@ -413,26 +424,26 @@
                 }
             };
             // Before the head it is the flow's deadline that ends this.
-            let passing = stage.get() == Stage::Answering;
+            let passing = stage.get() == AttemptStage::ReceivingResponse;
             let came = tokio::select! {
                 came = limited.read_buf(&mut input) => came,
-                () = gone => return Ending { blameless: true, ..Ending::of(judge(stage.get(), End::GivenUp)) },
+                () = gone => return Ending { blameless: true, ..Ending::of(classify(stage.get(), AttemptEnd::GivenUp)) },
                 () = self.too_slow(&upstream), if passing => {
                     warn!(target = %forward.name, "upstream too slow: its answer is cut short");
-                    return Ending::of(judge(stage.get(), End::Late));
+                    return Ending::of(classify(stage.get(), AttemptEnd::TimedOut));
                 }
             };
             match came {
                 Ok(0) => {
                     return match incoming.eof() {
                         Ok(Some(Event::End { .. })) => self.whole(writer, whole, status, false),
-                        Ok(_) => Ending::of(judge(stage.get(), End::Broken)),
-                        Err(Fault::Truncated) => Ending::of(judge(stage.get(), End::Broken)),
+                        Ok(_) => Ending::of(classify(stage.get(), AttemptEnd::Broken)),
+                        Err(Fault::Truncated) => Ending::of(classify(stage.get(), AttemptEnd::Broken)),
                         Err(fault) => broken(fault, stage.get()),
                     }
                 }
-                Ok(count) => upstream.moved(self.now(), count),
-                Err(_) => return Ending::of(judge(stage.get(), End::Broken)),
+                Ok(count) => upstream.record_progress(self.now(), count),
+                Err(_) => return Ending::of(classify(stage.get(), AttemptEnd::Broken)),
             }
         }
     }
@@ -447,26 +458,26 @@
     fn whole(&self, writer: Option<Writer>, whole: BytesMut, status: u16, reusable: bool) -> Ending {
         if let Some(writer) = writer {
             writer.end(Ended::Whole);
-            return Ending { reusable, ..Ending::of(Verdict::Served) };
+            return Ending { reusable, ..Ending::of(AttemptResult::Completed) };
         }
         // A front of another wire knows only what was done and what was not.
-        let verdict = if (200..300).contains(&status) { Verdict::Served } else { Verdict::Failed };
+        let verdict =
+            if (200..300).contains(&status) { AttemptResult::Completed } else { AttemptResult::Failed };
         Ending { result: Some(whole.freeze()), reusable, ..Ending::of(verdict) }
     }
 
     fn end(&self, ticket: Ticket, ending: Ending) {
         self.0.out.borrow_mut().remove(&ticket);
         let outcome = match (ending.verdict, ending.blameless) {
-            (Verdict::NeverRan, true) => Outcome::Moot,
-            (Verdict::NeverRan, false) => Outcome::NoRoute,
-            (Verdict::NoRoom, _) => Outcome::NoRoom,
-            (Verdict::Failed, _) => Outcome::Fault,
-            (Verdict::GivenUp | Verdict::CutShort | Verdict::Broke, true) | (Verdict::GivenUp, _) => {
-                Outcome::Cancelled
-            }
-            (Verdict::Broke | Verdict::CutShort, false) => Outcome::Cut,
-            (Verdict::Late, _) => Outcome::TimedOut,
-            (Verdict::Served | Verdict::Passes, _) => Outcome::Served,
+            (AttemptResult::NotExecuted, true) => Outcome::Moot,
+            (AttemptResult::NotExecuted, false) => Outcome::NoRoute,
+            (AttemptResult::Rejected, _) => Outcome::NoRoom,
+            (AttemptResult::Failed, _) => Outcome::Fault,
+            (AttemptResult::GivenUp | AttemptResult::Truncated | AttemptResult::ConnectionLost, true)
+            | (AttemptResult::GivenUp, _) => Outcome::Cancelled,
+            (AttemptResult::ConnectionLost | AttemptResult::Truncated, false) => Outcome::Cut,
+            (AttemptResult::TimedOut, _) => Outcome::TimedOut,
+            (AttemptResult::Completed | AttemptResult::Committed, _) => Outcome::Served,
         };
         self.0.flows.ended(ticket, outcome, ending.result);
     }
@@ -489,7 +500,7 @@
 
 impl Target for Upstreams {
     fn forward(&self, _permit: RetryPermit, forward: Forward) {
-        let (this, stage) = (self.clone(), Rc::new(Cell::new(Stage::Connecting)));
+        let (this, stage) = (self.clone(), Rc::new(Cell::new(AttemptStage::Connecting)));
         let (ticket, at) = (forward.ticket, stage.clone());
         let task = actix_rt::spawn(async move {
             let ending = this.attempt(&forward, &at).await;
@@ -506,7 +517,7 @@
             // one that nobody waits for.
             out.task.abort();
             let _ = out.task.await;
-            let verdict = judge(out.stage.get(), End::GivenUp);
+            let verdict = classify(out.stage.get(), AttemptEnd::GivenUp);
             this.end(forward.ticket, Ending { blameless: true, ..Ending::of(verdict) });
         });
     }
--- a/stream/src/budget.rs
+++ b/stream/src/budget.rs
@@ -41,7 +41,7 @@
     }
 
     /// Streams that may be open at a time.
-    pub fn most_open(&self) -> usize {
+    pub fn max_streams(&self) -> usize {
         self.total / 2 / self.floor
     }
 
@@ -57,14 +57,14 @@
 
     /// Lets a stream in; `None` if there is no floor left for it.
     pub fn open(&mut self) -> Option<Share> {
-        (self.open < self.most_open()).then(|| {
+        (self.open < self.max_streams()).then(|| {
             self.open += 1;
             Share { held: 0 }
         })
     }
 
     /// How many bytes more a stream may take in at present.
-    pub fn room(&self, share: &Share) -> usize {
+    pub fn available(&self, share: &Share) -> usize {
         let even = self.total / self.open.max(1);
         let window = even.clamp(self.floor, self.ceiling);
         let (below, above) = (self.floor.saturating_sub(share.held), share.held.max(self.floor));
@@ -73,12 +73,12 @@
     }
 
     /// A stream has taken bytes in. More than there was room for counts all the same, and is paid back first.
-    pub fn take(&mut self, share: &mut Share, bytes: usize) {
+    pub fn acquire(&mut self, share: &mut Share, bytes: usize) {
         self.change(share, share.held + bytes);
     }
 
     /// A stream has passed bytes on, or no longer needs them.
-    pub fn give(&mut self, share: &mut Share, bytes: usize) {
+    pub fn release(&mut self, share: &mut Share, bytes: usize) {
         self.change(share, share.held.saturating_sub(bytes));
     }
 
--- a/stream/src/lib.rs
+++ b/stream/src/lib.rs
@@ -12,6 +12,6 @@
 mod verdict;
 
 pub use budget::{Budget, Share};
-pub use pace::{Pace, PaceLimits, Slow};
-pub use replay::{Replay, Reread};
-pub use verdict::{judge, End, Stage, Verdict};
+pub use pace::{ProgressLimits, ProgressMonitor, Slow};
+pub use replay::{ReplayBuffer, ReplayCursor};
+pub use verdict::{classify, AttemptEnd, AttemptResult, AttemptStage};
--- a/stream/src/replay.rs
+++ b/stream/src/replay.rs
@@ -5,7 +5,7 @@
 /// The beginning of a body, up to a limit. Once more than that has passed, all of it is let go: a part of a
 /// beginning is of no use.
 #[derive(Clone, Debug)]
-pub struct Replay {
+pub struct ReplayBuffer {
     chunks: Vec<Bytes>,
     held: usize,
     limit: usize,
@@ -15,17 +15,17 @@
 
 /// Reads again what is held.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Reread(usize);
+pub struct ReplayCursor(usize);
 
-impl Replay {
+impl ReplayBuffer {
     /// Holds up to `limit` bytes.
-    pub fn new(limit: usize) -> Replay {
-        Replay { chunks: Vec::new(), held: 0, limit, passed: 0 }
+    pub fn new(limit: usize) -> ReplayBuffer {
+        ReplayBuffer { chunks: Vec::new(), held: 0, limit, passed: 0 }
     }
 
     /// A chunk passes. How many bytes are held more (or, negative, fewer) after it.
-    pub fn pass(&mut self, chunk: &Bytes) -> isize {
-        let (whole, before) = (self.is_whole(), self.held);
+    pub fn push(&mut self, chunk: &Bytes) -> isize {
+        let (whole, before) = (self.is_complete(), self.held);
         self.passed += chunk.len() as u64;
         if whole && self.held + chunk.len() <= self.limit {
             self.held += chunk.len();
@@ -39,7 +39,7 @@
     }
 
     /// Whether everything that has passed is held: it may be sent again from its beginning.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.held as u64 == self.passed
     }
 
@@ -49,14 +49,14 @@
     }
 
     /// Lets go of what is held: no repeat will be made. How many bytes that were.
-    pub fn let_go(&mut self) -> usize {
+    pub fn discard(&mut self) -> usize {
         self.chunks = Vec::new();
         self.limit = 0;
         std::mem::take(&mut self.held)
     }
 
     /// The next chunk of what is held; `None` at its end, where the body goes on as it comes.
-    pub fn next(&self, at: &mut Reread) -> Option<Bytes> {
+    pub fn next_chunk(&self, at: &mut ReplayCursor) -> Option<Bytes> {
         let chunk = self.chunks.get(at.0).cloned();
         at.0 += usize::from(chunk.is_some());
         chunk
