--- a/dispatcher/src/listeners/guard.rs
+++ b/dispatcher/src/listeners/guard.rs
@@ -3,7 +3,7 @@
 //! sending.
 
 use super::connection_slots::{ConnectionSlot, Cut, Stage};
-use lineroute_http1::Screen;
+use lineroute_http1::FramingValidator;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::future::pending;
@@ -38,7 +38,7 @@
     head_bytes: Rc<Cell<usize>>,
     read_so_far: Rc<Cell<usize>>,
     /// Where requests pass on, what can be framed in two ways must not.
-    screen: Option<Rc<RefCell<Screen>>>,
+    screen: Option<Rc<RefCell<FramingValidator>>>,
 }
 
 /// Writes as much of these words as the system takes without a wait. A write may take a part.
--- a/dispatcher/src/listeners/pass.rs
+++ b/dispatcher/src/listeners/pass.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use futures_util::StreamExt;
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
-use lineroute_http1::{strip_hops, Framing, RequestHead, ResponseHead};
+use lineroute_http1::{strip_hop_by_hop_headers, Framing, RequestHead, ResponseHead};
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::pin::Pin;
@@ -153,12 +153,12 @@
 ) -> Response<BoxBody> {
     let ResponseHead { status, mut headers, framing } = head;
     let stated = headers.get("content-length").and_then(|v| v.to_str().ok()?.parse().ok());
-    strip_hops(&mut headers);
+    strip_hop_by_hop_headers(&mut headers);
     let size = match (framing, stated) {
         (Framing::Length(length), _) => BodySize::Sized(length),
         (Framing::None, Some(length)) if *method == Method::HEAD => BodySize::Sized(length),
         (Framing::None, _) => BodySize::None,
-        (Framing::Chunked | Framing::UntilEnd, _) => BodySize::Stream,
+        (Framing::Chunked | Framing::UntilClose, _) => BodySize::Stream,
     };
     let status = StatusCode::from_u16(status.as_u16()).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut response = Response::with_body(status, PassingBody { reader, size, broken: false, slot });
--- a/dispatcher/src/targets/health_check.rs
+++ b/dispatcher/src/targets/health_check.rs
@@ -8,7 +8,7 @@
 use crate::stops;
 use bytes::{Bytes, BytesMut};
 use http::Method;
-use lineroute_http1::{Event, Incoming};
+use lineroute_http1::{ResponseDecoder, ResponseEvent};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -56,19 +56,19 @@
 async fn answer(stream: &mut TcpStream, limit: usize) -> Result<(u16, Bytes), CallError> {
     let broken = |words: String| CallError::Broken(words);
     let (mut input, mut body) = (BytesMut::new(), BytesMut::new());
-    let (mut incoming, mut status) = (Incoming::new(Method::GET), 0);
+    let (mut incoming, mut status) = (ResponseDecoder::new(Method::GET), 0);
     loop {
         while let Some(event) = incoming.next(&mut input).map_err(|e| broken(e.to_string()))? {
             match event {
-                Event::Head(head) => status = head.status.as_u16(),
-                Event::Data(data) if body.len() + data.len() > limit => {
+                ResponseEvent::Head(head) => status = head.status.as_u16(),
+                ResponseEvent::Data(data) if body.len() + data.len() > limit => {
                     return Err(broken("the answer is too long".into()));
                 }
-                Event::Data(data) => body.extend_from_slice(&data),
-                Event::Interim(_) | Event::Trailers(_) | Event::End { .. } => {}
+                ResponseEvent::Data(data) => body.extend_from_slice(&data),
+                ResponseEvent::Interim(_) | ResponseEvent::Trailers(_) | ResponseEvent::End { .. } => {}
             }
         }
-        if incoming.is_over() {
+        if incoming.is_finished() {
             return Ok((status, body.freeze()));
         }
         if stream.read_buf(&mut input).await.map_err(|e| broken(e.to_string()))? == 0 {
--- a/dispatcher/src/targets/upstream.rs
+++ b/dispatcher/src/targets/upstream.rs
@@ -11,7 +11,8 @@
 use bytes::{Bytes, BytesMut};
 use http::{HeaderMap, HeaderValue, Method};
 use lineroute_http1::{
-    forward_headers, Encoder, Event, Fault, Forwarding, Framing, Incoming, RequestHead, ResponseHead,
+    forward_headers, BodyEncoder, Forwarding, Framing, ParseError, RequestHead, ResponseDecoder,
+    ResponseEvent, ResponseHead,
 };
 use lineroute_permit::RetryPermit;
 use lineroute_stream::{classify, AttemptEnd, AttemptResult, AttemptStage, ProgressLimits, ProgressMonitor};
@@ -214,15 +215,15 @@
         let method = asked.map_or(Method::POST, |a| a.head.method.clone());
         stage.set(AttemptStage::SendingHead);
         let (mut read, mut write) = stream.into_split();
-        let Ok(bytes) = head.write(framing) else { return Ending { blameless: true, ..never() } };
+        let Ok(bytes) = head.encode(framing) else { return Ending { blameless: true, ..never() } };
         let written = write.write_all(&bytes).await;
         self.0.flows.first_byte_written(forward, None);
         if written.is_err() {
             return Ending::of(classify(stage.get(), AttemptEnd::Broken));
         }
         stage.set(AttemptStage::SendingBody);
-        let upload = self.upload(body, &mut write, Encoder::new(framing), pace);
-        let answer = self.answer(forward, asked, &mut read, Incoming::new(method), stage, pace);
+        let upload = self.upload(body, &mut write, BodyEncoder::new(framing), pace);
+        let answer = self.answer(forward, asked, &mut read, ResponseDecoder::new(method), stage, pace);
         let (mut uploaded, mut sent) = (false, false);
         let mut ending = {
             tokio::pin!(upload, answer);
@@ -289,7 +290,7 @@
         &self,
         mut body: Source,
         write: &mut OwnedWriteHalf,
-        mut encoder: Encoder,
+        mut encoder: BodyEncoder,
         limits: ProgressLimits,
     ) -> Result<(), Stuck> {
         let (mut client, mut upstream) = (ProgressMonitor::new(limits), ProgressMonitor::new(limits));
@@ -346,7 +347,7 @@
         forward: &Forward,
         asked: Option<&Asked>,
         read: &mut OwnedReadHalf,
-        mut incoming: Incoming,
+        mut incoming: ResponseDecoder,
         stage: &Cell<AttemptStage>,
         limits: ProgressLimits,
     ) -> Ending {
@@ -354,7 +355,7 @@
         let mut input = BytesMut::new();
         let mut writer: Option<Writer> = None;
         let (mut whole, mut status) = (BytesMut::new(), 0);
-        let broken = |fault: Fault, stage: AttemptStage| {
+        let broken = |fault: ParseError, stage: AttemptStage| {
             warn!(target = %forward.name, error = %fault, "upstream: not an answer");
             Ending::of(classify(stage, AttemptEnd::Broken))
         };
@@ -367,8 +368,8 @@
                 };
                 match event {
                     // The server towards clients can't send trailers: they end here.
-                    Event::Interim(_) | Event::Trailers(_) => {}
-                    Event::Head(head) => {
+                    ResponseEvent::Interim(_) | ResponseEvent::Trailers(_) => {}
+                    ResponseEvent::Head(head) => {
                         status = head.status.as_u16();
                         let rejected = head.headers.get("x-rejected").is_some_and(|v| v.as_bytes() == b"1");
                         let verdict = classify(stage.get(), AttemptEnd::Status(status, rejected));
@@ -385,14 +386,14 @@
                             stage.set(AttemptStage::ReceivingResponse);
                         }
                     }
-                    Event::Data(data) => match &writer {
+                    ResponseEvent::Data(data) => match &writer {
                         Some(writer) => writer.push(data),
                         None if whole.len() + data.len() > MAX_WHOLE => {
                             return Ending::of(AttemptResult::Failed)
                         }
                         None => whole.extend_from_slice(&data),
                     },
-                    Event::End { reusable } => return self.whole(writer, whole, status, reusable),
+                    ResponseEvent::End { reusable } => return self.whole(writer, whole, status, reusable),
                 }
             }
             let mut room = IN_ONE_GO;
@@ -436,9 +437,9 @@
             match came {
                 Ok(0) => {
                     return match incoming.eof() {
-                        Ok(Some(Event::End { .. })) => self.whole(writer, whole, status, false),
+                        Ok(Some(ResponseEvent::End { .. })) => self.whole(writer, whole, status, false),
                         Ok(_) => Ending::of(classify(stage.get(), AttemptEnd::Broken)),
-                        Err(Fault::Truncated) => Ending::of(classify(stage.get(), AttemptEnd::Broken)),
+                        Err(ParseError::Truncated) => Ending::of(classify(stage.get(), AttemptEnd::Broken)),
                         Err(fault) => broken(fault, stage.get()),
                     }
                 }
--- a/proto/http1/src/hops.rs
+++ b/proto/http1/src/hops.rs
@@ -18,7 +18,7 @@
 ];
 
 /// Takes out the fields that end at this hop, those that `Connection` names among them.
-pub fn strip_hops(headers: &mut HeaderMap) {
+pub fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = (headers.get_all(header::CONNECTION).into_iter())
         .flat_map(|value| value.as_bytes().split(|b| *b == b','))
         .filter_map(|name| HeaderName::from_bytes(name.trim_ascii()).ok())
@@ -47,7 +47,7 @@
 /// Makes a client's fields those of a request to an upstream: hop-by-hop ones out, the proxy's own in. `addr`
 /// is the upstream's, for where the client gave no host.
 pub fn forward_headers(headers: &mut HeaderMap, how: &Forwarding, client: Option<IpAddr>, addr: &str) {
-    strip_hops(headers);
+    strip_hop_by_hop_headers(headers);
     let asked = headers.get(header::HOST).cloned();
     let set = |headers: &mut HeaderMap, name: &'static str, text: &str| {
         if let Ok(value) = HeaderValue::from_str(text) {
--- a/proto/http1/src/request.rs
+++ b/proto/http1/src/request.rs
@@ -1,7 +1,7 @@
 //! Requests as they go to an upstream.
 
 use crate::body::{write_fields, Framing};
-use crate::Fault;
+use crate::ParseError;
 use http::{header, HeaderMap, Method};
 
 /// What is asked for.
@@ -20,10 +20,10 @@
     ///
     /// # Errors
     /// The target can't stand in a first line, or the framing can't be a request's.
-    pub fn write(&self, framing: Framing) -> Result<Vec<u8>, Fault> {
+    pub fn encode(&self, framing: Framing) -> Result<Vec<u8>, ParseError> {
         let plain = |b: u8| b.is_ascii_graphic();
         if !self.target.starts_with('/') && self.target != "*" || !self.target.bytes().all(plain) {
-            return Err(Fault::Head("the target"));
+            return Err(ParseError::InvalidHead("the target"));
         }
         let mut out = Vec::with_capacity(256);
         out.extend_from_slice(self.method.as_str().as_bytes());
@@ -44,7 +44,7 @@
                 out.extend_from_slice(format!("content-length: {length}\r\n").as_bytes())
             }
             Framing::Chunked => out.extend_from_slice(b"transfer-encoding: chunked\r\n"),
-            Framing::UntilEnd => return Err(Fault::Length),
+            Framing::UntilClose => return Err(ParseError::InvalidLength),
         }
         out.extend_from_slice(b"\r\n");
         Ok(out)
--- a/proto/http1/src/screen.rs
+++ b/proto/http1/src/screen.rs
@@ -2,7 +2,7 @@
 //! has one reading.
 
 use crate::body::chunk_size;
-use crate::{is_chunked, stated_length, Fault, MAX_CHUNK_LINE, MAX_FIELDS, MAX_HEAD};
+use crate::{is_chunked, stated_length, ParseError, MAX_CHUNK_LINE, MAX_FIELDS, MAX_HEAD};
 
 #[derive(Clone, Debug, PartialEq)]
 enum State {
@@ -24,7 +24,7 @@
 
 /// Watches the requests of one connection go by.
 #[derive(Clone, Debug)]
-pub struct Screen {
+pub struct FramingValidator {
     state: State,
     /// The line that is coming.
     line: Vec<u8>,
@@ -32,12 +32,12 @@
     codings: Vec<Vec<u8>>,
     /// The request is of HTTP/1.1.
     modern: bool,
-    fault: Option<Fault>,
+    fault: Option<ParseError>,
 }
 
-impl Default for Screen {
+impl Default for FramingValidator {
     fn default() -> Self {
-        Screen {
+        FramingValidator {
             state: State::Head { size: 0, lines: 0 },
             line: Vec::new(),
             lengths: Vec::new(),
@@ -48,14 +48,14 @@
     }
 }
 
-impl Screen {
+impl FramingValidator {
     /// A connection that has said nothing yet.
-    pub fn new() -> Screen {
-        Screen::default()
+    pub fn new() -> FramingValidator {
+        FramingValidator::default()
     }
 
     /// Whether the connection is between requests.
-    pub fn is_between(&self) -> bool {
+    pub fn is_between_requests(&self) -> bool {
         self.state == State::Head { size: 0, lines: 0 } && self.line.is_empty()
     }
 
@@ -63,7 +63,7 @@
     ///
     /// # Errors
     /// They can't be framed in one way only; the connection must end. The same fault is told from then on.
-    pub fn feed(&mut self, mut bytes: &[u8]) -> Result<(), Fault> {
+    pub fn feed(&mut self, mut bytes: &[u8]) -> Result<(), ParseError> {
         if let Some(fault) = self.fault {
             return Err(fault);
         }
@@ -80,7 +80,7 @@
         Ok(())
     }
 
-    fn step(&mut self, bytes: &[u8]) -> Result<usize, Fault> {
+    fn step(&mut self, bytes: &[u8]) -> Result<usize, ParseError> {
         match &mut self.state {
             State::Counted(left) | State::Chunk(left) => {
                 let passed = (*left).min(bytes.len() as u64);
@@ -93,7 +93,7 @@
             }
             State::ChunkEnd(left) => {
                 if bytes[0] != b"\r\n"[2 - usize::from(*left)] {
-                    return Err(Fault::ChunkSize);
+                    return Err(ParseError::InvalidChunkSize);
                 }
                 *left -= 1;
                 if *left == 0 {
@@ -106,12 +106,16 @@
     }
 
     /// Takes bytes up to the end of the line that is coming, and looks at it once it is whole.
-    fn take_line(&mut self, bytes: &[u8]) -> Result<usize, Fault> {
+    fn take_line(&mut self, bytes: &[u8]) -> Result<usize, ParseError> {
         let end = bytes.iter().position(|b| *b == b'\n');
         let taken = &bytes[..end.map_or(bytes.len(), |at| at + 1)];
         let most = if self.state == State::Size { MAX_CHUNK_LINE } else { MAX_HEAD };
         if self.line.len() + taken.len() > most {
-            return Err(if self.state == State::Size { Fault::ChunkSize } else { Fault::HeadTooLong });
+            return Err(if self.state == State::Size {
+                ParseError::InvalidChunkSize
+            } else {
+                ParseError::HeadTooLong
+            });
         }
         self.line.extend_from_slice(taken);
         if end.is_none() {
@@ -119,7 +123,7 @@
         }
         let line = std::mem::take(&mut self.line);
         let Some(text) = line.strip_suffix(b"\r\n").filter(|l| !l.contains(&b'\r')) else {
-            return Err(Fault::BareLineEnd);
+            return Err(ParseError::InvalidLineEnding);
         };
         self.state = match self.state {
             State::Size => match chunk_size(text, false)? {
@@ -155,13 +159,13 @@
     }
 
     /// What follows a whole head.
-    fn framing(&mut self) -> Result<State, Fault> {
+    fn framing(&mut self) -> Result<State, ParseError> {
         let (lengths, codings) = (std::mem::take(&mut self.lengths), std::mem::take(&mut self.codings));
         let length = stated_length(lengths.iter().map(Vec::as_slice))?;
         let chunked = is_chunked(codings.iter().map(Vec::as_slice))?;
         Ok(match (chunked, length) {
-            (true, Some(_)) => return Err(Fault::Length),
-            (true, None) if !self.modern => return Err(Fault::Coding),
+            (true, Some(_)) => return Err(ParseError::InvalidLength),
+            (true, None) if !self.modern => return Err(ParseError::UnsupportedTransferCoding),
             (true, None) => State::Size,
             (false, None | Some(0)) => State::Head { size: 0, lines: 0 },
             (false, Some(length)) => State::Counted(length),
@@ -169,10 +173,10 @@
     }
 }
 
-fn within(size: usize, lines: usize) -> Result<(usize, usize), Fault> {
+fn within(size: usize, lines: usize) -> Result<(usize, usize), ParseError> {
     match size <= MAX_HEAD && lines <= MAX_FIELDS + 1 {
         true => Ok((size, lines)),
-        false => Err(Fault::HeadTooLong),
+        false => Err(ParseError::HeadTooLong),
     }
 }
 
@@ -181,9 +185,9 @@
 }
 
 /// `METHOD TARGET VERSION`, one blank between; whether it is HTTP/1.1.
-fn first_line(line: &[u8]) -> Result<bool, Fault> {
+fn first_line(line: &[u8]) -> Result<bool, ParseError> {
     let words: Vec<&[u8]> = line.split(|b| *b == b' ').collect();
-    let [method, target, version] = words[..] else { return Err(Fault::Head("the first line")) };
+    let [method, target, version] = words[..] else { return Err(ParseError::InvalidHead("the first line")) };
     let plain = !method.is_empty()
         && method.iter().copied().all(is_token)
         && !target.is_empty()
@@ -191,22 +195,23 @@
     match version {
         b"HTTP/1.1" if plain => Ok(true),
         b"HTTP/1.0" if plain => Ok(false),
-        _ => Err(Fault::Head("the first line")),
+        _ => Err(ParseError::InvalidHead("the first line")),
     }
 }
 
 /// `NAME: VALUE`, nothing between the name and the colon.
-fn field(line: &[u8]) -> Result<(&[u8], &[u8]), Fault> {
+fn field(line: &[u8]) -> Result<(&[u8], &[u8]), ParseError> {
     if line.starts_with(b" ") || line.starts_with(b"\t") {
-        return Err(Fault::Folded);
+        return Err(ParseError::FoldedHeader);
     }
-    let colon = line.iter().position(|b| *b == b':').ok_or(Fault::Head("a field without a colon"))?;
+    let colon =
+        line.iter().position(|b| *b == b':').ok_or(ParseError::InvalidHead("a field without a colon"))?;
     let (name, value) = (&line[..colon], line[colon + 1..].trim_ascii());
     if name.is_empty() || !name.iter().copied().all(is_token) {
-        return Err(Fault::Head("a field's name"));
+        return Err(ParseError::InvalidHead("a field's name"));
     }
     if value.iter().any(|b| *b < b' ' && *b != b'\t' || *b == 127) {
-        return Err(Fault::Head("a field's value"));
+        return Err(ParseError::InvalidHead("a field's value"));
     }
     Ok((name, value))
 }
--- a/proto/http1/tests/answers.rs
+++ b/proto/http1/tests/answers.rs
@@ -3,8 +3,8 @@
 use bytes::BytesMut;
 use http::{HeaderMap, HeaderValue, Method};
 use lineroute_http1::{
-    forward_headers, strip_hops, Decoder, Encoder, Event, Fault, Forwarding, Framing, Incoming, Piece,
-    RequestHead,
+    forward_headers, strip_hop_by_hop_headers, BodyDecoder, BodyEncoder, BodyPart, Forwarding, Framing,
+    ParseError, RequestHead, ResponseDecoder, ResponseEvent,
 };
 use proptest::prelude::*;
 use rstest::rstest;
@@ -15,15 +15,15 @@
     bytes: &[u8],
     cut: usize,
     ends: bool,
-) -> Result<(u16, Vec<u8>, usize, Option<bool>), Fault> {
-    let mut incoming = Incoming::new(method);
+) -> Result<(u16, Vec<u8>, usize, Option<bool>), ParseError> {
+    let mut incoming = ResponseDecoder::new(method);
     let (mut input, mut status, mut body, mut trailers, mut end) = (BytesMut::new(), 0, Vec::new(), 0, None);
     let mut take = |event| match event {
-        Event::Interim(_) => {}
-        Event::Head(head) => status = head.status.as_u16(),
-        Event::Data(data) => body.extend_from_slice(&data),
-        Event::Trailers(fields) => trailers = fields.len(),
-        Event::End { reusable } => end = Some(reusable),
+        ResponseEvent::Interim(_) => {}
+        ResponseEvent::Head(head) => status = head.status.as_u16(),
+        ResponseEvent::Data(data) => body.extend_from_slice(&data),
+        ResponseEvent::Trailers(fields) => trailers = fields.len(),
+        ResponseEvent::End { reusable } => end = Some(reusable),
     };
     for piece in bytes.chunks(cut) {
         input.extend_from_slice(piece);
@@ -31,7 +31,7 @@
             take(event);
         }
     }
-    if ends && !incoming.is_over() {
+    if ends && !incoming.is_finished() {
         while let Some(event) = incoming.eof()? {
             take(event);
         }
@@ -86,25 +86,31 @@
 }
 
 #[rstest]
-#[case::both_lengths("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", Fault::Length)]
-#[case::two_lengths("Content-Length: 5\r\nContent-Length: 5\r\n\r\n", Fault::Length)]
-#[case::a_list_of_lengths("Content-Length: 5, 5\r\n\r\n", Fault::Length)]
-#[case::signed("Content-Length: +5\r\n\r\n", Fault::Length)]
-#[case::huge("Content-Length: 9999999999999999999\r\n\r\n", Fault::Length)]
-#[case::another_coding("Transfer-Encoding: gzip, chunked\r\n\r\n", Fault::Coding)]
-#[case::two_codings("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", Fault::Coding)]
-#[case::bare_lf("Content-Length: 5\n\r\nhello", Fault::BareLineEnd)]
-#[case::folded("A: b\r\n c\r\n\r\n", Fault::Folded)]
-#[case::no_size("Transfer-Encoding: chunked\r\n\r\n\r\n", Fault::ChunkSize)]
-#[case::signed_size("Transfer-Encoding: chunked\r\n\r\n+5\r\nhello", Fault::ChunkSize)]
-#[case::huge_size("Transfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n", Fault::ChunkSize)]
-#[case::a_longer_size("Transfer-Encoding: chunked\r\n\r\n00000000000000005\r\n", Fault::ChunkSize)]
-#[case::bare_lf_in_chunks("Transfer-Encoding: chunked\r\n\r\n5\nhello", Fault::BareLineEnd)]
-#[case::a_longer_chunk("Transfer-Encoding: chunked\r\n\r\n5\r\nhello!", Fault::ChunkSize)]
-#[case::cut("Content-Length: 5\r\n\r\nhell", Fault::Truncated)]
-#[case::cut_in_a_chunk("Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", Fault::Truncated)]
-#[case::cut_before_the_head_ends("Content-Le", Fault::Truncated)]
-fn a_badly_framed_answer_is_a_fault_in_every_cut(#[case] rest: &str, #[case] fault: Fault) {
+#[case::both_lengths("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", ParseError::InvalidLength)]
+#[case::two_lengths("Content-Length: 5\r\nContent-Length: 5\r\n\r\n", ParseError::InvalidLength)]
+#[case::a_list_of_lengths("Content-Length: 5, 5\r\n\r\n", ParseError::InvalidLength)]
+#[case::signed("Content-Length: +5\r\n\r\n", ParseError::InvalidLength)]
+#[case::huge("Content-Length: 9999999999999999999\r\n\r\n", ParseError::InvalidLength)]
+#[case::another_coding("Transfer-Encoding: gzip, chunked\r\n\r\n", ParseError::UnsupportedTransferCoding)]
+#[case::two_codings(
+    "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n",
+    ParseError::UnsupportedTransferCoding
+)]
+#[case::bare_lf("Content-Length: 5\n\r\nhello", ParseError::InvalidLineEnding)]
+#[case::folded("A: b\r\n c\r\n\r\n", ParseError::FoldedHeader)]
+#[case::no_size("Transfer-Encoding: chunked\r\n\r\n\r\n", ParseError::InvalidChunkSize)]
+#[case::signed_size("Transfer-Encoding: chunked\r\n\r\n+5\r\nhello", ParseError::InvalidChunkSize)]
+#[case::huge_size("Transfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n", ParseError::InvalidChunkSize)]
+#[case::a_longer_size(
+    "Transfer-Encoding: chunked\r\n\r\n00000000000000005\r\n",
+    ParseError::InvalidChunkSize
+)]
+#[case::bare_lf_in_chunks("Transfer-Encoding: chunked\r\n\r\n5\nhello", ParseError::InvalidLineEnding)]
+#[case::a_longer_chunk("Transfer-Encoding: chunked\r\n\r\n5\r\nhello!", ParseError::InvalidChunkSize)]
+#[case::cut("Content-Length: 5\r\n\r\nhell", ParseError::Truncated)]
+#[case::cut_in_a_chunk("Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", ParseError::Truncated)]
+#[case::cut_before_the_head_ends("Content-Le", ParseError::Truncated)]
+fn a_badly_framed_answer_is_a_fault_in_every_cut(#[case] rest: &str, #[case] fault: ParseError) {
     let text = format!("HTTP/1.1 200 OK\r\n{rest}");
     for cut in 1..=text.len() {
         assert_eq!(read(Method::GET, text.as_bytes(), cut, true), Err(fault), "cut {cut}");
@@ -114,12 +120,15 @@
 #[test]
 fn heads_are_bounded_and_other_protocols_are_not_taken() {
     let many = format!("HTTP/1.1 200 OK\r\n{}\r\n", "A: b\r\n".repeat(101));
-    assert_eq!(read(Method::GET, many.as_bytes(), 1000, true), Err(Fault::HeadTooLong));
+    assert_eq!(read(Method::GET, many.as_bytes(), 1000, true), Err(ParseError::HeadTooLong));
     let long = format!("HTTP/1.1 200 OK\r\nA: {}\r\n\r\n", "b".repeat(40_000));
-    assert_eq!(read(Method::GET, long.as_bytes(), 1000, true), Err(Fault::HeadTooLong));
+    assert_eq!(read(Method::GET, long.as_bytes(), 1000, true), Err(ParseError::HeadTooLong));
     let interims = "HTTP/1.1 102 Processing\r\n\r\n".repeat(20);
     for text in ["HTTP/1.1 101 Switch\r\n\r\n", &interims, "SSH-2.0-x\r\n\r\n", "HTTP/1.1 999999 x\r\n\r\n"] {
-        assert!(matches!(read(Method::GET, text.as_bytes(), 1000, true), Err(Fault::Head(_))), "{text}");
+        assert!(
+            matches!(read(Method::GET, text.as_bytes(), 1000, true), Err(ParseError::InvalidHead(_))),
+            "{text}"
+        );
     }
 }
 
@@ -129,17 +138,17 @@
     headers.insert("host", HeaderValue::from_static("app"));
     headers.insert("content-length", HeaderValue::from_static("99"));
     let head = RequestHead { method: Method::PUT, target: "/a?b=c".into(), headers };
-    let text = |framing| String::from_utf8(head.write(framing).expect("a head")).expect("text");
+    let text = |framing| String::from_utf8(head.encode(framing).expect("a head")).expect("text");
     assert_eq!(
         text(Framing::Chunked),
         "PUT /a?b=c HTTP/1.1\r\nhost: app\r\ntransfer-encoding: chunked\r\n\r\n"
     );
     assert!(text(Framing::Length(7)).ends_with("content-length: 7\r\n\r\n"));
     assert!(text(Framing::None).ends_with("content-length: 0\r\n\r\n"));
-    assert!(head.write(Framing::UntilEnd).is_err());
+    assert!(head.encode(Framing::UntilClose).is_err());
     for target in ["", "a", "/a b", "/a\r\nX: y", "/\u{7f}", "/ä"] {
         assert!(
-            RequestHead { target: target.into(), ..head.clone() }.write(Framing::None).is_err(),
+            RequestHead { target: target.into(), ..head.clone() }.encode(Framing::None).is_err(),
             "{target:?}"
         );
     }
@@ -148,11 +157,11 @@
 #[test]
 fn a_body_is_neither_longer_nor_shorter_than_was_stated() {
     let mut out = Vec::new();
-    let mut encoder = Encoder::new(Framing::Length(5));
+    let mut encoder = BodyEncoder::new(Framing::Length(5));
     assert!(encoder.data(3, &mut out).is_ok() && encoder.end(None, &mut out).is_err());
     assert!(encoder.data(3, &mut out).is_err());
     assert!(encoder.data(2, &mut out).is_ok() && encoder.end(None, &mut out).is_ok() && out.is_empty());
-    assert!(Encoder::new(Framing::None).data(1, &mut out).is_err());
+    assert!(BodyEncoder::new(Framing::None).data(1, &mut out).is_err());
 }
 
 #[test]
@@ -174,7 +183,7 @@
         headers.append(name, HeaderValue::from_static(value));
     }
     let mut bare = headers.clone();
-    strip_hops(&mut bare);
+    strip_hop_by_hop_headers(&mut bare);
     let mut left: Vec<&str> = bare.keys().map(|k| k.as_str()).collect();
     left.sort_unstable();
     assert_eq!(left, ["accept", "host", "via", "x-forwarded-for"]);
@@ -211,7 +220,7 @@
     ) {
         let whole: Vec<u8> = chunks.concat();
         let framing = if chunked { Framing::Chunked } else { Framing::Length(whole.len() as u64) };
-        let (mut encoder, mut wire) = (Encoder::new(framing), Vec::new());
+        let (mut encoder, mut wire) = (BodyEncoder::new(framing), Vec::new());
         for chunk in &chunks {
             let behind = encoder.data(chunk.len(), &mut wire).expect("as stated");
             wire.extend_from_slice(chunk);
@@ -219,16 +228,16 @@
         }
         encoder.end(None, &mut wire).expect("as stated");
         wire.extend_from_slice(b"NEXT");
-        let (mut decoder, mut input, mut body) = (Decoder::new(framing, false), BytesMut::new(), Vec::new());
+        let (mut decoder, mut input, mut body) = (BodyDecoder::new(framing, false), BytesMut::new(), Vec::new());
         for piece in wire.chunks(cut) {
             input.extend_from_slice(piece);
             while let Some(piece) = decoder.next(&mut input).expect("well framed") {
-                if let Piece::Data(data) = piece {
+                if let BodyPart::Data(data) = piece {
                     body.extend_from_slice(&data);
                 }
             }
         }
-        prop_assert!(decoder.is_over());
+        prop_assert!(decoder.is_finished());
         prop_assert_eq!(body, whole);
         prop_assert_eq!(&input[..], b"NEXT");
     }
--- a/proto/http1/tests/screen.rs
+++ b/proto/http1/tests/screen.rs
@@ -1,6 +1,6 @@
 //! What clients frame: one reading, or none.
 
-use lineroute_http1::{Fault, Screen};
+use lineroute_http1::{FramingValidator, ParseError};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -13,12 +13,12 @@
     "POST / HTTP/1.0\r\nContent-Length: 0\r\n\r\n",
 ];
 
-fn feed(text: &[u8], cut: usize) -> Result<bool, Fault> {
-    let mut screen = Screen::new();
+fn feed(text: &[u8], cut: usize) -> Result<bool, ParseError> {
+    let mut screen = FramingValidator::new();
     for piece in text.chunks(cut) {
         screen.feed(piece)?;
     }
-    Ok(screen.is_between())
+    Ok(screen.is_between_requests())
 }
 
 #[test]
@@ -31,66 +31,96 @@
 }
 
 #[rstest]
-#[case::both("POST / HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", Fault::Length)]
+#[case::both(
+    "POST / HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n",
+    ParseError::InvalidLength
+)]
 #[case::both_the_other_way(
     "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n",
-    Fault::Length
-)]
-#[case::doubled("POST / HTTP/1.1\r\nContent-Length: 5\r\nContent-Length: 5\r\n\r\n", Fault::Length)]
-#[case::listed("POST / HTTP/1.1\r\nContent-Length: 5,5\r\n\r\n", Fault::Length)]
-#[case::signed("POST / HTTP/1.1\r\nContent-Length: +5\r\n\r\n", Fault::Length)]
-#[case::negative("POST / HTTP/1.1\r\nContent-Length: -5\r\n\r\n", Fault::Length)]
-#[case::hexadecimal("POST / HTTP/1.1\r\nContent-Length: 0x5\r\n\r\n", Fault::Length)]
-#[case::empty_length("POST / HTTP/1.1\r\nContent-Length: \r\n\r\n", Fault::Length)]
-#[case::too_large("POST / HTTP/1.1\r\nContent-Length: 18446744073709551617\r\n\r\n", Fault::Length)]
-#[case::other_coding("POST / HTTP/1.1\r\nTransfer-Encoding: xchunked\r\n\r\n", Fault::Coding)]
-#[case::two_codings("POST / HTTP/1.1\r\nTransfer-Encoding: chunked, identity\r\n\r\n", Fault::Coding)]
+    ParseError::InvalidLength
+)]
+#[case::doubled(
+    "POST / HTTP/1.1\r\nContent-Length: 5\r\nContent-Length: 5\r\n\r\n",
+    ParseError::InvalidLength
+)]
+#[case::listed("POST / HTTP/1.1\r\nContent-Length: 5,5\r\n\r\n", ParseError::InvalidLength)]
+#[case::signed("POST / HTTP/1.1\r\nContent-Length: +5\r\n\r\n", ParseError::InvalidLength)]
+#[case::negative("POST / HTTP/1.1\r\nContent-Length: -5\r\n\r\n", ParseError::InvalidLength)]
+#[case::hexadecimal("POST / HTTP/1.1\r\nContent-Length: 0x5\r\n\r\n", ParseError::InvalidLength)]
+#[case::empty_length("POST / HTTP/1.1\r\nContent-Length: \r\n\r\n", ParseError::InvalidLength)]
+#[case::too_large(
+    "POST / HTTP/1.1\r\nContent-Length: 18446744073709551617\r\n\r\n",
+    ParseError::InvalidLength
+)]
+#[case::other_coding(
+    "POST / HTTP/1.1\r\nTransfer-Encoding: xchunked\r\n\r\n",
+    ParseError::UnsupportedTransferCoding
+)]
+#[case::two_codings(
+    "POST / HTTP/1.1\r\nTransfer-Encoding: chunked, identity\r\n\r\n",
+    ParseError::UnsupportedTransferCoding
+)]
 #[case::doubled_coding(
     "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n",
-    Fault::Coding
+    ParseError::UnsupportedTransferCoding
+)]
+#[case::old_and_chunked(
+    "POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n",
+    ParseError::UnsupportedTransferCoding
 )]
-#[case::old_and_chunked("POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n", Fault::Coding)]
 #[case::space_before_the_colon(
     "POST / HTTP/1.1\r\nTransfer-Encoding : chunked\r\n\r\n",
-    Fault::Head("a field's name")
-)]
-#[case::folded("POST / HTTP/1.1\r\nA: b\r\n Transfer-Encoding: chunked\r\n\r\n", Fault::Folded)]
-#[case::folded_first("POST / HTTP/1.1\r\n A: b\r\n\r\n", Fault::Folded)]
-#[case::bare_lf("POST / HTTP/1.1\r\nA: b\nContent-Length: 5\r\n\r\n", Fault::BareLineEnd)]
-#[case::bare_lf_at_the_first_line("GET / HTTP/1.1\n\n", Fault::BareLineEnd)]
-#[case::bare_cr("GET / HTTP/1.1\r\nA: b\rContent-Length: 5\r\n\r\n", Fault::BareLineEnd)]
-#[case::no_colon("GET / HTTP/1.1\r\nA b\r\n\r\n", Fault::Head("a field without a colon"))]
-#[case::a_zero_byte("GET / HTTP/1.1\r\nA: b\0\r\n\r\n", Fault::Head("a field's value"))]
-#[case::four_words("GET / x HTTP/1.1\r\n\r\n", Fault::Head("the first line"))]
-#[case::two_blanks("GET  / HTTP/1.1\r\n\r\n", Fault::Head("the first line"))]
-#[case::another_version("GET / HTTP/2.0\r\n\r\n", Fault::Head("the first line"))]
-#[case::no_version("GET /\r\n\r\n", Fault::Head("the first line"))]
-#[case::two_empty_lines("\r\n\r\nGET / HTTP/1.1\r\n\r\n", Fault::Head("the first line"))]
+    ParseError::InvalidHead("a field's name")
+)]
+#[case::folded("POST / HTTP/1.1\r\nA: b\r\n Transfer-Encoding: chunked\r\n\r\n", ParseError::FoldedHeader)]
+#[case::folded_first("POST / HTTP/1.1\r\n A: b\r\n\r\n", ParseError::FoldedHeader)]
+#[case::bare_lf("POST / HTTP/1.1\r\nA: b\nContent-Length: 5\r\n\r\n", ParseError::InvalidLineEnding)]
+#[case::bare_lf_at_the_first_line("GET / HTTP/1.1\n\n", ParseError::InvalidLineEnding)]
+#[case::bare_cr("GET / HTTP/1.1\r\nA: b\rContent-Length: 5\r\n\r\n", ParseError::InvalidLineEnding)]
+#[case::no_colon("GET / HTTP/1.1\r\nA b\r\n\r\n", ParseError::InvalidHead("a field without a colon"))]
+#[case::a_zero_byte("GET / HTTP/1.1\r\nA: b\0\r\n\r\n", ParseError::InvalidHead("a field's value"))]
+#[case::four_words("GET / x HTTP/1.1\r\n\r\n", ParseError::InvalidHead("the first line"))]
+#[case::two_blanks("GET  / HTTP/1.1\r\n\r\n", ParseError::InvalidHead("the first line"))]
+#[case::another_version("GET / HTTP/2.0\r\n\r\n", ParseError::InvalidHead("the first line"))]
+#[case::no_version("GET /\r\n\r\n", ParseError::InvalidHead("the first line"))]
+#[case::two_empty_lines("\r\n\r\nGET / HTTP/1.1\r\n\r\n", ParseError::InvalidHead("the first line"))]
 #[case::extension(
     "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5;a=b\r\nhello\r\n0\r\n\r\n",
-    Fault::ChunkExtension
+    ParseError::ChunkExtension
+)]
+#[case::signed_chunk(
+    "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n+5\r\n",
+    ParseError::InvalidChunkSize
+)]
+#[case::spaced_chunk(
+    "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5 \r\n",
+    ParseError::InvalidChunkSize
+)]
+#[case::prefixed_chunk(
+    "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0x5\r\n",
+    ParseError::InvalidChunkSize
 )]
-#[case::signed_chunk("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n+5\r\n", Fault::ChunkSize)]
-#[case::spaced_chunk("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5 \r\n", Fault::ChunkSize)]
-#[case::prefixed_chunk("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0x5\r\n", Fault::ChunkSize)]
 #[case::huge_chunk(
     "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfffffffffffffffff\r\n",
-    Fault::ChunkSize
+    ParseError::InvalidChunkSize
 )]
 #[case::wrapping_chunk(
     "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n",
-    Fault::ChunkSize
+    ParseError::InvalidChunkSize
+)]
+#[case::chunk_and_lf(
+    "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\nhello\r\n",
+    ParseError::InvalidLineEnding
 )]
-#[case::chunk_and_lf("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\nhello\r\n", Fault::BareLineEnd)]
 #[case::chunk_too_short(
     "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nhello\r\n0\r\n\r\n",
-    Fault::ChunkSize
+    ParseError::InvalidChunkSize
 )]
 #[case::chunk_too_long(
     "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhello\r\n0\r\n\r\n",
-    Fault::ChunkSize
+    ParseError::InvalidChunkSize
 )]
-fn what_can_be_read_in_two_ways_is_a_fault_in_every_cut(#[case] text: &str, #[case] fault: Fault) {
+fn what_can_be_read_in_two_ways_is_a_fault_in_every_cut(#[case] text: &str, #[case] fault: ParseError) {
     for cut in 1..=text.len() {
         assert_eq!(feed(text.as_bytes(), cut), Err(fault), "cut {cut}");
     }
@@ -103,9 +133,9 @@
     let long = format!("GET /{} HTTP/1.1\r\n\r\n", "x".repeat(40_000));
     let many = format!("GET / HTTP/1.1\r\n{}\r\n", "A: b\r\n".repeat(200));
     let endless = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n".to_owned() + &"0".repeat(1000);
-    assert_eq!(feed(long.as_bytes(), 100), Err(Fault::HeadTooLong));
-    assert_eq!(feed(many.as_bytes(), 100), Err(Fault::HeadTooLong));
-    assert_eq!(feed(endless.as_bytes(), 100), Err(Fault::ChunkSize));
+    assert_eq!(feed(long.as_bytes(), 100), Err(ParseError::HeadTooLong));
+    assert_eq!(feed(many.as_bytes(), 100), Err(ParseError::HeadTooLong));
+    assert_eq!(feed(endless.as_bytes(), 100), Err(ParseError::InvalidChunkSize));
 }
 
 proptest! {
