--- a/distribution/src/subscriber.rs
+++ b/distribution/src/subscriber.rs
@@ -30,11 +30,11 @@
 
 /// What a subscriber is set up with.
 #[derive(Clone, Debug, Default)]
-pub struct Setup {
+pub struct SubscriberConfig {
     /// Partitions in the order in which they are wanted: the first ones are those without which nothing can be served.
     pub priority: Vec<Partition>,
     /// How many of these are essential.
-    pub essential: usize,
+    pub essential_partitions: usize,
     /// Spans and rates.
     pub timing: Timing,
     /// Bounds of the copy.
@@ -163,7 +163,7 @@
 /// A dispatcher's copy, and how it is kept.
 #[derive(Clone, Debug)]
 pub struct Subscriber {
-    setup: Setup,
+    config: SubscriberConfig,
     replica: Replica,
     upstreams: Upstreams,
     synchronization: Synchronization,
@@ -186,20 +186,20 @@
 
 impl Subscriber {
     /// A subscriber that begins, with what it has kept or with nothing. What is kept is verified before it counts.
-    pub fn new(setup: Setup, replica: Option<Replica>, now: Time) -> Subscriber {
-        let mut random = fastrand::Rng::with_seed(setup.seed);
-        let poll_every = setup.timing.poll_every;
-        let mut replica = replica.unwrap_or_else(|| Replica::new(setup.limits.clone()));
+    pub fn new(config: SubscriberConfig, replica: Option<Replica>, now: Time) -> Subscriber {
+        let mut random = fastrand::Rng::with_seed(config.seed);
+        let poll_every = config.timing.poll_every;
+        let mut replica = replica.unwrap_or_else(|| Replica::new(config.limits.clone()));
         replica.unverify();
         Subscriber {
             replica,
-            upstreams: Upstreams::new(setup.versions),
+            upstreams: Upstreams::new(config.versions),
             synchronization: Synchronization::default(),
             outstanding: None,
             recent: VecDeque::new(),
             next_number: random.u32(..),
             round_trip: Duration::ZERO,
-            budget: ByteBudget::new(setup.timing.bytes_per_second, setup.timing.bytes_per_second, now),
+            budget: ByteBudget::new(config.timing.bytes_per_second, config.timing.bytes_per_second, now),
             // Those that were started together do not ask together.
             changes_due: now + random_part(&mut random, poll_every),
             digests_due: now,
@@ -209,7 +209,7 @@
             all: None,
             counts: Counts::default(),
             random,
-            setup,
+            config,
         }
     }
 
@@ -235,22 +235,22 @@
 
     /// How old the log is at most, as far as its changes were applied; none before the first answer.
     pub fn log_age(&self, now: Time) -> Option<Duration> {
-        self.log.map(|confirmed| confirmed.age_at(now, &self.setup.timing))
+        self.log.map(|confirmed| confirmed.age_at(now, &self.config.timing))
     }
 
     /// How old the essential partitions are at most; none before they were known.
     pub fn essential_age(&self, now: Time) -> Option<Duration> {
-        self.essential.map(|confirmed| confirmed.age_at(now, &self.setup.timing))
+        self.essential.map(|confirmed| confirmed.age_at(now, &self.config.timing))
     }
 
     /// How old the whole copy is at most; none before all of it was known.
     pub fn age(&self, now: Time) -> Option<Duration> {
-        self.all.map(|confirmed| confirmed.age_at(now, &self.setup.timing))
+        self.all.map(|confirmed| confirmed.age_at(now, &self.config.timing))
     }
 
     /// What this process may do by its copy alone.
     pub fn standing(&self, now: Time) -> Standing {
-        let bound = self.setup.timing.staleness_bound;
+        let bound = self.config.timing.staleness_bound;
         let is_within = |age: Option<Duration>| age.is_some_and(|age| age <= bound);
         match (self.essential_age(now), self.age(now)) {
             (_, all) if is_within(all) => Standing::Fresh,
@@ -281,7 +281,7 @@
             return outstanding.deadline;
         }
         if self.upstreams.is_empty() {
-            return now + self.setup.timing.poll_every;
+            return now + self.config.timing.poll_every;
         }
         let affordable_at = now + self.budget.wait_for(LEAST_CONTENTS, now);
         let work_at = if self.replica.position().is_none() || self.replica.is_complete() {
@@ -305,7 +305,7 @@
         if now < self.quiet_until {
             return None;
         }
-        let upstream = self.upstreams.current(now, &self.setup.timing)?;
+        let upstream = self.upstreams.current(now, &self.config.timing)?;
         let request = self.next_request(now, upstream.role.service())?;
         Some(self.send(now, upstream, request))
     }
@@ -316,7 +316,7 @@
     /// It was not taken; [`ReceiveError`] says why. The subscriber goes on by itself.
     pub fn receive(&mut self, now: Time, from: PeerId, bytes: &[u8]) -> Result<Received, ReceiveError> {
         self.count_bytes(bytes.len(), now);
-        let (header, message) = Message::decode(bytes, self.setup.versions)?;
+        let (header, message) = Message::decode(bytes, self.config.versions)?;
         let is_answer = |open: &Outstanding| open.number == header.number && open.upstream.peer == from;
         let Some(outstanding) = self.outstanding.take_if(|open| is_answer(open)) else {
             self.learn_from_late(header.number, now);
@@ -336,7 +336,7 @@
     }
 
     fn next_request(&mut self, now: Time, service: Service) -> Option<Request> {
-        let longest = self.setup.timing.longest_answer;
+        let longest = self.config.timing.longest_answer;
         let available = self.budget.available(now);
         if now >= self.changes_due {
             let ask = Ask::Changes { after: self.replica.position() };
@@ -374,12 +374,12 @@
     }
 
     fn timeout(&self) -> Duration {
-        let timing = &self.setup.timing;
+        let timing = &self.config.timing;
         (self.round_trip * TIMEOUT_ROUND_TRIPS).clamp(timing.shortest_timeout, timing.longest_timeout)
     }
 
     fn count_bytes(&mut self, bytes: usize, now: Time) {
-        let bytes = bytes + self.setup.timing.message_overhead as usize;
+        let bytes = bytes + self.config.timing.message_overhead as usize;
         self.counts.bytes += bytes as u64;
         self.budget.spend(bytes, now);
     }
@@ -413,10 +413,10 @@
     fn failed(&mut self, now: Time, is_of_no_use: bool) {
         self.counts.failures += 1;
         let failures = self.upstreams.failures();
-        if self.upstreams.failed(now, &self.setup.timing, is_of_no_use) {
+        if self.upstreams.failed(now, &self.config.timing, is_of_no_use) {
             self.counts.failovers += 1;
         }
-        let timing = &self.setup.timing;
+        let timing = &self.config.timing;
         let is_lost = self.log_age(now).is_none_or(|age| age > timing.staleness_bound)
             && failures as usize >= timing.failures_before_failover as usize * self.upstreams.len().max(1);
         let longest = if is_lost { timing.stale_backoff } else { timing.longest_backoff };
@@ -455,7 +455,7 @@
             }
             Answer::Partitions(digests) => {
                 // A relay that is still fetching itself is asked again, though not at once.
-                self.digests_due = now + self.setup.timing.poll_every * POLLS_BETWEEN_DIGESTS;
+                self.digests_due = now + self.config.timing.poll_every * POLLS_BETWEEN_DIGESTS;
                 let changes = self.take_partitions(now, &digests)?;
                 self.leave_one_that_lacks_the_essential(now);
                 changes
@@ -482,7 +482,7 @@
             Answer::Lagging | Answer::NotServing => return Err(ReceiveError::NotServing),
         };
         self.upstreams.succeeded();
-        if age > self.setup.timing.stale_upstream {
+        if age > self.config.timing.stale_upstream {
             self.fail_over(now);
         }
         Ok(Received { changes })
@@ -528,7 +528,7 @@
     }
 
     fn schedule_changes(&mut self, now: Time, is_at_head: bool) {
-        let poll_every = self.setup.timing.poll_every;
+        let poll_every = self.config.timing.poll_every;
         self.changes_due = match is_at_head {
             // Half of it at random, so that those that began together drift apart.
             true => now + poll_every * 3 / 4 + random_part(&mut self.random, poll_every / 2),
@@ -538,7 +538,7 @@
 
     /// The copy is as new as the relay's was when the question went out, and that was so old.
     fn confirm(&mut self, sent_at: Time, age: Duration, digest: Option<u64>) {
-        let timing = &self.setup.timing;
+        let timing = &self.config.timing;
         let new = Confirmed { at: sent_at, age };
         let newer = |old: Option<Confirmed>| match old {
             Some(old) if old.age_at(sent_at, timing) < age => Some(old),
@@ -567,8 +567,8 @@
         }
         self.counts.resynchronizations += 1;
         self.replica.adopt(digests.position);
-        self.digests_due = now + self.setup.timing.poll_every * POLLS_BETWEEN_DIGESTS;
-        Ok(self.synchronization.begin(&mut self.replica, digests, &self.setup.priority)?)
+        self.digests_due = now + self.config.timing.poll_every * POLLS_BETWEEN_DIGESTS;
+        Ok(self.synchronization.begin(&mut self.replica, digests, &self.config.priority)?)
     }
 
     fn take_partitions(
@@ -577,7 +577,7 @@
         digests: &PartitionDigests,
     ) -> Result<Vec<Change>, ReceiveError> {
         self.check_position(now, digests.position)?;
-        Ok(self.synchronization.begin(&mut self.replica, digests, &self.setup.priority)?)
+        Ok(self.synchronization.begin(&mut self.replica, digests, &self.config.priority)?)
     }
 
     /// Digests and ranges have to be of this epoch, and not older than the copy.
@@ -596,14 +596,14 @@
     }
 
     fn wait_for_busy(&mut self, now: Time, retry_after_ms: u32) {
-        let longest = self.setup.timing.stale_backoff;
+        let longest = self.config.timing.stale_backoff;
         let wait = Duration::from_millis(u64::from(retry_after_ms)).min(longest);
         self.quiet_until = now + wait / 2 + random_part(&mut self.random, wait);
     }
 
     /// What is not essential waits until the essential partitions are known.
     fn must_wait(&self, step: &Step) -> bool {
-        let mut essential = self.setup.priority.iter().take(self.setup.essential);
+        let mut essential = self.config.priority.iter().take(self.config.essential_partitions);
         let is_essential = match step {
             Step::Compare(partition) => essential.any(|known| known == partition),
             Step::Fetch(ranges) => {
@@ -614,17 +614,17 @@
     }
 
     fn knows_the_essential(&self) -> bool {
-        let mut essential = self.setup.priority.iter().take(self.setup.essential);
+        let mut essential = self.config.priority.iter().take(self.config.essential_partitions);
         essential.all(|partition| self.replica.is_verified(partition))
     }
 
     /// A relay that has just started itself may have nothing of what is needed most: another one is asked, and the
     /// first one again in its turn.
     fn leave_one_that_lacks_the_essential(&mut self, now: Time) {
-        let essential = self.setup.priority.iter().take(self.setup.essential);
+        let essential = self.config.priority.iter().take(self.config.essential_partitions);
         let is_to_come = self.synchronization.holds_any(essential);
         if !is_to_come && !self.knows_the_essential() {
-            self.digests_due = now + self.setup.timing.poll_every;
+            self.digests_due = now + self.config.timing.poll_every;
             self.fail_over(now);
         }
     }
--- a/distribution/tests/checks.rs
+++ b/distribution/tests/checks.rs
@@ -7,7 +7,7 @@
 use lineroute_distribution::publisher::Publisher;
 use lineroute_distribution::record::{Change, Partition};
 use lineroute_distribution::replica::Replica;
-use lineroute_distribution::subscriber::{ReceiveError, Setup, Subscriber, Transmit};
+use lineroute_distribution::subscriber::{ReceiveError, Subscriber, SubscriberConfig, Transmit};
 use lineroute_distribution::timing::{Limits, Timing};
 use lineroute_distribution::upstream::{PeerId, Role, Upstream};
 use lineroute_distribution::Time;
@@ -27,7 +27,7 @@
         let mut publisher =
             Publisher::new(replica, TOKEN, 1_000_000, Versions::default(), timing, Time::ZERO);
         publisher.publish_list(list(2, 40)).expect("it fits");
-        let mut subscriber = Subscriber::new(Setup::default(), None, Time::ZERO);
+        let mut subscriber = Subscriber::new(SubscriberConfig::default(), None, Time::ZERO);
         let upstream = |peer| Upstream { peer: PeerId(peer), role: Role::Relay(peer), token: TOKEN };
         let source = Upstream { peer: PeerId(0), role: Role::Source, token: TOKEN };
         subscriber.set_upstreams(&[source, upstream(1), upstream(2)]);
@@ -227,7 +227,11 @@
 fn what_is_not_essential_waits_for_what_is() {
     let own = Partition::Zone(common::zone_name(1));
     let mut pair = Pair::new();
-    let setup = Setup { priority: vec![own.clone()], essential: 1, ..Setup::default() };
+    let setup = SubscriberConfig {
+        priority: vec![own.clone()],
+        essential_partitions: 1,
+        ..SubscriberConfig::default()
+    };
     pair.subscriber = Subscriber::new(setup, None, Time::ZERO);
     let source = Upstream { peer: PeerId(0), role: Role::Source, token: TOKEN };
     pair.subscriber.set_upstreams(&[source]);
--- a/distribution/tests/common/mod.rs
+++ b/distribution/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use lineroute_distribution::publisher::{ListedWorker, Publisher};
 use lineroute_distribution::record::Partition;
 use lineroute_distribution::relay::{Relay, RELAY_BYTES_PER_SECOND};
-use lineroute_distribution::subscriber::{Setup, Standing, Subscriber};
+use lineroute_distribution::subscriber::{Standing, Subscriber, SubscriberConfig};
 use lineroute_distribution::timing::{Limits, Timing};
 use lineroute_distribution::upstream::{PeerId, Role, Upstream};
 use lineroute_distribution::{Time, Token};
@@ -175,10 +175,10 @@
         number
     }
 
-    fn setup(&self, zone: usize, seed: u64, versions: Versions) -> Setup {
-        Setup {
+    fn setup(&self, zone: usize, seed: u64, versions: Versions) -> SubscriberConfig {
+        SubscriberConfig {
             priority: vec![Partition::Configuration, Partition::Zone(zone_name(zone))],
-            essential: 2,
+            essential_partitions: 2,
             timing: self.timing.clone(),
             limits: self.limits.clone(),
             versions,
--- a/distribution/tests/hard_cases.rs
+++ b/distribution/tests/hard_cases.rs
@@ -8,7 +8,7 @@
 use lineroute_distribution::publisher::{PublishError, Publisher};
 use lineroute_distribution::record::{Change, Partition};
 use lineroute_distribution::replica::Replica;
-use lineroute_distribution::subscriber::{ReceiveError, Setup, Standing, Subscriber};
+use lineroute_distribution::subscriber::{ReceiveError, Standing, Subscriber, SubscriberConfig};
 use lineroute_distribution::timing::{Limits, Timing};
 use lineroute_distribution::upstream::{PeerId, Role, Upstream};
 use lineroute_distribution::Time;
@@ -435,7 +435,7 @@
 #[test]
 fn numbers_of_questions_wrap() {
     // Seeds are tried until one begins right before the end.
-    let setup = |seed| Setup { seed, ..Setup::default() };
+    let setup = |seed| SubscriberConfig { seed, ..SubscriberConfig::default() };
     let first = |seed| fastrand::Rng::with_seed(seed).u32(..);
     let seed = (0..).find(|seed| first(*seed) > u32::MAX - 4_000_000).expect("there is one");
     let mut subscriber = Subscriber::new(setup(seed), None, Time::ZERO);
@@ -507,7 +507,7 @@
     let mut publisher = Publisher::new(replica, 7, 1_000_000, Versions::default(), timing, Time::ZERO);
     publisher.publish_list(list(1, 40)).expect("it fits");
     publisher.confirm(Time::ZERO);
-    let mut subscriber = Subscriber::new(Setup::default(), None, Time::ZERO);
+    let mut subscriber = Subscriber::new(SubscriberConfig::default(), None, Time::ZERO);
     subscriber.set_upstreams(&[Upstream { peer: PeerId(0), role: Role::Source, token: 7 }]);
     let partition = Partition::Zone(common::zone_name(0));
     let (mut now, mut exchanges, mut seen) = (Time::ZERO, 0, false);
--- a/fuzz/fuzz_targets/distribution.rs
+++ b/fuzz/fuzz_targets/distribution.rs
@@ -6,7 +6,7 @@
 use lineroute_distribution::message::{Message, Versions};
 use lineroute_distribution::publisher::{ListedWorker, Publisher};
 use lineroute_distribution::replica::Replica;
-use lineroute_distribution::subscriber::{Setup, Subscriber};
+use lineroute_distribution::subscriber::{Subscriber, SubscriberConfig};
 use lineroute_distribution::timing::{Limits, Timing};
 use lineroute_distribution::upstream::{PeerId, Role, Upstream};
 use lineroute_distribution::worker::Worker;
@@ -41,7 +41,11 @@
     }
     let _ = Worker::decode(data);
     let mut source = source();
-    let mut subscriber = Subscriber::new(Setup { limits: limits(), ..Setup::default() }, None, Duration::ZERO);
+    let mut subscriber = Subscriber::new(
+        SubscriberConfig { limits: limits(), ..SubscriberConfig::default() },
+        None,
+        Duration::ZERO,
+    );
     let upstream = Upstream { peer: PeerId(1), role: Role::Source, token: TOKEN };
     subscriber.set_upstreams(&[upstream]);
     let (mut now, mut rest) = (Duration::from_secs(1), data);
--- a/lab/src/scale/distribution/world.rs
+++ b/lab/src/scale/distribution/world.rs
@@ -8,7 +8,7 @@
 use lineroute_distribution::record::Partition;
 use lineroute_distribution::relay::{Relay, RELAY_BYTES_PER_SECOND};
 use lineroute_distribution::replica::Replica;
-use lineroute_distribution::subscriber::{Setup, Subscriber};
+use lineroute_distribution::subscriber::{Subscriber, SubscriberConfig};
 use lineroute_distribution::timing::{Limits, Timing};
 use lineroute_distribution::upstream::{PeerId, Role, Upstream};
 use lineroute_distribution::worker::{Worker, WorkerState};
@@ -322,9 +322,9 @@
     fn start_dispatcher(&mut self, number: u16) {
         let zone = self.node(number).zone;
         let own = Partition::Zone(format!("z{zone:02}"));
-        let setup = Setup {
+        let setup = SubscriberConfig {
             priority: vec![Partition::Configuration, own],
-            essential: 2,
+            essential_partitions: 2,
             timing: self.timing.clone(),
             limits: Limits::default(),
             versions: Versions::default(),
