--- a/proto/http1/src/lib.rs
+++ b/proto/http1/src/lib.rs
@@ -7,16 +7,16 @@
 #![warn(missing_docs)]
 
 mod body;
+mod framing_validator;
 mod hops;
 mod request;
 mod response;
-mod screen;
 
 pub use body::{BodyDecoder, BodyEncoder, BodyPart, Framing, LengthMismatch};
+pub use framing_validator::FramingValidator;
 pub use hops::{forward_headers, strip_hop_by_hop_headers, Forwarding};
 pub use request::RequestHead;
 pub use response::{ResponseDecoder, ResponseEvent, ResponseHead};
-pub use screen::FramingValidator;
 
 use thiserror::Error;
 
--- a/stream/src/lib.rs
+++ b/stream/src/lib.rs
@@ -6,12 +6,12 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod attempt;
 mod budget;
-mod pace;
+mod progress;
 mod replay;
-mod verdict;
 
+pub use attempt::{classify, AttemptEnd, AttemptResult, AttemptStage};
 pub use budget::{Budget, Share};
-pub use pace::{ProgressLimits, ProgressMonitor, Slow};
+pub use progress::{ProgressLimits, ProgressMonitor, Slow};
 pub use replay::{ReplayBuffer, ReplayCursor};
-pub use verdict::{classify, AttemptEnd, AttemptResult, AttemptStage};
