--- a/stream/src/attempt.rs
+++ b/stream/src/attempt.rs
@@ -1,76 +1,76 @@
-//! What an attempt at an upstream that answers on the connection says of whether it has run.
+//! Classifies the end of an attempt at an HTTP upstream by whether the request may have been executed.
 //!
-//! In doubt it has. The whole table is in [`classify`]; the tests hold it line by line.
+//! In doubt the request counts as executed. [`classify`] contains the whole table; the tests check it line by line.
 
-/// How far an attempt had come.
+/// The phase that an attempt had reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStage {
     /// No connection yet.
     Connecting,
-    /// Connected; the request's head has not been written whole.
+    /// Connected; the request head has not been written completely.
     SendingHead,
-    /// The head has been written whole, the body not to its end.
+    /// The head has been written completely, the body has not.
     SendingBody,
-    /// All of the request has been written; no head of an answer has come.
+    /// The whole request has been written; no response head has been received.
     AwaitingResponse,
-    /// The head of an answer has come and gone to the client.
+    /// The response head has been received and forwarded to the client.
     ReceivingResponse,
 }
 
-/// How it ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The connection was refused, never came up, broke, or said what is no HTTP.
+    /// The connection was refused, was not established, broke, or carried something other than HTTP.
     Broken,
-    /// It took too long.
+    /// A timeout expired.
     TimedOut,
-    /// The client went, or the attempt was given up.
+    /// The client disconnected, or the attempt was cancelled.
     GivenUp,
-    /// The head of an answer came: its status, and whether it says `X-Rejected: 1`.
+    /// A response head was received: its status, and whether it contains `X-Rejected: 1`.
     Status(u16, bool),
-    /// The answer came to its end.
+    /// The response was received completely.
     Complete,
 }
 
-/// What follows.
+/// What follows from the end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// It never ran: it may be made elsewhere, whatever its class.
+    /// The request was not executed and may be sent to another upstream, whatever its class.
     NotExecuted,
-    /// It never ran, and the upstream has no room.
+    /// The request was not executed because the upstream has no capacity.
     Rejected,
-    /// The upstream failed at it; it may have run.
+    /// The upstream failed to process the request; it may have been executed.
     Failed,
-    /// It broke off; it may have run.
+    /// The connection was lost; the request may have been executed.
     ConnectionLost,
-    /// Nothing came in time; it may have run, or run yet.
+    /// No response in time; the request may have been executed or may still be executed.
     TimedOut,
-    /// It was given up; it may have run.
+    /// The attempt was given up; the request may have been executed.
     GivenUp,
-    /// The answer passes to the client: the flow is bound to this attempt.
+    /// The response is forwarded to the client: the flow is committed to this attempt.
     Committed,
-    /// The answer that was passing broke off. It can't be taken back: the client's stream is ended so that it
-    /// can tell.
+    /// A response broke off while it was being forwarded. It can't be retracted: the client's stream is aborted so
+    /// that the client can detect the truncation.
     Truncated,
-    /// Served.
+    /// The response was forwarded completely.
     Completed,
 }
 
-/// Judges the end of an attempt.
+/// Classifies the end of an attempt.
 ///
-/// | | connecting | head | uploading, waiting | answering |
+/// | | connecting | sending head | sending body, awaiting response | receiving response |
 /// | --- | --- | --- | --- | --- |
-/// | broken | never ran | never ran | may have run | cut short |
-/// | late | never ran | never ran | may have run | cut short |
-/// | given up | never ran | never ran | may have run | cut short |
-/// | 502, 503, 504 with `X-Rejected: 1` | | no room, never ran | no room, never ran | |
-/// | 502, 503, 504 without | | failed, may have run | failed, may have run | |
-/// | any other status | | passes | passes | |
+/// | broken | not executed | not executed | may have been executed | truncated |
+/// | timed out | not executed | not executed | may have been executed | truncated |
+/// | given up | not executed | not executed | may have been executed | truncated |
+/// | 502, 503, 504 with `X-Rejected: 1` | | rejected, not executed | rejected, not executed | |
+/// | 502, 503, 504 without | | failed, may have been executed | failed, may have been executed | |
+/// | any other status | | committed | committed | |
 pub fn classify(stage: AttemptStage, end: AttemptEnd) -> AttemptResult {
     match (stage, end) {
         (AttemptStage::ReceivingResponse, AttemptEnd::Complete) => AttemptResult::Completed,
         (AttemptStage::ReceivingResponse, _) => AttemptResult::Truncated,
-        // An upstream can't have begun on what it can't know whole: not even the method and path.
+        // Without the complete head an upstream knows neither method nor path for certain, so it can't have started.
         (
             AttemptStage::Connecting | AttemptStage::SendingHead,
             AttemptEnd::Broken | AttemptEnd::TimedOut | AttemptEnd::GivenUp,
@@ -81,7 +81,7 @@
         (_, AttemptEnd::Status(502..=504, true)) => AttemptResult::Rejected,
         (_, AttemptEnd::Status(502..=504, false)) => AttemptResult::Failed,
         (_, AttemptEnd::Status(..)) => AttemptResult::Committed,
-        // An end without a head is no answer.
+        // An end without a response head is not a response.
         (_, AttemptEnd::Complete) => AttemptResult::ConnectionLost,
     }
 }
--- a/stream/src/lib.rs
+++ b/stream/src/lib.rs
@@ -1,8 +1,8 @@
-//! Bodies in passage: how much of them may be held, whether one that was begun may be sent again, how fast
-//! its peers must be, and what an attempt that broke off says of whether it has run.
+//! Streaming of request and response bodies: memory accounting, replay of uploads on retries, minimum transfer
+//! rates, and classification of failed attempts by whether the request may have been executed.
 //!
-//! Nothing here does I/O or reads a clock; it decides for whoever does. Times are spans from any fixed
-//! moment.
+//! This crate does no I/O and reads no clock; it only makes decisions for the caller. Times are durations since an
+//! arbitrary fixed instant.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/stream/src/progress.rs
+++ b/stream/src/progress.rs
@@ -1,98 +1,105 @@
-//! How fast a peer must be, so that a slow one can't hold on to what others need.
+//! Minimum transfer rate of a peer, so that a slow one can't occupy resources indefinitely.
 //!
-//! Only time in which the peer is waited for counts: one that reads slowly must not be blamed for a sender
-//! that has nothing to send, nor the other way round.
+//! Only the time spent waiting for the peer counts: a slow reader is not charged for a sender that has nothing to
+//! send, and vice versa.
 
 use std::time::Duration;
 
-/// What is asked of a peer.
+/// Minimum progress required of a peer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProgressLimits {
-    /// It may be waited for so long without a byte.
+    /// The maximum wait without a byte transferred.
     pub idle_timeout: Duration,
-    /// Bytes a second that it must move, averaged over `over`; 0: any.
+    /// Bytes per second that the peer must transfer, averaged over `window`; 0 disables the check.
     pub min_bytes_per_second: u64,
-    /// The span of waiting that the rate is taken over.
+    /// The waiting time over which the rate is measured.
     pub window: Duration,
 }
 
-/// What a peer has failed at.
+/// The limit that a peer has violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Slow {
-    /// Nothing came or went for the idle limit.
+    /// No byte was transferred within the idle timeout.
     Idle,
-    /// Too little did.
+    /// The transfer rate was below the minimum.
     Rate,
 }
 
-/// Watches one direction of one peer.
+/// Monitors one direction of the transfer with one peer.
 #[derive(Clone, Debug)]
 pub struct ProgressMonitor {
     limits: ProgressLimits,
-    /// Since when it is waited for.
-    waiting: Option<Duration>,
-    /// Since when without a byte, while it is waited for.
-    quiet: Duration,
-    /// Time waited and bytes moved in the present span.
+    /// When the current wait began.
+    waiting_since: Option<Duration>,
+    /// When the current wait without a byte began.
+    idle_since: Duration,
+    /// Time waited and bytes transferred in the current measurement window.
     waited: Duration,
-    moved: u64,
+    transferred: u64,
 }
 
 impl ProgressMonitor {
-    /// A peer that is not yet waited for.
+    /// Creates a monitor that is not waiting for the peer.
     pub fn new(limits: ProgressLimits) -> ProgressMonitor {
-        ProgressMonitor { limits, waiting: None, quiet: Duration::ZERO, waited: Duration::ZERO, moved: 0 }
+        ProgressMonitor {
+            limits,
+            waiting_since: None,
+            idle_since: Duration::ZERO,
+            waited: Duration::ZERO,
+            transferred: 0,
+        }
     }
 
-    /// From here on the peer is waited for, unless it was already.
+    /// Starts waiting for the peer. Has no effect during a wait.
     pub fn start_waiting(&mut self, now: Duration) {
-        if self.waiting.is_none() {
-            (self.waiting, self.quiet) = (Some(now), now);
+        if self.waiting_since.is_none() {
+            (self.waiting_since, self.idle_since) = (Some(now), now);
         }
     }
 
-    /// Bytes moved. The peer is no longer waited for until [`ProgressMonitor::start_waiting`] is called again.
+    /// Records transferred bytes. This ends the wait until [`ProgressMonitor::start_waiting`] is called again.
     pub fn record_progress(&mut self, now: Duration, bytes: usize) {
-        if let Some(since) = self.waiting.take() {
+        if let Some(since) = self.waiting_since.take() {
             self.waited += now.saturating_sub(since);
         }
-        self.moved += bytes as u64;
+        self.transferred += bytes as u64;
         if self.waited >= self.limits.window && self.is_fast_enough(self.waited) {
-            (self.waited, self.moved) = (Duration::ZERO, 0);
+            (self.waited, self.transferred) = (Duration::ZERO, 0);
         }
     }
 
     fn is_fast_enough(&self, waited: Duration) -> bool {
-        self.moved as f64 >= self.limits.min_bytes_per_second as f64 * waited.as_secs_f64()
+        self.transferred as f64 >= self.limits.min_bytes_per_second as f64 * waited.as_secs_f64()
     }
 
-    /// What the peer has failed at by now, if anything.
+    /// Returns the limit that the peer violates now, if any.
     pub fn check(&self, now: Duration) -> Option<Slow> {
-        let since = self.waiting?;
-        if now.saturating_sub(self.quiet) >= self.limits.idle_timeout {
+        let since = self.waiting_since?;
+        if now.saturating_sub(self.idle_since) >= self.limits.idle_timeout {
             return Some(Slow::Idle);
         }
-        // A peer that moves in bursts must not be blamed for the moment before one: the wait that is on counts
-        // once it is long by itself.
-        let present = now.saturating_sub(since);
-        let before = self.waited >= self.limits.window && !self.is_fast_enough(self.waited);
-        let now_too = present >= self.limits.window && !self.is_fast_enough(self.waited + present);
-        (before || now_too).then_some(Slow::Rate)
+        // A peer that sends in bursts must not fail just before the next burst: the current wait counts only once it
+        // alone exceeds the window.
+        let current_wait = now.saturating_sub(since);
+        let was_slow_before = self.waited >= self.limits.window && !self.is_fast_enough(self.waited);
+        let is_slow_now =
+            current_wait >= self.limits.window && !self.is_fast_enough(self.waited + current_wait);
+        (was_slow_before || is_slow_now).then_some(Slow::Rate)
     }
 
-    /// When to check next, if the peer does not move before.
+    /// When to check next unless the peer makes progress before then. `None` outside a wait.
     pub fn next_check(&self) -> Option<Duration> {
-        let since = self.waiting?;
-        let idle = self.quiet + self.limits.idle_timeout;
-        // The moment at which what has moved is too little for the time waited.
-        let enough_for = match self.limits.min_bytes_per_second {
-            0 => return Some(idle),
-            least => Duration::from_secs_f64(self.moved as f64 / least as f64),
+        let since = self.waiting_since?;
+        let idle_deadline = self.idle_since + self.limits.idle_timeout;
+        // The waiting time for which the transferred bytes satisfy the minimum rate.
+        let sufficient_for = match self.limits.min_bytes_per_second {
+            0 => return Some(idle_deadline),
+            min_rate => Duration::from_secs_f64(self.transferred as f64 / min_rate as f64),
         };
         if self.waited >= self.limits.window && !self.is_fast_enough(self.waited) {
             return Some(since);
         }
-        let rate = since + enough_for.saturating_sub(self.waited).max(self.limits.window);
-        Some(idle.min(rate + Duration::from_millis(1)))
+        let rate_deadline = since + sufficient_for.saturating_sub(self.waited).max(self.limits.window);
+        Some(idle_deadline.min(rate_deadline + Duration::from_millis(1)))
     }
 }
--- a/stream/src/replay.rs
+++ b/stream/src/replay.rs
@@ -1,33 +1,33 @@
-//! What was sent of a body, kept as long as it is little: so much of an upload may be sent again.
+//! Buffer of the beginning of an upload, which allows a retry to send it again.
 
 use bytes::Bytes;
 
-/// The beginning of a body, up to a limit. Once more than that has passed, all of it is let go: a part of a
-/// beginning is of no use.
+/// The beginning of a body, up to a limit. Once the body exceeds the limit, the whole buffer is discarded: part of the
+/// beginning is of no use for a retry.
 #[derive(Clone, Debug)]
 pub struct ReplayBuffer {
     chunks: Vec<Bytes>,
     held: usize,
     limit: usize,
-    /// Bytes that have passed in all.
-    passed: u64,
+    /// Total bytes pushed.
+    pushed: u64,
 }
 
-/// Reads again what is held.
+/// Read position in a [`ReplayBuffer`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReplayCursor(usize);
 
 impl ReplayBuffer {
-    /// Holds up to `limit` bytes.
+    /// Creates a buffer of up to `limit` bytes.
     pub fn new(limit: usize) -> ReplayBuffer {
-        ReplayBuffer { chunks: Vec::new(), held: 0, limit, passed: 0 }
+        ReplayBuffer { chunks: Vec::new(), held: 0, limit, pushed: 0 }
     }
 
-    /// A chunk passes. How many bytes are held more (or, negative, fewer) after it.
+    /// Adds a chunk. Returns by how many bytes the buffer grew or, if negative, shrank.
     pub fn push(&mut self, chunk: &Bytes) -> isize {
-        let (whole, before) = (self.is_complete(), self.held);
-        self.passed += chunk.len() as u64;
-        if whole && self.held + chunk.len() <= self.limit {
+        let (complete, before) = (self.is_complete(), self.held);
+        self.pushed += chunk.len() as u64;
+        if complete && self.held + chunk.len() <= self.limit {
             self.held += chunk.len();
             if !chunk.is_empty() {
                 self.chunks.push(chunk.clone());
@@ -38,9 +38,9 @@
         self.held as isize - before as isize
     }
 
-    /// Whether everything that has passed is held: it may be sent again from its beginning.
+    /// Whether the buffer holds every byte pushed, so that the body can be sent again from its beginning.
     pub fn is_complete(&self) -> bool {
-        self.held as u64 == self.passed
+        self.held as u64 == self.pushed
     }
 
     /// Bytes held.
@@ -48,17 +48,17 @@
         self.held
     }
 
-    /// Lets go of what is held: no repeat will be made. How many bytes that were.
+    /// Discards the contents, after which no retry is possible. Returns the number of bytes discarded.
     pub fn discard(&mut self) -> usize {
         self.chunks = Vec::new();
         self.limit = 0;
         std::mem::take(&mut self.held)
     }
 
-    /// The next chunk of what is held; `None` at its end, where the body goes on as it comes.
-    pub fn next_chunk(&self, at: &mut ReplayCursor) -> Option<Bytes> {
-        let chunk = self.chunks.get(at.0).cloned();
-        at.0 += usize::from(chunk.is_some());
+    /// The next buffered chunk; `None` at the end of the buffer, where the body continues with newly received data.
+    pub fn next_chunk(&self, cursor: &mut ReplayCursor) -> Option<Bytes> {
+        let chunk = self.chunks.get(cursor.0).cloned();
+        cursor.0 += usize::from(chunk.is_some());
         chunk
     }
 }
