--- a/proto/http1/src/body.rs
+++ b/proto/http1/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies: how they are delimited, read, and written.
+//! Message bodies: framing, decoding, and encoding.
 
 use crate::{line_end, ParseError, MAX_CHUNK_LINE, MAX_FIELDS, MAX_HEAD};
 use bytes::{Buf, Bytes, BytesMut};
@@ -8,105 +8,105 @@
 /// How a body is delimited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// There is none.
+    /// No body.
     None,
-    /// So many bytes.
+    /// A body of the given length in bytes.
     Length(u64),
-    /// In chunks.
+    /// Chunked transfer coding.
     Chunked,
-    /// By the end of the connection; only answers.
+    /// Delimited by the close of the connection; responses only.
     UntilClose,
 }
 
-/// A piece of a body that is read.
+/// A part of a decoded body.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BodyPart {
-    /// Bytes of it; never none.
+    /// Content; never empty.
     Data(Bytes),
-    /// The fields behind the last chunk, where there are any.
+    /// The trailer fields after the last chunk, if there are any.
     Trailers(HeaderMap),
-    /// Its end.
+    /// The end of the body.
     End,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum State {
-    Counted(u64),
-    Size,
-    Chunk(u64),
+    FixedLength(u64),
+    ChunkSize,
+    ChunkData(u64),
     ChunkEnd,
     Trailers(HeaderMap, usize),
     UntilClose,
     End,
-    Over,
+    Finished,
 }
 
-/// Reads a body out of the bytes of a connection.
+/// Decodes a body from the bytes of a connection.
 #[derive(Clone, Debug)]
 pub struct BodyDecoder {
     state: State,
-    extensions: bool,
+    skip_extensions: bool,
 }
 
 impl BodyDecoder {
-    /// A body framed so. `extensions`: chunk extensions are passed over; else they are a fault.
-    pub fn new(framing: Framing, extensions: bool) -> BodyDecoder {
+    /// Creates a decoder for a framing. With `skip_extensions` set, chunk extensions are skipped; otherwise they are an error.
+    pub fn new(framing: Framing, skip_extensions: bool) -> BodyDecoder {
         let state = match framing {
             Framing::None | Framing::Length(0) => State::End,
-            Framing::Length(length) => State::Counted(length),
-            Framing::Chunked => State::Size,
+            Framing::Length(length) => State::FixedLength(length),
+            Framing::Chunked => State::ChunkSize,
             Framing::UntilClose => State::UntilClose,
         };
-        BodyDecoder { state, extensions }
+        BodyDecoder { state, skip_extensions }
     }
 
-    /// Whether its end has been given out.
+    /// Whether [`BodyPart::End`] has been returned.
     pub fn is_finished(&self) -> bool {
-        self.state == State::Over
+        self.state == State::Finished
     }
 
-    /// The next piece, taken out of `input`; `None`: more bytes are needed, or it is over.
+    /// Removes the next part from `input`. `None` means that more bytes are needed, or that the body is finished.
     ///
     /// # Errors
-    /// The framing is broken; nothing more can be read.
+    /// The framing is invalid; nothing more can be decoded.
     pub fn next(&mut self, input: &mut BytesMut) -> Result<Option<BodyPart>, ParseError> {
         loop {
             match &mut self.state {
-                State::Over => return Ok(None),
+                State::Finished => return Ok(None),
                 State::End => {
-                    self.state = State::Over;
+                    self.state = State::Finished;
                     return Ok(Some(BodyPart::End));
                 }
-                State::Counted(left) | State::Chunk(left) => {
-                    let count = (*left).min(input.len() as u64);
+                State::FixedLength(remaining) | State::ChunkData(remaining) => {
+                    let count = (*remaining).min(input.len() as u64);
                     if count == 0 {
                         return Ok(None);
                     }
-                    *left -= count;
-                    let done = *left == 0;
-                    if done {
-                        let counted = matches!(self.state, State::Counted(_));
-                        self.state = if counted { State::End } else { State::ChunkEnd };
+                    *remaining -= count;
+                    let is_done = *remaining == 0;
+                    if is_done {
+                        let is_fixed_length = matches!(self.state, State::FixedLength(_));
+                        self.state = if is_fixed_length { State::End } else { State::ChunkEnd };
                     }
                     return Ok(Some(BodyPart::Data(input.split_to(count as usize).freeze())));
                 }
                 State::UntilClose => {
                     return Ok((!input.is_empty()).then(|| BodyPart::Data(input.split().freeze())));
                 }
-                State::Size => {
+                State::ChunkSize => {
                     let Some(end) = line_end(input, MAX_CHUNK_LINE, ParseError::InvalidChunkSize)? else {
                         return Ok(None);
                     };
-                    let size = chunk_size(&input[..end], self.extensions)?;
+                    let size = chunk_size(&input[..end], self.skip_extensions)?;
                     input.advance(end + 2);
                     self.state = match size {
                         0 => State::Trailers(HeaderMap::new(), 0),
-                        size => State::Chunk(size),
+                        size => State::ChunkData(size),
                     };
                 }
                 State::ChunkEnd => {
                     if input.len() < 2 {
-                        // What has come of it must fit already.
+                        // The received prefix must already match.
                         return if b"\r\n".starts_with(input) {
                             Ok(None)
                         } else {
@@ -117,7 +117,7 @@
                         return Err(ParseError::InvalidChunkSize);
                     }
                     input.advance(2);
-                    self.state = State::Size;
+                    self.state = State::ChunkSize;
                 }
                 State::Trailers(fields, size) => {
                     let Some(end) = line_end(input, MAX_HEAD - *size, ParseError::HeadTooLong)? else {
@@ -133,7 +133,7 @@
                         }
                         continue;
                     }
-                    let (name, value) = field(&line[..end])?;
+                    let (name, value) = parse_field(&line[..end])?;
                     if fields.len() >= MAX_FIELDS || *size > MAX_HEAD {
                         return Err(ParseError::HeadTooLong);
                     }
@@ -143,42 +143,42 @@
         }
     }
 
-    /// The connection has ended.
+    /// Signals that the connection was closed.
     ///
     /// # Errors
-    /// The body had not.
+    /// The body was not complete.
     pub fn eof(&mut self) -> Result<Option<BodyPart>, ParseError> {
         match self.state {
             State::UntilClose | State::End => {
-                self.state = State::Over;
+                self.state = State::Finished;
                 Ok(Some(BodyPart::End))
             }
-            State::Over => Ok(None),
+            State::Finished => Ok(None),
             _ => Err(ParseError::Truncated),
         }
     }
 }
 
-/// A header or trailer line, without its end.
-fn field(line: &[u8]) -> Result<(HeaderName, HeaderValue), ParseError> {
+/// Parses a header or trailer line without its line ending.
+fn parse_field(line: &[u8]) -> Result<(HeaderName, HeaderValue), ParseError> {
     if line.starts_with(b" ") || line.starts_with(b"\t") {
         return Err(ParseError::FoldedHeader);
     }
     let colon =
-        line.iter().position(|b| *b == b':').ok_or(ParseError::InvalidHead("a field without a colon"))?;
+        line.iter().position(|b| *b == b':').ok_or(ParseError::InvalidHead("field without a colon"))?;
     let (name, value) = (&line[..colon], line[colon + 1..].trim_ascii());
-    let name = HeaderName::from_bytes(name).map_err(|_| ParseError::InvalidHead("a field's name"))?;
-    let value = HeaderValue::from_bytes(value).map_err(|_| ParseError::InvalidHead("a field's value"))?;
+    let name = HeaderName::from_bytes(name).map_err(|_| ParseError::InvalidHead("invalid field name"))?;
+    let value = HeaderValue::from_bytes(value).map_err(|_| ParseError::InvalidHead("invalid field value"))?;
     Ok((name, value))
 }
 
-/// The size on a chunk's line: hexadecimal digits alone, so neither sign nor blank.
-pub(crate) fn chunk_size(line: &[u8], extensions: bool) -> Result<u64, ParseError> {
+/// Parses the size in a chunk line: hexadecimal digits only, without a sign or whitespace.
+pub(crate) fn chunk_size(line: &[u8], skip_extensions: bool) -> Result<u64, ParseError> {
     let end = line.iter().position(|b| !b.is_ascii_hexdigit()).unwrap_or(line.len());
     let (digits, rest) = line.split_at(end);
     match rest.first() {
         None => {}
-        Some(b';') if extensions => {}
+        Some(b';') if skip_extensions => {}
         Some(b';') => return Err(ParseError::ChunkExtension),
         Some(_) => return Err(ParseError::InvalidChunkSize),
     }
@@ -187,38 +187,38 @@
     (text.len() <= 16 && size < 1 << 63).then_some(size).ok_or(ParseError::InvalidChunkSize)
 }
 
-/// More was to be written than the stated length, or less.
+/// The body is longer or shorter than its declared length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the body is not as long as was stated")]
+#[error("the body does not have its declared length")]
 pub struct LengthMismatch;
 
-/// Writes a body as it is framed.
+/// Encodes a body.
 #[derive(Clone, Copy, Debug)]
 pub struct BodyEncoder {
     framing: Framing,
-    left: u64,
+    remaining: u64,
 }
 
 impl BodyEncoder {
-    /// A body framed so.
+    /// Creates an encoder for a framing.
     pub fn new(framing: Framing) -> BodyEncoder {
-        let left = if let Framing::Length(length) = framing { length } else { 0 };
-        BodyEncoder { framing, left }
+        let remaining = if let Framing::Length(length) = framing { length } else { 0 };
+        BodyEncoder { framing, remaining }
     }
 
-    /// Adds to `out` what goes before a piece of data of that size, which is to follow as it is; and what
-    /// goes behind it.
+    /// Appends to `out` the framing that precedes a block of data of this size, which the caller sends unchanged.
+    /// Returns the framing that follows the block.
     ///
     /// # Errors
-    /// The body would get longer than was stated.
+    /// The body would exceed its declared length.
     pub fn data(&mut self, size: usize, out: &mut Vec<u8>) -> Result<&'static [u8], LengthMismatch> {
         match self.framing {
-            // An empty chunk would end the body.
+            // An empty chunk would terminate the body.
             _ if size == 0 => Ok(b""),
             Framing::None => Err(LengthMismatch),
             Framing::UntilClose => Ok(b""),
             Framing::Length(_) => {
-                self.left = self.left.checked_sub(size as u64).ok_or(LengthMismatch)?;
+                self.remaining = self.remaining.checked_sub(size as u64).ok_or(LengthMismatch)?;
                 Ok(b"")
             }
             Framing::Chunked => {
@@ -228,12 +228,12 @@
         }
     }
 
-    /// Adds what ends the body.
+    /// Appends the end of the body.
     ///
     /// # Errors
-    /// The body is shorter than was stated.
+    /// The body is shorter than its declared length.
     pub fn end(&mut self, trailers: Option<&HeaderMap>, out: &mut Vec<u8>) -> Result<(), LengthMismatch> {
-        if self.left > 0 {
+        if self.remaining > 0 {
             return Err(LengthMismatch);
         }
         if self.framing == Framing::Chunked {
@@ -245,7 +245,7 @@
     }
 }
 
-/// Adds header lines.
+/// Appends header lines.
 pub(crate) fn write_fields<'a>(
     fields: impl Iterator<Item = (&'a HeaderName, &'a HeaderValue)>,
     out: &mut Vec<u8>,
--- a/proto/http1/tests/answers.rs
+++ b/proto/http1/tests/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of upstreams, well and badly framed, in every cut.
+//! Decoding of valid and invalid upstream responses, split at every position, and encoding of requests.
 
 use bytes::BytesMut;
 use http::{HeaderMap, HeaderValue, Method};
@@ -9,31 +9,32 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// All that an answer comes to, fed in pieces of that size: status, body, trailers, whether reusable.
+/// Decodes a response in chunks of `chunk_size` bytes. Returns status, body, number of trailers, and whether the
+/// connection is reusable.
 fn read(
     method: Method,
     bytes: &[u8],
-    cut: usize,
-    ends: bool,
+    chunk_size: usize,
+    is_closed: bool,
 ) -> Result<(u16, Vec<u8>, usize, Option<bool>), ParseError> {
-    let mut incoming = ResponseDecoder::new(method);
+    let mut decoder = ResponseDecoder::new(method);
     let (mut input, mut status, mut body, mut trailers, mut end) = (BytesMut::new(), 0, Vec::new(), 0, None);
-    let mut take = |event| match event {
+    let mut handle = |event| match event {
         ResponseEvent::Interim(_) => {}
         ResponseEvent::Head(head) => status = head.status.as_u16(),
         ResponseEvent::Data(data) => body.extend_from_slice(&data),
         ResponseEvent::Trailers(fields) => trailers = fields.len(),
         ResponseEvent::End { reusable } => end = Some(reusable),
     };
-    for piece in bytes.chunks(cut) {
-        input.extend_from_slice(piece);
-        while let Some(event) = incoming.next(&mut input)? {
-            take(event);
+    for chunk in bytes.chunks(chunk_size) {
+        input.extend_from_slice(chunk);
+        while let Some(event) = decoder.next(&mut input)? {
+            handle(event);
         }
     }
-    if ends && !incoming.is_finished() {
-        while let Some(event) = incoming.eof()? {
-            take(event);
+    if is_closed && !decoder.is_finished() {
+        while let Some(event) = decoder.eof()? {
+            handle(event);
         }
     }
     Ok((status, body, trailers, end))
@@ -55,70 +56,84 @@
     2,
     Some(true)
 )]
-#[case::closes(
+#[case::connection_close(
     "HTTP/1.1 200 OK\r\nConnection: x, close\r\nContent-Length: 5\r\n\r\nhello",
     "hello",
     0,
     Some(false)
 )]
-#[case::old("HTTP/1.0 200 OK\r\nContent-Length: 5\r\n\r\nhello", "hello", 0, Some(false))]
+#[case::http_1_0("HTTP/1.0 200 OK\r\nContent-Length: 5\r\n\r\nhello", "hello", 0, Some(false))]
 #[case::interim("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello", "hello", 0, Some(true))]
-#[case::until_end("HTTP/1.1 200 OK\r\n\r\nhello", "hello", 0, Some(false))]
-fn an_answer_is_read_in_every_cut(
+#[case::until_close("HTTP/1.1 200 OK\r\n\r\nhello", "hello", 0, Some(false))]
+fn a_response_is_decoded_however_it_is_split(
     #[case] text: &str,
     #[case] body: &str,
     #[case] trailers: usize,
     #[case] end: Option<bool>,
 ) {
-    for cut in 1..=text.len() {
-        let (_, got, fields, over) = read(Method::GET, text.as_bytes(), cut, true).expect("an answer");
-        assert_eq!((&got[..], fields, over), (body.as_bytes(), trailers, end), "cut {cut}");
+    for chunk_size in 1..=text.len() {
+        let (_, got, fields, reusable) =
+            read(Method::GET, text.as_bytes(), chunk_size, true).expect("a valid response");
+        assert_eq!((&got[..], fields, reusable), (body.as_bytes(), trailers, end), "chunk size {chunk_size}");
     }
 }
 
 #[test]
-fn an_answer_to_head_has_no_body_whatever_it_says() {
+fn a_response_to_head_has_no_body_whatever_its_content_length() {
     let text = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n";
     assert_eq!(read(Method::HEAD, text, 7, false), Ok((200, Vec::new(), 0, Some(true))));
-    // What comes behind an answer makes its connection useless.
+    // Bytes after a response make its connection unusable.
     let text = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nxHTTP/1.1 200 OK\r\n";
     assert_eq!(read(Method::GET, text, 1000, false), Ok((200, b"x".to_vec(), 0, Some(false))));
 }
 
 #[rstest]
-#[case::both_lengths("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n", ParseError::InvalidLength)]
+#[case::content_length_and_chunked(
+    "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n",
+    ParseError::InvalidLength
+)]
 #[case::two_lengths("Content-Length: 5\r\nContent-Length: 5\r\n\r\n", ParseError::InvalidLength)]
-#[case::a_list_of_lengths("Content-Length: 5, 5\r\n\r\n", ParseError::InvalidLength)]
-#[case::signed("Content-Length: +5\r\n\r\n", ParseError::InvalidLength)]
-#[case::huge("Content-Length: 9999999999999999999\r\n\r\n", ParseError::InvalidLength)]
-#[case::another_coding("Transfer-Encoding: gzip, chunked\r\n\r\n", ParseError::UnsupportedTransferCoding)]
+#[case::list_of_lengths("Content-Length: 5, 5\r\n\r\n", ParseError::InvalidLength)]
+#[case::signed_length("Content-Length: +5\r\n\r\n", ParseError::InvalidLength)]
+#[case::huge_length("Content-Length: 9999999999999999999\r\n\r\n", ParseError::InvalidLength)]
+#[case::unsupported_coding("Transfer-Encoding: gzip, chunked\r\n\r\n", ParseError::UnsupportedTransferCoding)]
 #[case::two_codings(
     "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n",
     ParseError::UnsupportedTransferCoding
 )]
 #[case::bare_lf("Content-Length: 5\n\r\nhello", ParseError::InvalidLineEnding)]
 #[case::folded("A: b\r\n c\r\n\r\n", ParseError::FoldedHeader)]
-#[case::no_size("Transfer-Encoding: chunked\r\n\r\n\r\n", ParseError::InvalidChunkSize)]
-#[case::signed_size("Transfer-Encoding: chunked\r\n\r\n+5\r\nhello", ParseError::InvalidChunkSize)]
-#[case::huge_size("Transfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n", ParseError::InvalidChunkSize)]
-#[case::a_longer_size(
+#[case::missing_chunk_size("Transfer-Encoding: chunked\r\n\r\n\r\n", ParseError::InvalidChunkSize)]
+#[case::signed_chunk_size("Transfer-Encoding: chunked\r\n\r\n+5\r\nhello", ParseError::InvalidChunkSize)]
+#[case::huge_chunk_size(
+    "Transfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n",
+    ParseError::InvalidChunkSize
+)]
+#[case::chunk_size_with_too_many_digits(
     "Transfer-Encoding: chunked\r\n\r\n00000000000000005\r\n",
     ParseError::InvalidChunkSize
 )]
 #[case::bare_lf_in_chunks("Transfer-Encoding: chunked\r\n\r\n5\nhello", ParseError::InvalidLineEnding)]
-#[case::a_longer_chunk("Transfer-Encoding: chunked\r\n\r\n5\r\nhello!", ParseError::InvalidChunkSize)]
-#[case::cut("Content-Length: 5\r\n\r\nhell", ParseError::Truncated)]
-#[case::cut_in_a_chunk("Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", ParseError::Truncated)]
-#[case::cut_before_the_head_ends("Content-Le", ParseError::Truncated)]
-fn a_badly_framed_answer_is_a_fault_in_every_cut(#[case] rest: &str, #[case] fault: ParseError) {
+#[case::chunk_longer_than_its_size(
+    "Transfer-Encoding: chunked\r\n\r\n5\r\nhello!",
+    ParseError::InvalidChunkSize
+)]
+#[case::truncated_body("Content-Length: 5\r\n\r\nhell", ParseError::Truncated)]
+#[case::truncated_chunked_body("Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", ParseError::Truncated)]
+#[case::truncated_head("Content-Le", ParseError::Truncated)]
+fn an_invalid_response_is_rejected_however_it_is_split(#[case] rest: &str, #[case] error: ParseError) {
     let text = format!("HTTP/1.1 200 OK\r\n{rest}");
-    for cut in 1..=text.len() {
-        assert_eq!(read(Method::GET, text.as_bytes(), cut, true), Err(fault), "cut {cut}");
+    for chunk_size in 1..=text.len() {
+        assert_eq!(
+            read(Method::GET, text.as_bytes(), chunk_size, true),
+            Err(error),
+            "chunk size {chunk_size}"
+        );
     }
 }
 
 #[test]
-fn heads_are_bounded_and_other_protocols_are_not_taken() {
+fn oversized_heads_and_other_protocols_are_rejected() {
     let many = format!("HTTP/1.1 200 OK\r\n{}\r\n", "A: b\r\n".repeat(101));
     assert_eq!(read(Method::GET, many.as_bytes(), 1000, true), Err(ParseError::HeadTooLong));
     let long = format!("HTTP/1.1 200 OK\r\nA: {}\r\n\r\n", "b".repeat(40_000));
@@ -133,12 +148,12 @@
 }
 
 #[test]
-fn a_head_goes_out_with_one_word_on_its_length() {
+fn a_request_head_declares_its_body_length_exactly_once() {
     let mut headers = HeaderMap::new();
     headers.insert("host", HeaderValue::from_static("app"));
     headers.insert("content-length", HeaderValue::from_static("99"));
     let head = RequestHead { method: Method::PUT, target: "/a?b=c".into(), headers };
-    let text = |framing| String::from_utf8(head.encode(framing).expect("a head")).expect("text");
+    let text = |framing| String::from_utf8(head.encode(framing).expect("a valid head")).expect("valid UTF-8");
     assert_eq!(
         text(Framing::Chunked),
         "PUT /a?b=c HTTP/1.1\r\nhost: app\r\ntransfer-encoding: chunked\r\n\r\n"
@@ -155,7 +170,7 @@
 }
 
 #[test]
-fn a_body_is_neither_longer_nor_shorter_than_was_stated() {
+fn a_body_that_differs_from_its_declared_length_is_rejected() {
     let mut out = Vec::new();
     let mut encoder = BodyEncoder::new(Framing::Length(5));
     assert!(encoder.data(3, &mut out).is_ok() && encoder.end(None, &mut out).is_err());
@@ -165,7 +180,7 @@
 }
 
 #[test]
-fn fields_of_the_hop_end_here_and_the_proxys_own_are_added() {
+fn hop_by_hop_fields_are_removed_and_the_proxys_fields_are_added() {
     let mut headers = HeaderMap::new();
     for (name, value) in [
         ("connection", "close, X-Secret"),
@@ -182,14 +197,14 @@
     ] {
         headers.append(name, HeaderValue::from_static(value));
     }
-    let mut bare = headers.clone();
-    strip_hop_by_hop_headers(&mut bare);
-    let mut left: Vec<&str> = bare.keys().map(|k| k.as_str()).collect();
-    left.sort_unstable();
-    assert_eq!(left, ["accept", "host", "via", "x-forwarded-for"]);
-    let how =
+    let mut stripped = headers.clone();
+    strip_hop_by_hop_headers(&mut stripped);
+    let mut remaining: Vec<&str> = stripped.keys().map(|k| k.as_str()).collect();
+    remaining.sort_unstable();
+    assert_eq!(remaining, ["accept", "host", "via", "x-forwarded-for"]);
+    let config =
         Forwarding { host: Some("up".into()), via: Some("n1".into()), x_forwarded: true, forwarded: true };
-    forward_headers(&mut headers, &how, Some([203, 0, 113, 9].into()), "10.0.0.1:80");
+    forward_headers(&mut headers, &config, Some([203, 0, 113, 9].into()), "10.0.0.1:80");
     for (name, value) in [
         ("host", "up"),
         ("x-forwarded-for", "192.0.2.1, 203.0.113.9"),
@@ -211,45 +226,45 @@
         ..ProptestConfig::default()
     })]
 
-    /// What the encoder writes the decoder reads, however it is cut; and no byte of what follows is taken.
+    /// The decoder recovers what the encoder wrote, however it is split, and consumes no byte of what follows.
     #[test]
-    fn a_body_survives_framing(
+    fn an_encoded_body_is_decoded_unchanged(
         chunks in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 0..12),
-        cut in 1..50usize,
+        chunk_size in 1..50usize,
         chunked in any::<bool>(),
     ) {
-        let whole: Vec<u8> = chunks.concat();
-        let framing = if chunked { Framing::Chunked } else { Framing::Length(whole.len() as u64) };
+        let expected: Vec<u8> = chunks.concat();
+        let framing = if chunked { Framing::Chunked } else { Framing::Length(expected.len() as u64) };
         let (mut encoder, mut wire) = (BodyEncoder::new(framing), Vec::new());
         for chunk in &chunks {
-            let behind = encoder.data(chunk.len(), &mut wire).expect("as stated");
+            let suffix = encoder.data(chunk.len(), &mut wire).expect("the declared length");
             wire.extend_from_slice(chunk);
-            wire.extend_from_slice(behind);
+            wire.extend_from_slice(suffix);
         }
-        encoder.end(None, &mut wire).expect("as stated");
+        encoder.end(None, &mut wire).expect("the declared length");
         wire.extend_from_slice(b"NEXT");
         let (mut decoder, mut input, mut body) = (BodyDecoder::new(framing, false), BytesMut::new(), Vec::new());
-        for piece in wire.chunks(cut) {
-            input.extend_from_slice(piece);
-            while let Some(piece) = decoder.next(&mut input).expect("well framed") {
-                if let BodyPart::Data(data) = piece {
+        for chunk in wire.chunks(chunk_size) {
+            input.extend_from_slice(chunk);
+            while let Some(part) = decoder.next(&mut input).expect("valid framing") {
+                if let BodyPart::Data(data) = part {
                     body.extend_from_slice(&data);
                 }
             }
         }
         prop_assert!(decoder.is_finished());
-        prop_assert_eq!(body, whole);
+        prop_assert_eq!(body, expected);
         prop_assert_eq!(&input[..], b"NEXT");
     }
 
-    /// Any bytes are read or refused: no panic, no endless loop, and nothing is made up.
+    /// Arbitrary bytes are decoded or rejected, without a panic, an endless loop, or invented content.
     #[test]
-    fn any_answer_is_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..300), cut in 1..40usize) {
+    fn arbitrary_bytes_are_decoded_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..300), chunk_size in 1..40usize) {
         let mut text = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec();
         text.extend_from_slice(&bytes);
-        if let Ok((_, body, ..)) = read(Method::GET, &text, cut, true) {
+        if let Ok((_, body, ..)) = read(Method::GET, &text, chunk_size, true) {
             prop_assert!(body.len() <= bytes.len());
         }
-        let _ = read(Method::GET, &bytes, cut, true);
+        let _ = read(Method::GET, &bytes, chunk_size, true);
     }
 }
