--- a/distribution/src/history.rs
+++ b/distribution/src/history.rs
@@ -1,39 +1,40 @@
-//! The last changes of the log, as many as the bounds allow.
+//! The most recent changes of the log, within the configured limits.
 
 use crate::record::Change;
 use crate::timing::Limits;
 use serde::{Deserialize, Serialize};
 use std::collections::{HashSet, VecDeque};
 
-/// A change and its place in the log, as an offset from the position that was asked for.
+/// A change and its sequence number, as an offset from the requested position.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct NumberedChange {
-    /// Its sequence less the one asked for.
+    /// The sequence number minus that of the requested position.
     pub offset: u64,
-    /// What changed.
+    /// The change.
     pub change: Change,
 }
 
-/// A part of the history.
+/// A section of the history.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct Batch {
-    /// The last sequence that it brings a copy to.
+    /// The sequence number that a replica reaches with this batch.
     pub to: u64,
     /// Each record at most once, with its last change.
     pub changes: Vec<NumberedChange>,
 }
 
-/// Changes by sequence, without gaps that matter: where changes came as a batch, only the last of each record is there.
+/// Changes by sequence number. Numbers may be missing: of changes that arrived as a batch, only the last one of each
+/// record is present.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct History {
     changes: VecDeque<(u64, Change)>,
     bytes: usize,
-    /// The sequence behind which all is remembered.
+    /// All changes after this sequence number are present.
     base: u64,
 }
 
 impl History {
-    /// Forgets all; what follows comes behind this sequence.
+    /// Clears the history. The next changes follow this sequence number.
     pub fn reset(&mut self, base: u64) {
         self.changes.clear();
         self.bytes = 0;
@@ -44,9 +45,9 @@
         self.bytes += change.size();
         self.changes.push_back((sequence, change));
         while self.changes.len() > limits.history_changes || self.bytes > limits.history_bytes {
-            let Some((forgotten, change)) = self.changes.pop_front() else { break };
+            let Some((evicted, change)) = self.changes.pop_front() else { break };
             self.bytes -= change.size();
-            self.base = forgotten;
+            self.base = evicted;
         }
     }
 
@@ -54,7 +55,8 @@
         self.changes.len()
     }
 
-    /// What followed a sequence up to the head, as much as fits; none where that is no longer known.
+    /// Returns the changes between a sequence number and the head, as many as fit, or `None` if they are no longer
+    /// available.
     pub fn after(&self, after: u64, head: u64, max_bytes: usize) -> Option<Batch> {
         if after < self.base || after > head {
             return None;
@@ -63,15 +65,18 @@
         let (mut bytes, mut end) = (0, first);
         while let Some((_, change)) = self.changes.get(end) {
             bytes += change.size();
-            // One change always fits, or nothing would ever go on.
+            // At least one change is always included; otherwise a subscriber could not make progress.
             if bytes > max_bytes && end > first {
                 break;
             }
             end += 1;
         }
-        let is_all = end == self.changes.len();
-        let to =
-            if is_all { head } else { self.changes.get(end - 1).map_or(after, |(sequence, _)| *sequence) };
+        let reaches_head = end == self.changes.len();
+        let to = if reaches_head {
+            head
+        } else {
+            self.changes.get(end - 1).map_or(after, |(sequence, _)| *sequence)
+        };
         let mut seen = HashSet::new();
         let mut changes: Vec<NumberedChange> = Vec::new();
         for (sequence, change) in self.changes.range(first..end).rev() {
--- a/distribution/src/lib.rs
+++ b/distribution/src/lib.rs
@@ -1,15 +1,16 @@
-//! The worker list and the configuration, carried from one source to every dispatcher.
+//! Distribution of the worker list and the configuration from one source to every dispatcher.
 //!
 //! The process that holds the source lease watches discovery and writes a versioned log ([`publisher`]). One relay
-//! for each zone follows that log ([`relay`]), and every other dispatcher follows a relay ([`subscriber`]). All
-//! three keep the same thing, a [`replica`]: records in ranges, each with a digest, and a bounded history of
-//! changes. A replica that fell behind the history is told so, compares digests, and fetches only the ranges
-//! that differ, from the replica that it asked.
+//! per zone follows that log ([`relay`]), and all other dispatchers follow a relay ([`subscriber`]). All three
+//! maintain a [`replica`]: records grouped into ranges, each with a digest, and a bounded history of changes. A
+//! replica whose position is older than the history is notified, compares digests, and fetches only the ranges that
+//! differ from the replica that it queried.
 //!
-//! No I/O and no clock: bytes and the time go in, bytes come out. The time is that of a monotonic clock, as a span
-//! since any moment of the process's life. Everything is pulled: a subscriber has one request out at a time and says
-//! how many bytes it can take, so its budget holds whatever the others do, and a relay keeps nothing for each client.
-//! The design and its alternatives: `docs/list-distribution.md`.
+//! This crate does no I/O and reads no clock: bytes and the current time go in, bytes come out. Time is monotonic,
+//! expressed as a duration since an arbitrary instant in the lifetime of the process. All data is pulled: a
+//! subscriber has one outstanding request at a time and states how many bytes it can accept, so its budget holds
+//! regardless of the other processes, and a relay keeps no state per client. For the design and its alternatives see
+//! `docs/list-distribution.md`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -29,8 +30,8 @@
 pub mod upstream;
 pub mod worker;
 
-/// A span since some moment of this process's life, by a clock that never goes back.
+/// Time since an arbitrary instant in the lifetime of this process, by a monotonic clock.
 pub type Time = std::time::Duration;
 
-/// A fencing token: greater with each grant of a lease.
+/// A fencing token: increases with every grant of a lease.
 pub type Token = u64;
--- a/distribution/src/message.rs
+++ b/distribution/src/message.rs
@@ -1,8 +1,8 @@
-//! What is asked and answered, and its form.
+//! Protocol messages and their encoding.
 //!
-//! A message is a header of six bytes (version, kind, number) and a `postcard` payload. The header and the payload of
-//! [`Message::Unsupported`] stay as they are in all versions, so that programs of different versions can tell each other
-//! what they speak. Within a version, a payload of another length than its parts is refused.
+//! A message consists of a header of six bytes (version, kind, request ID) and a `postcard` payload. The header and
+//! the payload of [`Message::Unsupported`] are the same in all versions, so that programs of different versions can
+//! exchange the versions they support. Within a version, a payload with trailing bytes is rejected.
 
 use crate::history::NumberedChange;
 use crate::position::Position;
@@ -10,24 +10,24 @@
 use crate::Token;
 use serde::{Deserialize, Serialize};
 
-/// The form that this program speaks first.
+/// The protocol version that this program tries first.
 pub const VERSION: u8 = 1;
-/// The longest message, in bytes.
+/// The maximum size of a message in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 64 << 10;
-/// Ranges that one question asks for, at most.
+/// The maximum number of ranges in one request.
 pub const MAX_RANGES: usize = 16;
-/// Bytes of the header.
+/// The size of the header in bytes.
 const HEADER_BYTES: usize = 6;
 
 const KIND_REPLY: u8 = 128;
 const KIND_UNSUPPORTED: u8 = 255;
 
-/// Versions that a program speaks.
+/// A range of supported protocol versions.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Versions {
-    /// The oldest.
+    /// The oldest supported version.
     pub lowest: u8,
-    /// The newest.
+    /// The newest supported version.
     pub highest: u8,
 }
 
@@ -38,282 +38,283 @@
 }
 
 impl Versions {
-    /// Whether this is one of them.
-    pub fn contain(&self, version: u8) -> bool {
+    /// Whether a version is supported.
+    pub fn contains(&self, version: u8) -> bool {
         (self.lowest..=self.highest).contains(&version)
     }
 
-    /// The newest version that both speak.
-    pub fn common(&self, other: Versions) -> Option<u8> {
+    /// The newest version supported by both sides.
+    pub fn highest_common(&self, other: Versions) -> Option<u8> {
         let highest = self.highest.min(other.highest);
         (highest >= self.lowest.max(other.lowest)).then_some(highest)
     }
 }
 
-/// What a subscriber asks.
+/// The query of a request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Ask {
-    /// What has changed behind a position; without one, where to begin.
+pub enum Query {
+    /// The changes after a position. Without a position, the current position and digests.
     Changes {
-        /// Up to where the subscriber is.
+        /// The subscriber's position.
         after: Option<Position>,
     },
     /// The digests of all partitions.
     Partitions,
     /// The digests of a partition's ranges.
     RangeDigests {
-        /// Which partition.
+        /// The partition.
         partition: Partition,
     },
     /// The records of some ranges.
     Contents {
-        /// Which ranges, in the order in which they are wanted.
+        /// The ranges, by descending priority.
         ranges: Vec<Range>,
     },
 }
 
-impl Ask {
+impl Query {
     fn kind(&self) -> u8 {
         match self {
-            Ask::Changes { .. } => 1,
-            Ask::Partitions => 2,
-            Ask::RangeDigests { .. } => 3,
-            Ask::Contents { .. } => 4,
+            Query::Changes { .. } => 1,
+            Query::Partitions => 2,
+            Query::RangeDigests { .. } => 3,
+            Query::Contents { .. } => 4,
         }
     }
 
     fn is_valid(&self) -> bool {
         match self {
-            Ask::Changes { .. } | Ask::Partitions => true,
-            Ask::RangeDigests { partition } => partition.is_valid(),
-            Ask::Contents { ranges } => ranges.len() <= MAX_RANGES && ranges.iter().all(Range::is_valid),
+            Query::Changes { .. } | Query::Partitions => true,
+            Query::RangeDigests { partition } => partition.is_valid(),
+            Query::Contents { ranges } => ranges.len() <= MAX_RANGES && ranges.iter().all(Range::is_valid),
         }
     }
 }
 
-/// In which role a process is asked: one may have several.
+/// The role in which a process is queried; a process may have several.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Service {
-    /// As the source.
+    /// The source.
     Source,
-    /// As the relay of its zone.
+    /// The relay of its zone.
     Relay,
 }
 
-/// A question.
+/// A request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Request {
-    /// In which role the other process is asked.
+    /// The role in which the other process is queried.
     pub service: Service,
-    /// How long the answer may be, in bytes, as far as it can be divided.
+    /// The maximum size of the reply in bytes, as far as the reply can be divided.
     pub max_bytes: u32,
-    /// What is asked.
-    pub ask: Ask,
+    /// The query.
+    pub query: Query,
 }
 
-/// The digests of a copy's partitions.
+/// The digests of a replica's partitions.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PartitionDigests {
-    /// Where the copy stands.
+    /// The replica's position.
     pub position: Position,
-    /// All partitions of the source are listed. A relay that is still fetching lists what it has verified.
+    /// Whether all partitions of the source are listed. A relay that is still synchronizing lists the partitions that
+    /// it has verified.
     pub is_complete: bool,
-    /// Digests by partition. One that is not listed is empty, if the list is complete.
+    /// Digests by partition. If the list is complete, a partition that is not listed is empty.
     pub digests: Vec<(Partition, Digest)>,
 }
 
 /// The records of a range.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RangeContents {
-    /// Which range.
+    /// The range.
     pub range: Range,
-    /// All of its records.
+    /// All records of the range.
     pub records: Vec<Record>,
-    /// Their digest.
+    /// The digest of the records.
     pub digest: Digest,
 }
 
-/// What is answered.
+/// The content of a reply.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Answer {
-    /// Changes behind the position that was asked for, in its epoch.
+pub enum ReplyBody {
+    /// Changes after the requested position, in the same epoch.
     Changes {
-        /// The sequence that they bring the subscriber to.
+        /// The sequence number that the subscriber reaches with these changes.
         to: u64,
-        /// The sequence where the copy stands: if greater, there is more.
+        /// The sequence number of the replica; if it is greater than `to`, there are more changes.
         head: u64,
-        /// The digest of the whole copy at the head, where it is complete.
+        /// The digest of the whole replica at the head, if the replica is complete.
         digest: Option<Digest>,
         /// Each record at most once, with its last change.
         changes: Vec<NumberedChange>,
     },
-    /// The position is of another epoch, or older than the history: digests tell what differs.
-    Behind(PartitionDigests),
-    /// The digests that were asked for.
+    /// The position belongs to another epoch or is older than the history; the digests show what differs.
+    ResyncRequired(PartitionDigests),
+    /// The requested digests.
     Partitions(PartitionDigests),
-    /// The digests of a partition's ranges, none for those not yet verified.
+    /// The digests of a partition's ranges; `None` for ranges that are not yet verified.
     RangeDigests {
-        /// Where the copy stands.
+        /// The replica's position.
         position: Position,
-        /// Which partition.
+        /// The partition.
         partition: Partition,
-        /// One for each range.
+        /// One digest per range.
         digests: Vec<Option<Digest>>,
     },
-    /// Those of the ranges asked for that fit and that the copy has verified.
+    /// Those requested ranges that fit into the reply and that the replica has verified.
     Contents {
-        /// Where the copy stands.
+        /// The replica's position.
         position: Position,
-        /// Whole ranges.
+        /// Complete ranges.
         ranges: Vec<RangeContents>,
     },
-    /// The copy is older than the subscriber's.
+    /// The replica is older than the subscriber's.
     Lagging,
-    /// The process holds no lease for this role, or has no copy yet.
+    /// The process does not hold the lease for this role, or has no replica yet.
     NotServing,
-    /// The process has spent its byte budget.
+    /// The process has exhausted its byte budget.
     Busy {
-        /// When to ask again at the earliest.
+        /// The earliest time for a retry.
         retry_after_ms: u32,
     },
 }
 
-impl Answer {
+impl ReplyBody {
     fn is_valid(&self) -> bool {
         match self {
-            Answer::Changes { to, head, changes, .. } => {
+            ReplyBody::Changes { to, head, changes, .. } => {
                 to <= head && changes.iter().all(|numbered| numbered.change.is_valid())
             }
-            Answer::Behind(digests) | Answer::Partitions(digests) => {
+            ReplyBody::ResyncRequired(digests) | ReplyBody::Partitions(digests) => {
                 digests.digests.iter().all(|(partition, _)| partition.is_valid())
             }
-            Answer::RangeDigests { partition, digests, .. } => {
+            ReplyBody::RangeDigests { partition, digests, .. } => {
                 partition.is_valid() && digests.len() == usize::from(RANGES_PER_PARTITION)
             }
-            Answer::Contents { ranges, .. } => ranges
+            ReplyBody::Contents { ranges, .. } => ranges
                 .iter()
                 .all(|contents| contents.range.is_valid() && contents.records.iter().all(Record::is_valid)),
-            Answer::Lagging | Answer::NotServing | Answer::Busy { .. } => true,
+            ReplyBody::Lagging | ReplyBody::NotServing | ReplyBody::Busy { .. } => true,
         }
     }
 }
 
-/// An answer, and by what right it is given.
+/// A reply, with the lease under which it is given.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Reply {
-    /// The fencing token of the lease under which it is given.
+    /// The fencing token of the lease under which the reply is given.
     pub token: Token,
-    /// How old the copy was, at most, when the answer was made: the time since a question that the source answered.
+    /// The maximum age of the replica when the reply was made: the time since a request that the source answered.
     pub age_ms: u32,
-    /// The answer.
-    pub answer: Answer,
+    /// The content.
+    pub body: ReplyBody,
 }
 
 /// Any message.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Message {
-    /// A question.
+    /// A request.
     Request(Request),
-    /// An answer.
+    /// A reply.
     Reply(Reply),
-    /// The question's version or kind is not known; these versions are.
+    /// The version or kind of the request is not supported; these versions are.
     Unsupported(Versions),
 }
 
-/// Why bytes are no message.
+/// Why bytes could not be decoded as a message.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum DecodeError {
     /// Too short or too long.
-    #[error("{0} bytes are no message")]
+    #[error("invalid message length: {0} bytes")]
     Length(usize),
-    /// Of a version that this program does not speak.
-    #[error("version {0} is not spoken here")]
+    /// A version that this program does not support.
+    #[error("unsupported protocol version {0}")]
     Version(u8),
-    /// Of a kind that this version does not know.
-    #[error("kind {0} is not known")]
+    /// A kind that does not exist in this version.
+    #[error("unknown message kind {0}")]
     Kind(u8),
-    /// Its parts can't be read, or are out of their bounds.
-    #[error("the payload can't be read")]
+    /// A malformed field, or a field outside its limits.
+    #[error("malformed payload")]
     Payload,
 }
 
-/// What stands before each payload, in all versions.
+/// Precedes the payload in all versions.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Header {
-    /// The form of the payload.
+    /// The version of the payload.
     pub version: u8,
-    /// What it is.
+    /// The kind of the message.
     pub kind: u8,
-    /// The question's number, which its answer repeats.
-    pub number: u32,
+    /// The ID of the request, repeated by its reply.
+    pub request_id: u32,
 }
 
 impl Header {
-    /// Whether this is a question, of whatever version: answers have the upper half of all kinds.
+    /// Whether this is a request, of whatever version: replies use the upper half of the kinds.
     pub fn is_request(&self) -> bool {
         self.kind < KIND_REPLY
     }
 
-    /// Reads a header; the payload is behind it.
+    /// Decodes a header and returns it with the payload.
     ///
     /// # Errors
-    /// The bytes are too few or too many.
+    /// There are too few or too many bytes.
     pub fn decode(bytes: &[u8]) -> Result<(Header, &[u8]), DecodeError> {
         let length = DecodeError::Length(bytes.len());
         if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(length);
         }
         let (header, payload) = bytes.split_at_checked(HEADER_BYTES).ok_or(length)?;
-        let [version, kind, number @ ..] = header else { return Err(length) };
-        let number = u32::from_le_bytes(number.try_into().map_err(|_| length)?);
-        Ok((Header { version: *version, kind: *kind, number }, payload))
+        let [version, kind, request_id @ ..] = header else { return Err(length) };
+        let request_id = u32::from_le_bytes(request_id.try_into().map_err(|_| length)?);
+        Ok((Header { version: *version, kind: *kind, request_id }, payload))
     }
 }
 
 impl Message {
     fn kind(&self) -> u8 {
         match self {
-            Message::Request(request) => request.ask.kind(),
+            Message::Request(request) => request.query.kind(),
             Message::Reply(_) => KIND_REPLY,
             Message::Unsupported(_) => KIND_UNSUPPORTED,
         }
     }
 
-    /// Its bytes.
-    pub fn encode(&self, version: u8, number: u32) -> Vec<u8> {
+    /// Encodes the message.
+    pub fn encode(&self, version: u8, request_id: u32) -> Vec<u8> {
         let mut bytes = vec![version, self.kind()];
-        bytes.extend(number.to_le_bytes());
+        bytes.extend(request_id.to_le_bytes());
         let payload = match self {
             Message::Request(request) => postcard::to_stdvec(request),
             Message::Reply(reply) => postcard::to_stdvec(reply),
             Message::Unsupported(versions) => Ok(vec![versions.lowest, versions.highest]),
         };
-        // These types can't fail to be written: they have no maps, and no sequences of unknown length.
+        // Serialization can't fail: these types contain neither maps nor sequences of unknown length.
         bytes.extend(payload.unwrap_or_default());
         bytes
     }
 
-    /// A message out of bytes.
+    /// Decodes a message.
     ///
     /// # Errors
-    /// They are none, or none of these versions.
+    /// The bytes are not a message, or not one of a supported version.
     pub fn decode(bytes: &[u8], versions: Versions) -> Result<(Header, Message), DecodeError> {
         let (header, payload) = Header::decode(bytes)?;
         if header.kind == KIND_UNSUPPORTED {
             let [lowest, highest, ..] = payload else { return Err(DecodeError::Payload) };
             return Ok((header, Message::Unsupported(Versions { lowest: *lowest, highest: *highest })));
         }
-        if !versions.contain(header.version) {
+        if !versions.contains(header.version) {
             return Err(DecodeError::Version(header.version));
         }
         let message = match header.kind {
-            1..=4 => Message::Request(read(payload)?),
-            KIND_REPLY => Message::Reply(read(payload)?),
+            1..=4 => Message::Request(decode_payload(payload)?),
+            KIND_REPLY => Message::Reply(decode_payload(payload)?),
             kind => return Err(DecodeError::Kind(kind)),
         };
         let is_valid = match &message {
-            Message::Request(request) => request.ask.is_valid() && request.ask.kind() == header.kind,
-            Message::Reply(reply) => reply.answer.is_valid(),
+            Message::Request(request) => request.query.is_valid() && request.query.kind() == header.kind,
+            Message::Reply(reply) => reply.body.is_valid(),
             Message::Unsupported(_) => true,
         };
         if is_valid {
@@ -324,8 +325,8 @@
     }
 }
 
-/// Reads a payload that nothing may follow.
-fn read<'a, T: Deserialize<'a>>(payload: &'a [u8]) -> Result<T, DecodeError> {
+/// Decodes a payload without trailing bytes.
+fn decode_payload<'a, T: Deserialize<'a>>(payload: &'a [u8]) -> Result<T, DecodeError> {
     match postcard::take_from_bytes(payload) {
         Ok((value, [])) => Ok(value),
         _ => Err(DecodeError::Payload),
--- a/distribution/src/position.rs
+++ b/distribution/src/position.rs
@@ -3,28 +3,29 @@
 use crate::Token;
 use serde::{Deserialize, Serialize};
 
-/// One incarnation of the log. Sequences of different epochs can't be compared.
+/// One incarnation of the log. Sequence numbers of different epochs are not comparable.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Epoch {
     /// The fencing token of the source lease under which the log is written.
     pub token: Token,
-    /// Greater where one holder had to begin its log anew, such as when sequences ran out.
+    /// Increases when one lease holder has to restart its log, for example because the sequence numbers are
+    /// exhausted.
     pub generation: u32,
 }
 
 impl Epoch {
-    /// The epoch that the holder of the same lease begins next; none after the last.
+    /// The next epoch under the same lease; `None` after the last one.
     pub fn next_generation(self) -> Option<Epoch> {
         let generation = self.generation.checked_add(1)?;
         Some(Epoch { generation, ..self })
     }
 }
 
-/// The place right behind one change of the log.
+/// A position in the log, immediately after a change.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Position {
     /// The incarnation of the log.
     pub epoch: Epoch,
-    /// The number of the last change; zero before the first.
+    /// The number of the last change; zero before the first change.
     pub sequence: u64,
 }
--- a/distribution/src/publisher.rs
+++ b/distribution/src/publisher.rs
@@ -4,7 +4,7 @@
 use crate::position::{Epoch, Position};
 use crate::record::{Change, Partition};
 use crate::replica::Replica;
-use crate::server::{Credentials, Server};
+use crate::server::{Server, ServingContext};
 use crate::store::StoreError;
 use crate::subscriber::with_drift;
 use crate::timing::Timing;
@@ -12,43 +12,44 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Why something was not published.
+/// Why a change was not published.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum PublishError {
-    /// It is out of bounds.
+    /// A limit was exceeded.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// All sequences and generations of this lease are used up: it has to be given back and taken anew.
-    #[error("the log of this lease is at its end")]
-    EndOfLog,
+    /// All sequence numbers and generations of this lease are exhausted. The lease must be released and acquired
+    /// again.
+    #[error("the log of this lease is exhausted")]
+    LogExhausted,
 }
 
-/// A worker as discovery lists it.
+/// A worker as listed by discovery.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ListedWorker {
-    /// Its zone.
+    /// The zone.
     pub zone: String,
-    /// Its name, unique over all zones.
+    /// The name, unique across all zones.
     pub name: String,
-    /// Everything else.
+    /// The encoded properties.
     pub value: Vec<u8>,
 }
 
-/// The log's writer.
+/// Writes the log.
 #[derive(Clone, Debug)]
 pub struct Publisher {
     replica: Replica,
     server: Server,
     timing: Timing,
-    /// When the question was asked that discovery answered last.
+    /// When the last request that discovery answered was sent.
     confirmed_at: Option<Time>,
-    /// The zone of each worker: one that moves leaves its former zone.
+    /// The zone of each worker; a worker that moves is removed from its previous zone.
     zones: BTreeMap<String, String>,
 }
 
 impl Publisher {
-    /// Begins an epoch under a token of the source lease, with the records that this process has already. Nothing is
-    /// served before discovery has confirmed them.
+    /// Starts an epoch under a token of the source lease, with the records that this process already has. Nothing is
+    /// served until discovery has confirmed them.
     pub fn new(
         mut replica: Replica,
         token: Token,
@@ -67,47 +68,47 @@
         Publisher { replica, server, timing, confirmed_at: None, zones }
     }
 
-    /// The copy that is served.
+    /// The replica that is served.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// Gives the copy back, when the lease has ended.
+    /// Returns the replica after the lease has ended.
     pub fn into_replica(self) -> Replica {
         self.replica
     }
 
-    /// Begins the log anew, in another generation, behind this sequence.
+    /// Restarts the log in another generation, after this sequence number.
     ///
     /// # Errors
-    /// There is no other generation under this token.
-    pub fn begin_anew(&mut self, sequence: u64) -> Result<(), PublishError> {
+    /// No generations are left under this token.
+    pub fn start_new_generation(&mut self, sequence: u64) -> Result<(), PublishError> {
         let epoch = self.replica.position().unwrap_or_default().epoch;
-        let epoch = epoch.next_generation().ok_or(PublishError::EndOfLog)?;
+        let epoch = epoch.next_generation().ok_or(PublishError::LogExhausted)?;
         self.replica.become_source(Position { epoch, sequence });
         Ok(())
     }
 
-    /// Discovery has answered a question that was asked at this time: what it said has been published.
-    pub fn confirm(&mut self, asked_at: Time) {
-        self.confirmed_at = self.confirmed_at.max(Some(asked_at));
+    /// Records that the response of discovery to a request sent at this time has been published.
+    pub fn confirm(&mut self, requested_at: Time) {
+        self.confirmed_at = self.confirmed_at.max(Some(requested_at));
     }
 
-    /// How old the copy is, at most; none before discovery has confirmed it.
+    /// The maximum age of the replica; `None` until discovery has confirmed it.
     pub fn age(&self, now: Time) -> Option<Duration> {
         self.confirmed_at.map(|at| with_drift(now.saturating_sub(at), &self.timing))
     }
 
-    /// Publishes a whole list: workers that are not in it are removed. How many changes that were.
+    /// Publishes a complete list: workers that are not in it are removed. Returns the number of changes.
     ///
     /// # Errors
-    /// A worker is out of bounds, or the log is at its end. What came before it is published.
+    /// A worker exceeds a limit, or the log is exhausted. Earlier changes remain published.
     pub fn publish_list(&mut self, workers: Vec<ListedWorker>) -> Result<usize, PublishError> {
         let listed: BTreeSet<&str> = workers.iter().map(|worker| worker.name.as_str()).collect();
-        let is_gone = |name: &&String| !listed.contains(name.as_str());
-        let gone: Vec<String> = self.zones.keys().filter(is_gone).cloned().collect();
+        let is_removed = |name: &&String| !listed.contains(name.as_str());
+        let removed: Vec<String> = self.zones.keys().filter(is_removed).cloned().collect();
         let mut changes = 0;
-        for name in gone {
+        for name in removed {
             changes += self.remove_worker(&name)?;
         }
         for worker in workers {
@@ -116,10 +117,10 @@
         Ok(changes)
     }
 
-    /// Publishes a worker, new or changed. How many changes that were: two where it moved to another zone.
+    /// Publishes a new or changed worker. Returns the number of changes: two if the worker moved to another zone.
     ///
     /// # Errors
-    /// It is out of bounds, or the log is at its end.
+    /// The worker exceeds a limit, or the log is exhausted.
     pub fn publish_worker(&mut self, worker: ListedWorker) -> Result<usize, PublishError> {
         let ListedWorker { zone, name, value } = worker;
         let has_moved = self.zones.get(&name).is_some_and(|before| *before != zone);
@@ -130,19 +131,19 @@
         Ok(removed + set)
     }
 
-    /// Removes a worker, if it is there.
+    /// Removes a worker if it is present.
     ///
     /// # Errors
-    /// The log is at its end.
+    /// The log is exhausted.
     pub fn remove_worker(&mut self, name: &str) -> Result<usize, PublishError> {
         let Some(zone) = self.zones.remove(name) else { return Ok(0) };
         self.append(Change { partition: Partition::Zone(zone), name: name.to_owned(), value: None })
     }
 
-    /// Publishes a part of the configuration, or removes it.
+    /// Publishes a configuration entry, or removes it.
     ///
     /// # Errors
-    /// It is out of bounds, or the log is at its end.
+    /// The entry exceeds a limit, or the log is exhausted.
     pub fn publish_configuration(
         &mut self,
         name: &str,
@@ -151,19 +152,19 @@
         self.append(Change { partition: Partition::Configuration, name: name.to_owned(), value })
     }
 
-    /// Answers a message, under the token of the source lease that holds at this very moment.
+    /// Replies to a message, under the token of the source lease held at this moment.
     pub fn serve(&mut self, now: Time, token: Option<Token>, bytes: &[u8]) -> Option<Vec<u8>> {
-        // A log under a token that is no longer held must not be served as if it were the new one's.
+        // A log written under a previous token must not be served as the log of the current one.
         let epoch = self.replica.position().unwrap_or_default().epoch;
         let token = token.filter(|token| *token == epoch.token);
-        let credentials = Credentials { token, age: self.age(now) };
-        self.server.serve(now, bytes, &self.replica, credentials)
+        let context = ServingContext { token, age: self.age(now) };
+        self.server.serve(now, bytes, &self.replica, context)
     }
 
     fn append(&mut self, change: Change) -> Result<usize, PublishError> {
         let position = self.replica.position().unwrap_or_default();
         if position.sequence == u64::MAX {
-            self.begin_anew(0)?;
+            self.start_new_generation(0)?;
         }
         Ok(usize::from(self.replica.append(change)?))
     }
--- a/distribution/src/record.rs
+++ b/distribution/src/record.rs
@@ -1,20 +1,21 @@
-//! Records, the partitions and ranges in which they are kept, and changes of them.
+//! Records, their partitions and ranges, and changes to them.
 
 use serde::{Deserialize, Serialize};
 
-/// Ranges of each partition. Part of the protocol: a zone of 440 workers gives ranges of about 1.2 KB, which fit a
-/// quarter of a second of the byte budget, and digests of all ranges of 25 zones fit one second of it.
+/// The number of ranges per partition. Part of the protocol. A zone of 440 workers has ranges of about 1.2 KB, each
+/// of which takes a quarter of a second of the byte budget, and the digests of all ranges of 25 zones fit into one
+/// second of it.
 pub const RANGES_PER_PARTITION: u8 = 16;
-/// The longest name of a zone and of a record, in bytes.
+/// The maximum length of a zone or record name in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
-/// The longest value of a record, in bytes.
+/// The maximum length of a record value in bytes.
 pub const MAX_VALUE_BYTES: usize = 1024;
 
-/// A sum of hashes: equal sets of records have equal digests, and one change updates it in constant time. It guards
-/// against mistakes, not against forgery: the links between members authenticate what is said.
+/// A sum of hashes: equal sets of records have equal digests, and a change updates the digest in constant time. It
+/// detects accidental differences, not forgery; messages are authenticated by the links between members.
 pub type Digest = u64;
 
-/// Records that are fetched and confirmed together.
+/// A group of records that is fetched and verified as a unit.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Partition {
     /// The configuration of all dispatchers.
@@ -24,7 +25,7 @@
 }
 
 impl Partition {
-    /// Whether its name is within bounds.
+    /// Whether the name is within the limits.
     pub fn is_valid(&self) -> bool {
         match self {
             Partition::Configuration => true,
@@ -38,12 +39,12 @@
 pub struct Range {
     /// The partition.
     pub partition: Partition,
-    /// Which of its ranges.
+    /// The index of the range in its partition.
     pub index: u8,
 }
 
 impl Range {
-    /// The range that holds a record.
+    /// The range that contains a record.
     pub fn of(partition: &Partition, name: &str) -> Range {
         Range { partition: partition.clone(), index: range_index(name) }
     }
@@ -53,47 +54,47 @@
         (0..RANGES_PER_PARTITION).map(|index| Range { partition: partition.clone(), index })
     }
 
-    /// Whether its parts are within bounds.
+    /// Whether all fields are within the limits.
     pub fn is_valid(&self) -> bool {
         self.partition.is_valid() && self.index < RANGES_PER_PARTITION
     }
 }
 
-/// A named value. What it means is the matter of whoever publishes it; [`crate::worker`] has the form of workers.
+/// A named value. Its meaning is defined by the publisher; [`crate::worker`] defines the encoding of workers.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Record {
-    /// Unique in its partition.
+    /// The name, unique in its partition.
     pub name: String,
-    /// Its value.
+    /// The value.
     pub value: Vec<u8>,
 }
 
 impl Record {
-    /// Whether its parts are within bounds.
+    /// Whether all fields are within the limits.
     pub fn is_valid(&self) -> bool {
-        is_name(&self.name) && self.value.len() <= MAX_VALUE_BYTES
+        is_valid_name(&self.name) && self.value.len() <= MAX_VALUE_BYTES
     }
 }
 
-/// A record set or removed.
+/// Sets or removes a record.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Change {
-    /// Where.
+    /// The partition of the record.
     pub partition: Partition,
-    /// Which record.
+    /// The name of the record.
     pub name: String,
-    /// Its value from now on; none removes it.
+    /// The new value; `None` removes the record.
     pub value: Option<Vec<u8>>,
 }
 
 impl Change {
-    /// Whether its parts are within bounds.
+    /// Whether all fields are within the limits.
     pub fn is_valid(&self) -> bool {
         let fits = self.value.as_ref().is_none_or(|value| value.len() <= MAX_VALUE_BYTES);
-        self.partition.is_valid() && is_name(&self.name) && fits
+        self.partition.is_valid() && is_valid_name(&self.name) && fits
     }
 
-    /// Bytes that it takes, roughly: for budgets and bounds.
+    /// The approximate encoded size in bytes, for budgets and limits.
     pub fn size(&self) -> usize {
         let partition = match &self.partition {
             Partition::Configuration => 1,
@@ -106,18 +107,18 @@
 /// Lengths and tags of an encoded change.
 const CHANGE_OVERHEAD: usize = 6;
 
-fn is_name(name: &str) -> bool {
+fn is_valid_name(name: &str) -> bool {
     !name.is_empty() && name.len() <= MAX_NAME_BYTES
 }
 
-/// Which range of its partition holds a record.
+/// The index of the range that contains a record.
 pub(crate) fn range_index(name: &str) -> u8 {
     let hash = blake3::hash(name.as_bytes());
     hash.as_bytes()[0] % RANGES_PER_PARTITION
 }
 
-/// What one record adds to its range's digest. Never zero, so that an empty range differs from any other.
-pub(crate) fn digest_of(partition: &Partition, name: &str, value: &[u8]) -> Digest {
+/// What one record adds to the digest of its range. Never zero, so that an empty range differs from any other.
+pub(crate) fn record_digest(partition: &Partition, name: &str, value: &[u8]) -> Digest {
     let mut hasher = blake3::Hasher::new();
     match partition {
         Partition::Configuration => hasher.update(&[0]),
--- a/distribution/src/replica.rs
+++ b/distribution/src/replica.rs
@@ -1,37 +1,38 @@
-//! A copy of the source's records, as source, relays and subscribers keep it.
+//! A copy of the source's records, as maintained by the source, relays, and subscribers.
 
 use crate::history::{Batch, History, NumberedChange};
-use crate::message::{Answer, Ask, PartitionDigests, RangeContents, Request};
+use crate::message::{PartitionDigests, Query, RangeContents, ReplyBody, Request};
 use crate::position::Position;
 use crate::record::{Change, Digest, Partition, Range, Record};
 use crate::store::{Store, StoreError};
 use crate::timing::Limits;
 
-/// Bytes that an answer with changes has for other things.
-const ANSWER_HEADER_BYTES: usize = 32;
-/// The most that an answer's ranges take together, beyond the first: a message has its bound.
+/// Bytes of a reply that are not available for changes.
+const REPLY_OVERHEAD_BYTES: usize = 32;
+/// The maximum total size of the ranges in a reply, not counting the first range; keeps the reply within the message
+/// size limit.
 const MAX_CONTENTS_BYTES: usize = 32 << 10;
 
-/// Records, the place in the log up to which they are known, and the changes that led there.
+/// Records, their position in the log, and the changes that led to it.
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
     limits: Limits,
     position: Option<Position>,
     store: Store,
     history: History,
-    /// All partitions of the source are known in this epoch: one that is not here is empty.
+    /// Whether all partitions of the source in this epoch are known; if so, a partition that is not present is empty.
     partitions_known: bool,
-    /// The position is where the source or a relay stood, and not amid a batch that went on.
+    /// Whether the position was a head of the source or a relay, rather than within a batch that continues.
     at_head: bool,
 }
 
 impl Replica {
-    /// An empty copy that knows no position.
+    /// Creates an empty replica without a position.
     pub fn new(limits: Limits) -> Replica {
         Replica { limits, ..Replica::default() }
     }
 
-    /// Up to where in the log it is.
+    /// The position in the log.
     pub fn position(&self) -> Option<Position> {
         self.position
     }
@@ -46,22 +47,22 @@
         self.store.records()
     }
 
-    /// How many records there are.
+    /// The number of records.
     pub fn len(&self) -> usize {
         self.store.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.store.len() == 0
     }
 
-    /// Bytes of names and values of all records.
+    /// The total size of the names and values of all records in bytes.
     pub fn record_bytes(&self) -> usize {
         self.store.bytes()
     }
 
-    /// Changes that are remembered.
+    /// The number of changes in the history.
     pub fn history_len(&self) -> usize {
         self.history.len()
     }
@@ -71,12 +72,12 @@
         self.store.digest()
     }
 
-    /// Whether all records are known to be the source's at the position.
+    /// Whether all records are verified to be the source's at the position.
     pub fn is_complete(&self) -> bool {
         self.partitions_known && self.store.is_all_verified(self.sequence())
     }
 
-    /// Whether a partition is known to be the source's at the position.
+    /// Whether a partition is verified to be the source's at the position.
     pub fn is_verified(&self, partition: &Partition) -> bool {
         match self.store.contains(partition) {
             true => self.store.is_partition_verified(partition, self.sequence()),
@@ -84,8 +85,8 @@
         }
     }
 
-    /// Whether a range is known to be the source's at the position: only such ranges are served. One that was
-    /// fetched at a later position is, once the changes up to there have come.
+    /// Whether a range is verified to be the source's at the position; only such ranges are served. A range that was
+    /// fetched at a later position counts as verified once the changes up to that position have been applied.
     fn is_range_verified(&self, range: &Range) -> bool {
         match self.store.contains(&range.partition) {
             true => self.store.verified_at(range).is_some_and(|at| at <= self.sequence()),
@@ -101,51 +102,51 @@
         &self.store
     }
 
-    /// Begins to follow the log at a position: what is here stays, but has to be verified anew.
-    pub(crate) fn adopt(&mut self, position: Position) {
+    /// Starts to follow the log at a position. Records are kept but must be verified again.
+    pub(crate) fn start_at(&mut self, position: Position) {
         self.position = Some(position);
         self.history.reset(position.sequence);
-        self.store.unverify_all();
+        self.store.invalidate_all();
         self.partitions_known = false;
         self.at_head = true;
     }
 
-    /// Makes this copy the source's own, at the beginning of an epoch.
+    /// Makes this the source's replica at the beginning of an epoch.
     pub(crate) fn become_source(&mut self, position: Position) {
-        self.adopt(position);
+        self.start_at(position);
         self.store.drop_empty_partitions();
-        // The configuration is essential to all, so it is listed even while nothing is in it.
+        // The configuration is essential to every subscriber, so it is listed even while it is empty.
         self.store.add_partition(&Partition::Configuration);
         self.store.verify_all(position.sequence);
         self.partitions_known = true;
     }
 
-    /// All partitions of the source are known from now on: at a sequence it listed these, and every other one was
-    /// empty. The changes that this came to.
+    /// Marks all partitions of the source as known: at `sequence` it listed these, and all others were empty. Returns
+    /// the resulting changes.
     pub(crate) fn set_partitions_known(
         &mut self,
         listed: &[&Partition],
         sequence: u64,
     ) -> Result<Vec<Change>, StoreError> {
-        let is_gone = |partition: &&Partition| !listed.contains(partition);
-        let gone: Vec<Partition> = self.store.partitions().filter(is_gone).cloned().collect();
+        let is_removed = |partition: &&Partition| !listed.contains(partition);
+        let removed: Vec<Partition> = self.store.partitions().filter(is_removed).cloned().collect();
         let mut changes = Vec::new();
-        for range in gone.iter().flat_map(Range::all) {
+        for range in removed.iter().flat_map(Range::all) {
             if self.store.verified_at(&range).is_none() {
                 changes.extend(self.replace(&range, &[], sequence)?);
             }
         }
         self.store.drop_empty_partitions();
         for partition in listed {
-            self.store.check_partitions(partition, &self.limits)?;
+            self.store.check_partition_limit(partition, &self.limits)?;
             self.store.add_partition(partition);
         }
         self.partitions_known = true;
         Ok(changes)
     }
 
-    /// Appends a change to the log, as its source. Whether it made any difference; one that makes none is not
-    /// appended. The sequence must not be at its end.
+    /// Appends a change to the log, as its source. Returns whether the change had an effect; a change without effect
+    /// is not appended. The sequence number must not be at its maximum.
     pub(crate) fn append(&mut self, change: Change) -> Result<bool, StoreError> {
         let Some(position) = &mut self.position else { return Ok(false) };
         if !self.store.apply(&change, &self.limits)? {
@@ -154,17 +155,18 @@
         position.sequence += 1;
         let sequence = position.sequence;
         self.store.verify(&Range::of(&change.partition, &change.name), sequence, &self.limits)?;
-        self.verify_rest_of(&change.partition, sequence)?;
+        self.verify_remaining_ranges(&change.partition, sequence)?;
         if change.partition != Partition::Configuration {
-            // One that is not here counts as empty. Zones come and go, and must not fill the bound.
+            // A partition that is not present counts as empty. Zones come and go, and must not exhaust the partition
+            // limit.
             self.store.drop_if_empty(&change.partition);
         }
         self.history.push(sequence, change, &self.limits);
         Ok(true)
     }
 
-    /// A partition that came up with a change is known whole, where all partitions are known.
-    fn verify_rest_of(&mut self, partition: &Partition, sequence: u64) -> Result<(), StoreError> {
+    /// A partition created by a change is completely known if all partitions are known.
+    fn verify_remaining_ranges(&mut self, partition: &Partition, sequence: u64) -> Result<(), StoreError> {
         for range in Range::all(partition) {
             if self.store.verified_at(&range).is_none() {
                 self.store.verify(&range, sequence, &self.limits)?;
@@ -173,8 +175,9 @@
         Ok(())
     }
 
-    /// Applies changes that follow the position, in its epoch, on the way to a head; those that made a difference. On an
-    /// error some are applied, and the position is as before.
+    /// Applies changes that follow the position in its epoch, up to `to`, where `head` is the end of the other
+    /// replica's log. Returns the changes that had an effect. After an error some changes may have been applied, and
+    /// the position is unchanged.
     pub(crate) fn apply(
         &mut self,
         changes: &[NumberedChange],
@@ -187,14 +190,14 @@
             let sequence = position.sequence.saturating_add(*offset);
             let range = Range::of(&change.partition, &change.name);
             let is_new = self.partitions_known && !self.store.contains(&change.partition);
-            // A range that was fetched at a later position already holds this change, or a later one.
+            // A range that was fetched at a later position already contains this change or a newer one.
             if self.store.verified_at(&range).is_none_or(|at| at < sequence)
                 && self.store.apply(change, &self.limits)?
             {
                 applied.push(change.clone());
             }
             if is_new && self.store.contains(&change.partition) {
-                self.verify_rest_of(&change.partition, sequence)?;
+                self.verify_remaining_ranges(&change.partition, sequence)?;
             }
         }
         for NumberedChange { offset, change } in changes {
@@ -205,7 +208,7 @@
         Ok(applied)
     }
 
-    /// Makes a range what another copy says that it was at a sequence; the changes that this came to.
+    /// Replaces a range with its contents in another replica at a sequence number. Returns the resulting changes.
     pub(crate) fn replace(
         &mut self,
         range: &Range,
@@ -217,56 +220,57 @@
         Ok(changes)
     }
 
-    /// A range is what another copy says that it was at a sequence.
+    /// Marks a range as equal to that of another replica at a sequence number.
     pub(crate) fn verify(&mut self, range: &Range, sequence: u64) -> Result<(), StoreError> {
         self.store.verify(range, sequence, &self.limits)
     }
 
-    /// Records a change that did not come by the log: its range has to be verified again.
+    /// Applies a change that did not come from the log; its range must be verified again.
     pub(crate) fn overwrite(&mut self, change: &Change) -> Result<bool, StoreError> {
         let differs = self.store.apply(change, &self.limits)?;
         if differs {
-            self.store.unverify(&Range::of(&change.partition, &change.name));
+            self.store.invalidate(&Range::of(&change.partition, &change.name));
         }
         Ok(differs)
     }
 
-    /// Everything has to be verified again: the records are not what the log says.
-    pub(crate) fn unverify(&mut self) {
-        self.store.unverify_all();
+    /// Marks everything as unverified, when the records do not match the log.
+    pub(crate) fn invalidate(&mut self) {
+        self.store.invalidate_all();
         self.partitions_known = false;
     }
 
-    /// Answers a question.
-    pub(crate) fn answer(&self, request: &Request) -> Answer {
-        let Some(position) = self.position else { return Answer::NotServing };
+    /// Returns the reply to a request.
+    pub(crate) fn reply_to(&self, request: &Request) -> ReplyBody {
+        let Some(position) = self.position else { return ReplyBody::NotServing };
         let max_bytes = request.max_bytes as usize;
-        match &request.ask {
-            Ask::Changes { after } => self.answer_changes(position, *after, max_bytes),
-            Ask::Partitions => Answer::Partitions(self.partition_digests(position)),
-            Ask::RangeDigests { partition } => self.answer_range_digests(position, partition),
-            Ask::Contents { ranges } => self.answer_contents(position, ranges, max_bytes),
+        match &request.query {
+            Query::Changes { after } => self.changes_reply(position, *after, max_bytes),
+            Query::Partitions => ReplyBody::Partitions(self.partition_digests(position)),
+            Query::RangeDigests { partition } => self.range_digests_reply(position, partition),
+            Query::Contents { ranges } => self.contents_reply(position, ranges, max_bytes),
         }
     }
 
-    fn answer_changes(&self, position: Position, after: Option<Position>, max_bytes: usize) -> Answer {
-        let Some(after) = after else { return Answer::Behind(self.partition_digests(position)) };
+    fn changes_reply(&self, position: Position, after: Option<Position>, max_bytes: usize) -> ReplyBody {
+        let Some(after) = after else { return ReplyBody::ResyncRequired(self.partition_digests(position)) };
         if after > position {
-            return Answer::Lagging;
+            return ReplyBody::Lagging;
         }
         let head = position.sequence;
-        let room = max_bytes.saturating_sub(ANSWER_HEADER_BYTES).min(MAX_CONTENTS_BYTES);
+        let available = max_bytes.saturating_sub(REPLY_OVERHEAD_BYTES).min(MAX_CONTENTS_BYTES);
         let batch = match after.epoch == position.epoch {
-            true => self.history.after(after.sequence, head, room),
+            true => self.history.after(after.sequence, head, available),
             false => None,
         };
         match batch {
             Some(Batch { to, changes }) => {
-                // Amid a batch only the last change of each record is here: what an earlier one did is missing.
+                // Within a batch only the last change of each record is present, so the effect of earlier ones is
+                // missing.
                 let digest = (self.at_head && self.is_complete()).then(|| self.digest());
-                Answer::Changes { to, head, digest, changes }
+                ReplyBody::Changes { to, head, digest, changes }
             }
-            None => Answer::Behind(self.partition_digests(position)),
+            None => ReplyBody::ResyncRequired(self.partition_digests(position)),
         }
     }
 
@@ -276,18 +280,18 @@
         PartitionDigests { position, is_complete: self.is_complete(), digests }
     }
 
-    fn answer_range_digests(&self, position: Position, partition: &Partition) -> Answer {
+    fn range_digests_reply(&self, position: Position, partition: &Partition) -> ReplyBody {
         let digest = |range: Range| self.is_range_verified(&range).then(|| self.store.range_digest(&range));
         let digests = Range::all(partition).map(digest).collect();
-        Answer::RangeDigests { position, partition: partition.clone(), digests }
+        ReplyBody::RangeDigests { position, partition: partition.clone(), digests }
     }
 
-    fn answer_contents(&self, position: Position, ranges: &[Range], max_bytes: usize) -> Answer {
+    fn contents_reply(&self, position: Position, ranges: &[Range], max_bytes: usize) -> ReplyBody {
         let mut contents = Vec::new();
-        let mut bytes = ANSWER_HEADER_BYTES;
+        let mut bytes = REPLY_OVERHEAD_BYTES;
         for range in ranges.iter().filter(|range| self.is_range_verified(range)) {
             bytes += self.store.range_bytes(range);
-            // One range always goes out whole, or nothing would ever go on.
+            // The first range is always sent completely; otherwise a subscriber could not make progress.
             if bytes > max_bytes.min(MAX_CONTENTS_BYTES) && !contents.is_empty() {
                 break;
             }
@@ -300,6 +304,6 @@
                 digest: self.store.range_digest(range),
             });
         }
-        Answer::Contents { position, ranges: contents }
+        ReplyBody::Contents { position, ranges: contents }
     }
 }
--- a/distribution/src/server.rs
+++ b/distribution/src/server.rs
@@ -1,28 +1,28 @@
-//! Answers questions from a replica, within a byte budget.
+//! Serves requests from a replica within a byte budget.
 
 use crate::budget::ByteBudget;
-use crate::message::{Answer, Ask, DecodeError, Header, Message, Reply, Request, Service, Versions};
+use crate::message::{DecodeError, Header, Message, Query, Reply, ReplyBody, Request, Service, Versions};
 use crate::replica::Replica;
 use crate::timing::Timing;
 use crate::{Time, Token};
 use std::time::Duration;
 
-/// Seconds of its rate that a server's budget holds.
+/// The burst capacity of the budget, in seconds of its rate.
 const BURST_SECONDS: u32 = 1;
-/// The part of the budget that is kept for changes: ranges are refused once only this is left, so that a crowd of
-/// newcomers does not hold up what has to be in force soon.
-const KEPT_FOR_CHANGES: u32 = 4;
+/// The inverse of the budget fraction reserved for changes. Requests for ranges are rejected once only this reserve
+/// is left, so that many starting subscribers do not delay changes, which must take effect soon.
+const CHANGES_RESERVE_DIVISOR: u32 = 4;
 
-/// By what right and with what copy a process answers.
+/// The lease under which a process serves, and the state of its replica.
 #[derive(Clone, Copy, Debug)]
-pub struct Credentials {
-    /// The token of the lease under which it answers at this very moment; none where it may not.
+pub struct ServingContext {
+    /// The token of the lease held at this moment; `None` if the process holds no lease.
     pub token: Option<Token>,
-    /// How old its copy is at most; none where it has none.
+    /// The maximum age of the replica; `None` if there is no replica.
     pub age: Option<Duration>,
 }
 
-/// What a source or a relay answers with. It keeps nothing for each client.
+/// The server side of a source or a relay. It keeps no state per client.
 #[derive(Clone, Debug)]
 pub struct Server {
     service: Service,
@@ -33,7 +33,7 @@
 }
 
 impl Server {
-    /// A server that sends so many bytes a second.
+    /// Creates a server that sends at most this many bytes per second.
     pub fn new(
         service: Service,
         bytes_per_second: u32,
@@ -51,55 +51,58 @@
         }
     }
 
-    /// The answer to a message, if it is a question at all.
+    /// Returns the reply to a message, if the message is a request.
     pub fn serve(
         &mut self,
         now: Time,
         bytes: &[u8],
         replica: &Replica,
-        credentials: Credentials,
+        context: ServingContext,
     ) -> Option<Vec<u8>> {
         let (header, request) = match Message::decode(bytes, self.versions) {
             Ok((header, Message::Request(request))) => (header, request),
             Ok(_) | Err(DecodeError::Length(_) | DecodeError::Payload) => return None,
-            Err(DecodeError::Version(_) | DecodeError::Kind(_)) => return self.refuse_version(bytes),
+            Err(DecodeError::Version(_) | DecodeError::Kind(_)) => {
+                return self.unsupported_version_reply(bytes)
+            }
         };
-        let answer = self.answer(now, request, replica, &credentials);
-        let age_ms =
-            credentials.age.map_or(u32::MAX, |age| u32::try_from(age.as_millis()).unwrap_or(u32::MAX));
-        let reply = Reply { token: credentials.token.unwrap_or(0), age_ms, answer };
-        let bytes = Message::Reply(reply).encode(header.version, header.number);
+        let body = self.handle_request(now, request, replica, &context);
+        let age_ms = context.age.map_or(u32::MAX, |age| u32::try_from(age.as_millis()).unwrap_or(u32::MAX));
+        let reply = Reply { token: context.token.unwrap_or(0), age_ms, body };
+        let bytes = Message::Reply(reply).encode(header.version, header.request_id);
         self.budget.spend(bytes.len() + self.overhead, now);
         Some(bytes)
     }
 
-    fn answer(
+    fn handle_request(
         &mut self,
         now: Time,
         request: Request,
         replica: &Replica,
-        credentials: &Credentials,
-    ) -> Answer {
-        if request.service != self.service || credentials.token.is_none() || credentials.age.is_none() {
-            return Answer::NotServing;
+        context: &ServingContext,
+    ) -> ReplyBody {
+        if request.service != self.service || context.token.is_none() || context.age.is_none() {
+            return ReplyBody::NotServing;
         }
-        let kept = match request.ask {
-            Ask::Changes { .. } => 0,
-            _ => self.capacity / KEPT_FOR_CHANGES,
+        let reserved = match request.query {
+            Query::Changes { .. } => 0,
+            _ => self.capacity / CHANGES_RESERVE_DIVISOR,
         };
         let available = self.budget.available(now);
-        if available <= kept {
-            let wait = self.budget.wait_for(kept + 1, now);
-            return Answer::Busy { retry_after_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX) };
+        if available <= reserved {
+            let wait = self.budget.time_until_available(reserved + 1, now);
+            return ReplyBody::Busy { retry_after_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX) };
         }
         let max_bytes = request.max_bytes.min(available);
-        replica.answer(&Request { max_bytes, ..request })
+        replica.reply_to(&Request { max_bytes, ..request })
     }
 
-    /// What is spoken here, to one that speaks otherwise. Never in answer to an answer: two that do not understand each
-    /// other would go on for ever.
-    fn refuse_version(&self, bytes: &[u8]) -> Option<Vec<u8>> {
+    /// Replies with the supported versions. Never replies to a reply: two peers without a common version would do so
+    /// endlessly.
+    fn unsupported_version_reply(&self, bytes: &[u8]) -> Option<Vec<u8>> {
         let (header, _) = Header::decode(bytes).ok()?;
-        header.is_request().then(|| Message::Unsupported(self.versions).encode(header.version, header.number))
+        header
+            .is_request()
+            .then(|| Message::Unsupported(self.versions).encode(header.version, header.request_id))
     }
 }
--- a/distribution/src/store.rs
+++ b/distribution/src/store.rs
@@ -1,23 +1,25 @@
-//! Records in ranges, with the digest of each.
+//! Records grouped into ranges, with a digest per range.
 
-use crate::record::{digest_of, range_index, Change, Digest, Partition, Range, Record, RANGES_PER_PARTITION};
+use crate::record::{
+    range_index, record_digest, Change, Digest, Partition, Range, Record, RANGES_PER_PARTITION,
+};
 use crate::timing::Limits;
 use std::collections::BTreeMap;
 
-/// Bytes of names and values that one range may hold: it is sent whole, in one message.
+/// The maximum size of the names and values of one range, which is sent completely in one message.
 pub const MAX_RANGE_BYTES: usize = 48 << 10;
-/// Bytes that the form of a record takes beside its name and value.
+/// Encoding overhead of a record in addition to its name and value.
 const RECORD_OVERHEAD: usize = 4;
 
-/// A change would take the copy beyond one of its bounds.
+/// A change would exceed a limit of the replica.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum StoreError {
-    /// A name or a value is too long or empty.
-    #[error("a record's name or value is outside of its bounds")]
+    /// A name or value is too long, or a name is empty.
+    #[error("a record's name or value is outside its limits")]
     Invalid,
-    /// Too many records or partitions, or too many bytes of them.
-    #[error("the copy is at its bound")]
-    Full,
+    /// Too many records or partitions, or too many bytes.
+    #[error("a limit of the replica would be exceeded")]
+    LimitExceeded,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -25,7 +27,7 @@
     records: BTreeMap<String, Vec<u8>>,
     digest: Digest,
     bytes: usize,
-    /// The sequence at which it was known to be the source's; none until it was in this epoch.
+    /// The sequence number at which the range was verified to be the source's; `None` if not verified in this epoch.
     verified_at: Option<u64>,
 }
 
@@ -48,7 +50,7 @@
     }
 }
 
-/// All records of a copy.
+/// All records of a replica.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Store {
     partitions: BTreeMap<Partition, PartitionState>,
@@ -96,7 +98,7 @@
         self.partitions.get(partition).map_or(0, PartitionState::digest)
     }
 
-    /// Bytes that a range's records take in a message.
+    /// The size of a range's records in a message.
     pub fn range_bytes(&self, range: &Range) -> usize {
         self.range_state(range).map_or(0, |state| state.bytes)
     }
@@ -113,7 +115,7 @@
         self.partitions.contains_key(partition)
     }
 
-    /// Whether all ranges of a partition that is here were verified at this sequence or before.
+    /// Whether the partition is present and all its ranges were verified at or before this sequence number.
     pub fn is_partition_verified(&self, partition: &Partition, sequence: u64) -> bool {
         self.partitions.get(partition).is_some_and(|state| state.is_verified(sequence))
     }
@@ -122,27 +124,27 @@
         self.partitions.values().all(|state| state.is_verified(sequence))
     }
 
-    /// Makes room for a partition of which nothing is known yet.
+    /// Adds a partition without any verified range.
     pub fn add_partition(&mut self, partition: &Partition) {
         self.partitions.entry(partition.clone()).or_default();
     }
 
-    /// Whether a partition is here, or has room.
-    pub fn check_partitions(&self, partition: &Partition, limits: &Limits) -> Result<(), StoreError> {
+    /// Checks that a partition is present, or that there is room for it.
+    pub fn check_partition_limit(&self, partition: &Partition, limits: &Limits) -> Result<(), StoreError> {
         match self.partitions.contains_key(partition) || self.partitions.len() < limits.partitions {
             true => Ok(()),
-            false => Err(StoreError::Full),
+            false => Err(StoreError::LimitExceeded),
         }
     }
 
-    /// Forgets a partition that holds nothing.
+    /// Removes a partition if it is empty.
     pub fn drop_if_empty(&mut self, partition: &Partition) {
         if self.is_partition_empty(partition) {
             self.partitions.remove(partition);
         }
     }
 
-    /// The sequence at which a range was verified.
+    /// The sequence number at which a range was verified.
     pub fn verified_at(&self, range: &Range) -> Option<u64> {
         self.range_state(range)?.verified_at
     }
@@ -157,23 +159,23 @@
         ranges.for_each(|range| range.verified_at = Some(sequence));
     }
 
-    pub fn unverify(&mut self, range: &Range) {
+    pub fn invalidate(&mut self, range: &Range) {
         if let Some(state) = self.partitions.get_mut(&range.partition) {
             state.ranges[usize::from(range.index)].verified_at = None;
         }
     }
 
-    pub fn unverify_all(&mut self) {
+    pub fn invalidate_all(&mut self) {
         let ranges = self.partitions.values_mut().flat_map(|partition| &mut partition.ranges);
         ranges.for_each(|range| range.verified_at = None);
     }
 
-    /// Forgets partitions that hold nothing: zones come and go.
+    /// Removes empty partitions, since zones come and go.
     pub fn drop_empty_partitions(&mut self) {
         self.partitions.retain(|_, partition| !partition.is_empty());
     }
 
-    /// Carries out a change; whether it made any difference. A copy at its bound still takes removals.
+    /// Applies a change and returns whether it had an effect. Removals succeed even at the limits.
     pub fn apply(&mut self, change: &Change, limits: &Limits) -> Result<bool, StoreError> {
         if !change.is_valid() {
             return Err(StoreError::Invalid);
@@ -184,7 +186,7 @@
         }
     }
 
-    /// Makes a range hold exactly these records; the changes that this came to. Nothing is changed on an error.
+    /// Replaces the records of a range and returns the resulting changes. Nothing is changed on an error.
     pub fn replace(
         &mut self,
         range: &Range,
@@ -199,19 +201,19 @@
             name: name.to_owned(),
             value: value.map(<[u8]>::to_vec),
         };
-        let gone = self.range(range).filter(|(name, _)| !wanted.contains_key(name));
-        let mut changes: Vec<Change> = gone.map(|(name, _)| change(name, None)).collect();
+        let removed = self.range(range).filter(|(name, _)| !wanted.contains_key(name));
+        let mut changes: Vec<Change> = removed.map(|(name, _)| change(name, None)).collect();
         let differs = |(name, value): &(&&str, &&[u8])| self.get(partition, name) != Some(**value);
         changes.extend(wanted.iter().filter(differs).map(|(name, value)| change(name, Some(value))));
-        self.check_room(range, &changes, limits)?;
+        self.check_limits(range, &changes, limits)?;
         for change in &changes {
             self.apply(change, limits)?;
         }
         Ok(changes)
     }
 
-    /// Whether a set of changes of one range fits as a whole.
-    fn check_room(&self, range: &Range, changes: &[Change], limits: &Limits) -> Result<(), StoreError> {
+    /// Checks that a set of changes to one range is within the limits as a whole.
+    fn check_limits(&self, range: &Range, changes: &[Change], limits: &Limits) -> Result<(), StoreError> {
         let (mut records, mut bytes, mut range_bytes) = (self.records, self.bytes, self.range_bytes(range));
         for change in changes {
             if !change.is_valid() {
@@ -229,7 +231,7 @@
             }
         }
         if records > limits.records || bytes > limits.record_bytes || range_bytes > MAX_RANGE_BYTES {
-            return Err(StoreError::Full);
+            return Err(StoreError::LimitExceeded);
         }
         Ok(())
     }
@@ -249,16 +251,17 @@
         let records = self.records + usize::from(old.is_none());
         let bytes = self.bytes - old_size + name.len() + value.len();
         if records > limits.records || bytes > limits.record_bytes {
-            return Err(StoreError::Full);
+            return Err(StoreError::LimitExceeded);
         }
         let range = Range::of(partition, name);
-        let old_room = old.map_or(0, |_| old_size + RECORD_OVERHEAD);
-        let range_bytes = self.range_bytes(&range) - old_room + name.len() + value.len() + RECORD_OVERHEAD;
+        let old_range_bytes = old.map_or(0, |_| old_size + RECORD_OVERHEAD);
+        let range_bytes =
+            self.range_bytes(&range) - old_range_bytes + name.len() + value.len() + RECORD_OVERHEAD;
         if range_bytes > MAX_RANGE_BYTES {
-            return Err(StoreError::Full);
+            return Err(StoreError::LimitExceeded);
         }
-        let old_digest = old.map_or(0, |old| digest_of(partition, name, old));
-        let new_digest = digest_of(partition, name, value);
+        let old_digest = old.map_or(0, |old| record_digest(partition, name, old));
+        let new_digest = record_digest(partition, name, value);
         let state = self.range_state_mut(&range, limits)?;
         state.bytes = range_bytes;
         state.records.insert(name.to_owned(), value.to_vec());
@@ -271,7 +274,7 @@
         let Some(state) = self.partitions.get_mut(partition) else { return false };
         let range = &mut state.ranges[usize::from(range_index(name))];
         let Some(value) = range.records.remove(name) else { return false };
-        range.digest = range.digest.wrapping_sub(digest_of(partition, name, &value));
+        range.digest = range.digest.wrapping_sub(record_digest(partition, name, &value));
         range.bytes -= name.len() + value.len() + RECORD_OVERHEAD;
         self.records -= 1;
         self.bytes -= name.len() + value.len();
@@ -286,7 +289,7 @@
         if !range.is_valid() {
             return Err(StoreError::Invalid);
         }
-        self.check_partitions(&range.partition, limits)?;
+        self.check_partition_limit(&range.partition, limits)?;
         let state = self.partitions.entry(range.partition.clone()).or_default();
         Ok(&mut state.ranges[usize::from(range.index)])
     }
--- a/distribution/src/subscriber.rs
+++ b/distribution/src/subscriber.rs
@@ -1,10 +1,10 @@
-//! A dispatcher's side: keeps its copy up to date by asking a relay, another one where that fails, and knows how old
-//! its copy is.
+//! The client side of a dispatcher: keeps its replica up to date by polling a relay, fails over to another one, and
+//! tracks the replica's age.
 
 use crate::budget::ByteBudget;
 use crate::history::NumberedChange;
 use crate::message::{
-    Answer, Ask, DecodeError, Message, PartitionDigests, Reply, Request, Service, Versions,
+    DecodeError, Message, PartitionDigests, Query, Reply, ReplyBody, Request, Service, Versions,
 };
 use crate::position::Position;
 use crate::record::{Change, Partition};
@@ -17,70 +17,71 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Questions whose late answers still tell the round-trip time.
-const MAX_RECENT: usize = 8;
-/// Answers that are waited for this many round-trip times.
+/// Timed-out requests whose late replies still update the round-trip time.
+const MAX_TIMED_OUT_REQUESTS: usize = 8;
+/// The request timeout as a multiple of the round-trip time.
 const TIMEOUT_ROUND_TRIPS: u32 = 3;
-/// The least answer with ranges that is worth a question, in bytes.
-const LEAST_CONTENTS: u32 = 512;
-/// The least answer with changes: these are asked for whatever else was spent.
-const LEAST_CHANGES: u32 = 512;
-/// Polls between two questions for digests, where the relay itself is still fetching.
-const POLLS_BETWEEN_DIGESTS: u32 = 4;
-
-/// What a subscriber is set up with.
+/// The minimum size of a reply with ranges for which a request is worthwhile, in bytes.
+const MIN_CONTENTS_BYTES: u32 = 512;
+/// The minimum size of a reply with changes, which are requested even if the budget is exhausted.
+const MIN_CHANGES_BYTES: u32 = 512;
+/// Poll intervals between two requests for digests while the relay itself is still synchronizing.
+const DIGEST_INTERVAL_POLLS: u32 = 4;
+
+/// Configuration of a subscriber.
 #[derive(Clone, Debug, Default)]
 pub struct SubscriberConfig {
-    /// Partitions in the order in which they are wanted: the first ones are those without which nothing can be served.
+    /// Partitions by descending priority. The first ones are essential: without them the dispatcher can't serve
+    /// anything.
     pub priority: Vec<Partition>,
     /// How many of these are essential.
     pub essential_partitions: usize,
-    /// Spans and rates.
+    /// Intervals and rates.
     pub timing: Timing,
-    /// Bounds of the copy.
+    /// Limits of the replica.
     pub limits: Limits,
-    /// Versions that are spoken.
+    /// Supported protocol versions.
     pub versions: Versions,
-    /// For all random waits; another one at each process.
+    /// Seed of all random delays; must differ between processes.
     pub seed: u64,
 }
 
-/// Bytes to send.
+/// A message to send.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Transmit {
-    /// To whom.
+    /// The recipient.
     pub to: PeerId,
-    /// What.
+    /// The encoded message.
     pub bytes: Vec<u8>,
 }
 
-/// Why a message was not taken.
+/// Why a message was rejected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum ReceiveError {
-    /// It is none.
+    /// The message could not be decoded.
     #[error(transparent)]
     Decode(#[from] DecodeError),
-    /// It answers no question that is open: late, doubled, or of a stranger.
-    #[error("no question that is open is answered by this")]
-    Unasked,
-    /// It is under a token that is older than another one of the same role.
+    /// The message does not reply to an outstanding request: it is late, a duplicate, or from another peer.
+    #[error("no outstanding request matches this reply")]
+    Unsolicited,
+    /// The token of the message is older than another token seen for the same role.
     #[error("token {token} is older than {highest}")]
     Fenced {
-        /// The message's.
+        /// The token of the message.
         token: Token,
-        /// The newest one that was seen.
+        /// The highest token seen.
         highest: Token,
     },
-    /// The other process does not serve in this role, or its copy is older than this one.
-    #[error("the process that was asked can't answer")]
+    /// The other process does not serve in this role, or its replica is older than this one.
+    #[error("the queried process can't serve this request")]
     NotServing,
-    /// It speaks no version that is spoken here.
-    #[error("no version is spoken by both")]
+    /// No protocol version is supported by both processes.
+    #[error("no common protocol version")]
     NoCommonVersion,
-    /// It would take the copy back, or does not fit the question.
-    #[error("the answer does not fit the question")]
+    /// The reply would move the replica back, or does not match the request.
+    #[error("the reply does not match the request")]
     Inconsistent,
-    /// The copy would leave its bounds.
+    /// The replica would exceed a limit.
     #[error(transparent)]
     Store(#[from] StoreError),
 }
@@ -94,73 +95,73 @@
     }
 }
 
-/// What a process may do by its copy alone.
+/// What a process may do with its replica alone.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
-    /// Nothing essential is known: wait, or ask discovery.
+pub enum Freshness {
+    /// Nothing essential is known: wait, or query discovery.
     Unknown,
-    /// The essential partitions are within the staleness bound, others are still to come.
+    /// The essential partitions are within the staleness bound; others are still missing.
     Essential,
-    /// All is within the staleness bound.
+    /// Everything is within the staleness bound.
     Fresh,
-    /// The copy is older than the staleness bound: discovery has to be asked.
+    /// The replica is older than the staleness bound: discovery must be queried.
     Stale,
 }
 
-/// What came of a message.
+/// The result of a received message.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Received {
-    /// What is different in the copy, in order.
+    /// Changes to the replica, in order.
     pub changes: Vec<Change>,
 }
 
-/// Counts since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Counts {
-    /// Questions asked.
+    /// Requests sent.
     pub requests: u64,
-    /// Questions that came to no usable answer.
+    /// Requests without a usable reply.
     pub failures: u64,
-    /// Times that another upstream was gone over to.
+    /// Failovers to another upstream.
     pub failovers: u64,
-    /// Answers refused for their token.
+    /// Replies rejected because of their token.
     pub fenced: u64,
-    /// Times that the copy had to be verified by digests.
+    /// How often the replica had to be verified by digests.
     pub resynchronizations: u64,
-    /// Times that the copy was not what the source's digest said.
+    /// How often the replica did not match the source's digest.
     pub mismatches: u64,
-    /// Bytes sent and received, with the overhead of messages.
+    /// Bytes sent and received, including message overhead.
     pub bytes: u64,
 }
 
 #[derive(Clone, Debug)]
 struct Outstanding {
-    number: u32,
+    request_id: u32,
     upstream: Upstream,
-    ask: Ask,
+    query: Query,
     sent_at: Time,
     deadline: Time,
 }
 
-/// At this time the copy was so old at most.
+/// The maximum age of the replica at a point in time.
 #[derive(Clone, Copy, Debug)]
-struct Confirmed {
+struct Confirmation {
     at: Time,
     age: Duration,
 }
 
-impl Confirmed {
+impl Confirmation {
     fn age_at(&self, now: Time, timing: &Timing) -> Duration {
         with_drift(now.saturating_sub(self.at), timing) + self.age
     }
 }
 
-/// A span of this process's clock as it is at most by the slowest clock allowed.
+/// The maximum real time during which this process's clock measures `span`, given the maximum clock drift.
 pub(crate) fn with_drift(span: Duration, timing: &Timing) -> Duration {
-    span + span * timing.drift_permille / 1000
+    span + span * timing.max_drift_permille / 1000
 }
 
-/// A dispatcher's copy, and how it is kept.
+/// A dispatcher's replica and the state of its synchronization.
 #[derive(Clone, Debug)]
 pub struct Subscriber {
     config: SubscriberConfig,
@@ -168,141 +169,143 @@
     upstreams: Upstreams,
     synchronization: Synchronization,
     outstanding: Option<Outstanding>,
-    /// Questions that were given up: late answers to them tell how long answers take.
-    recent: VecDeque<(u32, Time)>,
-    next_number: u32,
+    /// Timed-out requests; late replies to them update the round-trip time.
+    timed_out: VecDeque<(u32, Time)>,
+    next_request_id: u32,
     round_trip: Duration,
     budget: ByteBudget,
-    changes_due: Time,
+    poll_due: Time,
     digests_due: Time,
-    /// After a failure nothing is asked before.
-    quiet_until: Time,
-    log: Option<Confirmed>,
-    essential: Option<Confirmed>,
-    all: Option<Confirmed>,
+    /// After a failure no request is sent before this time.
+    backoff_until: Time,
+    log_confirmed: Option<Confirmation>,
+    essential_confirmed: Option<Confirmation>,
+    all_confirmed: Option<Confirmation>,
     counts: Counts,
     random: fastrand::Rng,
 }
 
 impl Subscriber {
-    /// A subscriber that begins, with what it has kept or with nothing. What is kept is verified before it counts.
+    /// Creates a subscriber, with a retained replica or an empty one. A retained replica must be verified before it
+    /// is used.
     pub fn new(config: SubscriberConfig, replica: Option<Replica>, now: Time) -> Subscriber {
         let mut random = fastrand::Rng::with_seed(config.seed);
-        let poll_every = config.timing.poll_every;
+        let poll_interval = config.timing.poll_interval;
         let mut replica = replica.unwrap_or_else(|| Replica::new(config.limits.clone()));
-        replica.unverify();
+        replica.invalidate();
         Subscriber {
             replica,
             upstreams: Upstreams::new(config.versions),
             synchronization: Synchronization::default(),
             outstanding: None,
-            recent: VecDeque::new(),
-            next_number: random.u32(..),
+            timed_out: VecDeque::new(),
+            next_request_id: random.u32(..),
             round_trip: Duration::ZERO,
             budget: ByteBudget::new(config.timing.bytes_per_second, config.timing.bytes_per_second, now),
-            // Those that were started together do not ask together.
-            changes_due: now + random_part(&mut random, poll_every),
+            // Prevents subscribers that were started together from polling at the same time.
+            poll_due: now + random_up_to(&mut random, poll_interval),
             digests_due: now,
-            quiet_until: now,
-            log: None,
-            essential: None,
-            all: None,
+            backoff_until: now,
+            log_confirmed: None,
+            essential_confirmed: None,
+            all_confirmed: None,
             counts: Counts::default(),
             random,
             config,
         }
     }
 
-    /// The copy.
+    /// The replica.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// Gives the copy away, to one that becomes the source.
+    /// Returns the replica, for a process that becomes the source.
     pub fn into_replica(self) -> Replica {
         self.replica
     }
 
-    /// Counts since the start.
+    /// Counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Sets whom to ask, in order of preference. Those whose token is older than one that was seen are left out.
+    /// Sets the upstreams by descending preference. Upstreams whose token is older than one already seen are ignored.
     pub fn set_upstreams(&mut self, upstreams: &[Upstream]) {
         self.upstreams.set(upstreams);
     }
 
-    /// How old the log is at most, as far as its changes were applied; none before the first answer.
+    /// The maximum age of the log, as far as its changes have been applied; `None` before the first reply.
     pub fn log_age(&self, now: Time) -> Option<Duration> {
-        self.log.map(|confirmed| confirmed.age_at(now, &self.config.timing))
+        self.log_confirmed.map(|confirmed| confirmed.age_at(now, &self.config.timing))
     }
 
-    /// How old the essential partitions are at most; none before they were known.
+    /// The maximum age of the essential partitions; `None` until they are known.
     pub fn essential_age(&self, now: Time) -> Option<Duration> {
-        self.essential.map(|confirmed| confirmed.age_at(now, &self.config.timing))
+        self.essential_confirmed.map(|confirmed| confirmed.age_at(now, &self.config.timing))
     }
 
-    /// How old the whole copy is at most; none before all of it was known.
+    /// The maximum age of the whole replica; `None` until all of it is known.
     pub fn age(&self, now: Time) -> Option<Duration> {
-        self.all.map(|confirmed| confirmed.age_at(now, &self.config.timing))
+        self.all_confirmed.map(|confirmed| confirmed.age_at(now, &self.config.timing))
     }
 
-    /// What this process may do by its copy alone.
-    pub fn standing(&self, now: Time) -> Standing {
+    /// What this process may do with its replica alone.
+    pub fn freshness(&self, now: Time) -> Freshness {
         let bound = self.config.timing.staleness_bound;
         let is_within = |age: Option<Duration>| age.is_some_and(|age| age <= bound);
         match (self.essential_age(now), self.age(now)) {
-            (_, all) if is_within(all) => Standing::Fresh,
-            (None, _) => Standing::Unknown,
-            (essential, None) if is_within(essential) => Standing::Essential,
-            _ => Standing::Stale,
+            (_, all) if is_within(all) => Freshness::Fresh,
+            (None, _) => Freshness::Unknown,
+            (essential, None) if is_within(essential) => Freshness::Essential,
+            _ => Freshness::Stale,
         }
     }
 
-    /// Takes what discovery itself has told this process, where the copy is too old. It is provisional: the source's log
-    /// is what counts once it is heard again, and ranges that differ from it are fetched then.
+    /// Applies changes that this process obtained directly from discovery while its replica was too old. They are
+    /// provisional: once the source is reachable again its log takes precedence, and ranges that differ from it are
+    /// fetched.
     ///
     /// # Errors
-    /// A change is out of bounds; those before it were taken.
-    pub fn take_from_discovery(&mut self, changes: &[Change]) -> Result<Vec<Change>, StoreError> {
-        let mut taken = Vec::new();
+    /// A change exceeds a limit; earlier changes were applied.
+    pub fn apply_from_discovery(&mut self, changes: &[Change]) -> Result<Vec<Change>, StoreError> {
+        let mut applied = Vec::new();
         for change in changes {
             if self.replica.overwrite(change)? {
-                taken.push(change.clone());
+                applied.push(change.clone());
             }
         }
-        Ok(taken)
+        Ok(applied)
     }
 
-    /// When [`Subscriber::poll`] may have something to send.
+    /// When [`Subscriber::poll`] may next have something to send.
     pub fn wake_at(&mut self, now: Time) -> Time {
         if let Some(outstanding) = &self.outstanding {
             return outstanding.deadline;
         }
         if self.upstreams.is_empty() {
-            return now + self.config.timing.poll_every;
+            return now + self.config.timing.poll_interval;
         }
-        let affordable_at = now + self.budget.wait_for(LEAST_CONTENTS, now);
+        let affordable_at = now + self.budget.time_until_available(MIN_CONTENTS_BYTES, now);
         let work_at = if self.replica.position().is_none() || self.replica.is_complete() {
-            self.changes_due
-        } else if self.synchronization.next().is_some_and(|step| !self.must_wait(&step)) {
+            self.poll_due
+        } else if self.synchronization.next().is_some_and(|step| !self.is_deferred(&step)) {
             affordable_at
         } else {
             self.digests_due.max(affordable_at)
         };
-        work_at.min(self.changes_due).max(self.quiet_until)
+        work_at.min(self.poll_due).max(self.backoff_until)
     }
 
-    /// What to send now, if anything. Gives up what was not answered in time.
+    /// Returns the message to send now, if any. Times out an unanswered request.
     pub fn poll(&mut self, now: Time) -> Option<Transmit> {
         if let Some(outstanding) = &self.outstanding {
             if now < outstanding.deadline {
                 return None;
             }
-            self.give_up(now);
+            self.time_out_request(now);
         }
-        if now < self.quiet_until {
+        if now < self.backoff_until {
             return None;
         }
         let upstream = self.upstreams.current(now, &self.config.timing)?;
@@ -310,72 +313,73 @@
         Some(self.send(now, upstream, request))
     }
 
-    /// Takes a message of a peer that the caller has authenticated.
+    /// Handles a message from a peer that the caller has authenticated.
     ///
     /// # Errors
-    /// It was not taken; [`ReceiveError`] says why. The subscriber goes on by itself.
+    /// The message was rejected for the reason in [`ReceiveError`]. The subscriber recovers on its own.
     pub fn receive(&mut self, now: Time, from: PeerId, bytes: &[u8]) -> Result<Received, ReceiveError> {
         self.count_bytes(bytes.len(), now);
         let (header, message) = Message::decode(bytes, self.config.versions)?;
-        let is_answer = |open: &Outstanding| open.number == header.number && open.upstream.peer == from;
-        let Some(outstanding) = self.outstanding.take_if(|open| is_answer(open)) else {
-            self.learn_from_late(header.number, now);
-            return Err(ReceiveError::Unasked);
+        let is_match =
+            |open: &Outstanding| open.request_id == header.request_id && open.upstream.peer == from;
+        let Some(outstanding) = self.outstanding.take_if(|open| is_match(open)) else {
+            self.record_late_reply(header.request_id, now);
+            return Err(ReceiveError::Unsolicited);
         };
-        self.learn_round_trip(now.saturating_sub(outstanding.sent_at));
+        self.record_round_trip(now.saturating_sub(outstanding.sent_at));
         let result = match message {
-            Message::Reply(reply) => self.take_reply(now, &outstanding, reply),
-            Message::Unsupported(versions) => self.take_unsupported(&outstanding, versions),
+            Message::Reply(reply) => self.handle_reply(now, &outstanding, reply),
+            Message::Unsupported(versions) => self.handle_unsupported(&outstanding, versions),
             Message::Request(_) => Err(ReceiveError::Inconsistent),
         };
         if let Err(error) = result {
-            let is_of_no_use = matches!(error, ReceiveError::NotServing | ReceiveError::NoCommonVersion);
-            self.failed(now, is_of_no_use);
+            let is_unusable = matches!(error, ReceiveError::NotServing | ReceiveError::NoCommonVersion);
+            self.handle_failure(now, is_unusable);
         }
         result
     }
 
     fn next_request(&mut self, now: Time, service: Service) -> Option<Request> {
-        let longest = self.config.timing.longest_answer;
+        let longest = self.config.timing.max_reply_bytes;
         let available = self.budget.available(now);
-        if now >= self.changes_due {
-            let ask = Ask::Changes { after: self.replica.position() };
-            let max_bytes = available.clamp(LEAST_CHANGES, longest);
-            return Some(Request { service, max_bytes, ask });
+        if now >= self.poll_due {
+            let query = Query::Changes { after: self.replica.position() };
+            let max_bytes = available.clamp(MIN_CHANGES_BYTES, longest);
+            return Some(Request { service, max_bytes, query });
         }
-        if self.replica.position().is_none() || available < LEAST_CONTENTS {
+        if self.replica.position().is_none() || available < MIN_CONTENTS_BYTES {
             return None;
         }
-        let lacks_digests = !self.replica.is_complete() && now >= self.digests_due;
-        let ask = match self.synchronization.next() {
-            // The relay may have what is needed most by now, whatever else is still to be fetched.
-            _ if lacks_digests && !self.knows_the_essential() => Ask::Partitions,
-            // Nor does it take a relay's bytes from those that lack their own zone.
-            Some(step) if self.must_wait(&step) => return None,
-            Some(Step::Compare(partition)) => Ask::RangeDigests { partition },
-            Some(Step::Fetch(ranges)) => Ask::Contents { ranges },
-            None if lacks_digests => Ask::Partitions,
+        let needs_digests = !self.replica.is_complete() && now >= self.digests_due;
+        let query = match self.synchronization.next() {
+            // The relay may have obtained the essential partitions by now, so this has priority over other work.
+            _ if needs_digests && !self.has_essential_partitions() => Query::Partitions,
+            // Deferring this also leaves the relay's bytes to subscribers that lack their own zone.
+            Some(step) if self.is_deferred(&step) => return None,
+            Some(Step::Compare(partition)) => Query::RangeDigests { partition },
+            Some(Step::Fetch(ranges)) => Query::Contents { ranges },
+            None if needs_digests => Query::Partitions,
             None => return None,
         };
-        Some(Request { service, max_bytes: available.min(longest), ask })
+        Some(Request { service, max_bytes: available.min(longest), query })
     }
 
     fn send(&mut self, now: Time, upstream: Upstream, request: Request) -> Transmit {
-        let number = self.next_number;
-        self.next_number = number.wrapping_add(1);
-        let ask = request.ask.clone();
+        let request_id = self.next_request_id;
+        self.next_request_id = request_id.wrapping_add(1);
+        let query = request.query.clone();
         let version = self.upstreams.version(upstream.peer);
-        let bytes = Message::Request(request).encode(version, number);
+        let bytes = Message::Request(request).encode(version, request_id);
         self.count_bytes(bytes.len(), now);
         self.counts.requests += 1;
         let deadline = now + self.timeout();
-        self.outstanding = Some(Outstanding { number, upstream, ask, sent_at: now, deadline });
+        self.outstanding = Some(Outstanding { request_id, upstream, query, sent_at: now, deadline });
         Transmit { to: upstream.peer, bytes }
     }
 
     fn timeout(&self) -> Duration {
         let timing = &self.config.timing;
-        (self.round_trip * TIMEOUT_ROUND_TRIPS).clamp(timing.shortest_timeout, timing.longest_timeout)
+        (self.round_trip * TIMEOUT_ROUND_TRIPS).clamp(timing.min_timeout, timing.max_timeout)
     }
 
     fn count_bytes(&mut self, bytes: usize, now: Time) {
@@ -384,130 +388,140 @@
         self.budget.spend(bytes, now);
     }
 
-    fn learn_round_trip(&mut self, sample: Duration) {
+    fn record_round_trip(&mut self, sample: Duration) {
         self.round_trip = match self.round_trip {
             Duration::ZERO => sample,
             known => (known * 7 + sample) / 8,
         };
     }
 
-    /// An answer that came too late shows that answers take that long.
-    fn learn_from_late(&mut self, number: u32, now: Time) {
-        let at = self.recent.iter().position(|(recent, _)| *recent == number);
-        if let Some((_, sent_at)) = at.and_then(|at| self.recent.remove(at)) {
-            self.learn_round_trip(now.saturating_sub(sent_at));
+    /// A late reply shows how long replies take.
+    fn record_late_reply(&mut self, request_id: u32, now: Time) {
+        let at = self.timed_out.iter().position(|(timed_out, _)| *timed_out == request_id);
+        if let Some((_, sent_at)) = at.and_then(|at| self.timed_out.remove(at)) {
+            self.record_round_trip(now.saturating_sub(sent_at));
         }
     }
 
-    fn give_up(&mut self, now: Time) {
+    fn time_out_request(&mut self, now: Time) {
         let Some(outstanding) = self.outstanding.take() else { return };
-        self.recent.push_back((outstanding.number, outstanding.sent_at));
-        if self.recent.len() > MAX_RECENT {
-            self.recent.pop_front();
+        self.timed_out.push_back((outstanding.request_id, outstanding.sent_at));
+        if self.timed_out.len() > MAX_TIMED_OUT_REQUESTS {
+            self.timed_out.pop_front();
         }
-        self.failed(now, false);
+        self.handle_failure(now, false);
     }
 
-    /// A question came to nothing: the next one comes after a random wait whose bound doubles (full jitter). One that
-    /// is of no use is left at once.
-    fn failed(&mut self, now: Time, is_of_no_use: bool) {
+    /// Handles a failed request: the next one follows after a random delay whose upper bound doubles (full jitter).
+    /// An unusable upstream is left at once.
+    fn handle_failure(&mut self, now: Time, is_unusable: bool) {
         self.counts.failures += 1;
         let failures = self.upstreams.failures();
-        if self.upstreams.failed(now, &self.config.timing, is_of_no_use) {
+        if self.upstreams.record_failure(now, &self.config.timing, is_unusable) {
             self.counts.failovers += 1;
         }
         let timing = &self.config.timing;
-        let is_lost = self.log_age(now).is_none_or(|age| age > timing.staleness_bound)
+        let is_disconnected = self.log_age(now).is_none_or(|age| age > timing.staleness_bound)
             && failures as usize >= timing.failures_before_failover as usize * self.upstreams.len().max(1);
-        let longest = if is_lost { timing.stale_backoff } else { timing.longest_backoff };
-        let bound = timing.first_backoff.saturating_mul(1 << failures.min(16)).min(longest);
-        self.quiet_until = now + random_part(&mut self.random, bound);
+        let longest = if is_disconnected { timing.max_stale_backoff } else { timing.max_backoff };
+        let bound = timing.initial_backoff.saturating_mul(1 << failures.min(16)).min(longest);
+        self.backoff_until = now + random_up_to(&mut self.random, bound);
     }
 
-    fn take_reply(
+    fn handle_reply(
         &mut self,
         now: Time,
         outstanding: &Outstanding,
         reply: Reply,
     ) -> Result<Received, ReceiveError> {
         let role = outstanding.upstream.role;
-        let Reply { token, age_ms, answer } = reply;
-        let is_serving = answer != Answer::NotServing;
-        if is_serving && !self.upstreams.admits(role, token) {
+        let Reply { token, age_ms, body } = reply;
+        let is_serving = body != ReplyBody::NotServing;
+        if is_serving && !self.upstreams.accept_token(role, token) {
             self.counts.fenced += 1;
-            return Err(ReceiveError::Fenced { token, highest: self.upstreams.highest(role) });
+            return Err(ReceiveError::Fenced { token, highest: self.upstreams.highest_token(role) });
         }
         let age = Duration::from_millis(u64::from(age_ms));
-        let changes = match answer {
-            Answer::Changes { to, head, digest, changes } => {
-                let changes = self.take_changes(now, outstanding, &changes, (to, head))?;
+        let changes = match body {
+            ReplyBody::Changes { to, head, digest, changes } => {
+                let changes = self.apply_changes(now, outstanding, &changes, (to, head))?;
                 if to == head {
                     self.confirm(outstanding.sent_at, age, digest);
                 }
-                self.schedule_changes(now, to == head);
+                self.schedule_poll(now, to == head);
                 changes
             }
-            Answer::Behind(digests) => {
-                self.schedule_changes(now, true);
+            ReplyBody::ResyncRequired(digests) => {
+                self.schedule_poll(now, true);
                 let changes = self.resynchronize(now, &digests)?;
-                self.leave_one_that_lacks_the_essential(now);
+                self.fail_over_if_essential_missing(now);
                 changes
             }
-            Answer::Partitions(digests) => {
-                // A relay that is still fetching itself is asked again, though not at once.
-                self.digests_due = now + self.config.timing.poll_every * POLLS_BETWEEN_DIGESTS;
-                let changes = self.take_partitions(now, &digests)?;
-                self.leave_one_that_lacks_the_essential(now);
+            ReplyBody::Partitions(digests) => {
+                // A relay that is still synchronizing is queried again, but not immediately.
+                self.digests_due = now + self.config.timing.poll_interval * DIGEST_INTERVAL_POLLS;
+                let changes = self.handle_partitions(now, &digests)?;
+                self.fail_over_if_essential_missing(now);
                 changes
             }
-            Answer::RangeDigests { position, partition, digests } => {
+            ReplyBody::RangeDigests { position, partition, digests } => {
                 self.check_position(now, position)?;
-                if outstanding.ask != (Ask::RangeDigests { partition: partition.clone() }) {
+                if outstanding.query != (Query::RangeDigests { partition: partition.clone() }) {
                     return Err(ReceiveError::Inconsistent);
                 }
-                self.synchronization.compared(&mut self.replica, &partition, &digests, position.sequence)?;
+                self.synchronization.handle_range_digests(
+                    &mut self.replica,
+                    &partition,
+                    &digests,
+                    position.sequence,
+                )?;
                 Vec::new()
             }
-            Answer::Contents { position, ranges } => {
+            ReplyBody::Contents { position, ranges } => {
                 self.check_position(now, position)?;
-                let Ask::Contents { ranges: asked } = &outstanding.ask else {
+                let Query::Contents { ranges: requested } = &outstanding.query else {
                     return Err(ReceiveError::Inconsistent);
                 };
-                self.synchronization.fetched(&mut self.replica, asked, &ranges, position.sequence)?
+                self.synchronization.handle_contents(
+                    &mut self.replica,
+                    requested,
+                    &ranges,
+                    position.sequence,
+                )?
             }
-            Answer::Busy { retry_after_ms } => {
-                self.wait_for_busy(now, retry_after_ms);
+            ReplyBody::Busy { retry_after_ms } => {
+                self.back_off_while_busy(now, retry_after_ms);
                 Vec::new()
             }
-            Answer::Lagging | Answer::NotServing => return Err(ReceiveError::NotServing),
+            ReplyBody::Lagging | ReplyBody::NotServing => return Err(ReceiveError::NotServing),
         };
-        self.upstreams.succeeded();
-        if age > self.config.timing.stale_upstream {
+        self.upstreams.record_success();
+        if age > self.config.timing.max_upstream_age {
             self.fail_over(now);
         }
         Ok(Received { changes })
     }
 
-    fn take_unsupported(
+    fn handle_unsupported(
         &mut self,
         outstanding: &Outstanding,
         versions: Versions,
     ) -> Result<Received, ReceiveError> {
-        // One that has no other version in common, or that refuses the common one, can't be asked.
-        match self.upstreams.speaks(outstanding.upstream.peer, versions) {
+        // A peer that has no other version in common, or that rejects the common one, can't be queried.
+        match self.upstreams.negotiate_version(outstanding.upstream.peer, versions) {
             true => Ok(Received::default()),
             false => Err(ReceiveError::NoCommonVersion),
         }
     }
 
-    fn take_changes(
+    fn apply_changes(
         &mut self,
         now: Time,
         outstanding: &Outstanding,
         changes: &[NumberedChange],
         (to, head): (u64, u64),
     ) -> Result<Vec<Change>, ReceiveError> {
-        let Ask::Changes { after: Some(after) } = &outstanding.ask else {
+        let Query::Changes { after: Some(after) } = &outstanding.query else {
             return Err(ReceiveError::Inconsistent);
         };
         let span = to.checked_sub(after.sequence).ok_or(ReceiveError::Inconsistent)?;
@@ -519,59 +533,60 @@
         match self.replica.apply(changes, to, head) {
             Ok(changes) => Ok(changes),
             Err(error) => {
-                // What was applied stays, but is no longer known to be the source's.
-                self.changes_due = now;
-                self.replica.unverify();
+                // Applied changes are kept, but the replica is no longer known to match the source.
+                self.poll_due = now;
+                self.replica.invalidate();
                 Err(error.into())
             }
         }
     }
 
-    fn schedule_changes(&mut self, now: Time, is_at_head: bool) {
-        let poll_every = self.config.timing.poll_every;
-        self.changes_due = match is_at_head {
-            // Half of it at random, so that those that began together drift apart.
-            true => now + poll_every * 3 / 4 + random_part(&mut self.random, poll_every / 2),
-            false => now + self.budget.wait_for(LEAST_CHANGES, now),
+    fn schedule_poll(&mut self, now: Time, is_at_head: bool) {
+        let poll_interval = self.config.timing.poll_interval;
+        self.poll_due = match is_at_head {
+            // Half of the interval is random, so that subscribers that started together spread out.
+            true => now + poll_interval * 3 / 4 + random_up_to(&mut self.random, poll_interval / 2),
+            false => now + self.budget.time_until_available(MIN_CHANGES_BYTES, now),
         };
     }
 
-    /// The copy is as new as the relay's was when the question went out, and that was so old.
+    /// The replica is as new as the relay's was when the request was sent, which had this age.
     fn confirm(&mut self, sent_at: Time, age: Duration, digest: Option<u64>) {
         let timing = &self.config.timing;
-        let new = Confirmed { at: sent_at, age };
-        let newer = |old: Option<Confirmed>| match old {
+        let new = Confirmation { at: sent_at, age };
+        let newer = |old: Option<Confirmation>| match old {
             Some(old) if old.age_at(sent_at, timing) < age => Some(old),
             _ => Some(new),
         };
-        self.log = newer(self.log);
-        if self.knows_the_essential() {
-            self.essential = newer(self.essential);
+        self.log_confirmed = newer(self.log_confirmed);
+        if self.has_essential_partitions() {
+            self.essential_confirmed = newer(self.essential_confirmed);
         }
         if !self.replica.is_complete() {
             return;
         }
         if digest.is_some_and(|digest| digest != self.replica.digest()) {
             self.counts.mismatches += 1;
-            self.replica.unverify();
+            self.replica.invalidate();
             self.synchronization.clear();
             return;
         }
-        self.all = newer(self.all);
+        self.all_confirmed = newer(self.all_confirmed);
     }
 
-    /// The log has gone on beyond the history, or is another one: begins at its position, and verifies what is here.
+    /// Restarts at the position of another replica and verifies the existing records, because the history no longer
+    /// covers this replica's position or the epoch is another one.
     fn resynchronize(&mut self, now: Time, digests: &PartitionDigests) -> Result<Vec<Change>, ReceiveError> {
         if self.replica.position().is_some_and(|position| digests.position < position) {
             return Err(ReceiveError::Inconsistent);
         }
         self.counts.resynchronizations += 1;
-        self.replica.adopt(digests.position);
-        self.digests_due = now + self.config.timing.poll_every * POLLS_BETWEEN_DIGESTS;
+        self.replica.start_at(digests.position);
+        self.digests_due = now + self.config.timing.poll_interval * DIGEST_INTERVAL_POLLS;
         Ok(self.synchronization.begin(&mut self.replica, digests, &self.config.priority)?)
     }
 
-    fn take_partitions(
+    fn handle_partitions(
         &mut self,
         now: Time,
         digests: &PartitionDigests,
@@ -580,12 +595,12 @@
         Ok(self.synchronization.begin(&mut self.replica, digests, &self.config.priority)?)
     }
 
-    /// Digests and ranges have to be of this epoch, and not older than the copy.
+    /// Checks that digests and ranges belong to this epoch and are not older than the replica.
     fn check_position(&mut self, now: Time, position: Position) -> Result<(), ReceiveError> {
         let known = self.replica.position().ok_or(ReceiveError::Inconsistent)?;
         if position.epoch > known.epoch {
-            // The next question for changes tells of the new epoch.
-            self.changes_due = now;
+            // The next request for changes reveals the new epoch.
+            self.poll_due = now;
             self.synchronization.clear();
             return Err(ReceiveError::Inconsistent);
         }
@@ -595,14 +610,14 @@
         Ok(())
     }
 
-    fn wait_for_busy(&mut self, now: Time, retry_after_ms: u32) {
-        let longest = self.config.timing.stale_backoff;
+    fn back_off_while_busy(&mut self, now: Time, retry_after_ms: u32) {
+        let longest = self.config.timing.max_stale_backoff;
         let wait = Duration::from_millis(u64::from(retry_after_ms)).min(longest);
-        self.quiet_until = now + wait / 2 + random_part(&mut self.random, wait);
+        self.backoff_until = now + wait / 2 + random_up_to(&mut self.random, wait);
     }
 
-    /// What is not essential waits until the essential partitions are known.
-    fn must_wait(&self, step: &Step) -> bool {
+    /// Whether a step is not essential and must wait until the essential partitions are known.
+    fn is_deferred(&self, step: &Step) -> bool {
         let mut essential = self.config.priority.iter().take(self.config.essential_partitions);
         let is_essential = match step {
             Step::Compare(partition) => essential.any(|known| known == partition),
@@ -610,21 +625,21 @@
                 essential.any(|known| ranges.iter().any(|range| range.partition == *known))
             }
         };
-        !is_essential && !self.knows_the_essential()
+        !is_essential && !self.has_essential_partitions()
     }
 
-    fn knows_the_essential(&self) -> bool {
+    fn has_essential_partitions(&self) -> bool {
         let mut essential = self.config.priority.iter().take(self.config.essential_partitions);
         essential.all(|partition| self.replica.is_verified(partition))
     }
 
-    /// A relay that has just started itself may have nothing of what is needed most: another one is asked, and the
-    /// first one again in its turn.
-    fn leave_one_that_lacks_the_essential(&mut self, now: Time) {
+    /// Switches to another upstream if this one, which may have just started, has none of the missing essential
+    /// partitions. It is tried again in its turn.
+    fn fail_over_if_essential_missing(&mut self, now: Time) {
         let essential = self.config.priority.iter().take(self.config.essential_partitions);
-        let is_to_come = self.synchronization.holds_any(essential);
-        if !is_to_come && !self.knows_the_essential() {
-            self.digests_due = now + self.config.timing.poll_every;
+        let is_pending = self.synchronization.has_work_for(essential);
+        if !is_pending && !self.has_essential_partitions() {
+            self.digests_due = now + self.config.timing.poll_interval;
             self.fail_over(now);
         }
     }
@@ -635,8 +650,8 @@
     }
 }
 
-/// A random part of a span.
-fn random_part(random: &mut fastrand::Rng, span: Duration) -> Duration {
+/// A random duration between zero and `span`.
+fn random_up_to(random: &mut fastrand::Rng, span: Duration) -> Duration {
     let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
     Duration::from_micros(random.u64(0..=micros))
 }
--- a/distribution/src/synchronization.rs
+++ b/distribution/src/synchronization.rs
@@ -1,15 +1,15 @@
-//! What is left to verify after a start, a new epoch, or a time in which the history went on too far.
+//! The remaining verification work after a start, a new epoch, or an absence longer than the history.
 
 use crate::message::{PartitionDigests, RangeContents, MAX_RANGES};
-use crate::record::{digest_of, Change, Digest, Partition, Range};
+use crate::record::{record_digest, Change, Digest, Partition, Range};
 use crate::replica::Replica;
 use crate::store::StoreError;
 use std::collections::VecDeque;
 
-/// One step.
+/// The next step of a synchronization.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum Step {
-    /// Find out which ranges of a partition differ.
+    /// Determine which ranges of a partition differ.
     Compare(Partition),
     /// Fetch these ranges.
     Fetch(Vec<Range>),
@@ -21,7 +21,7 @@
     Fetch(Range),
 }
 
-/// Steps that are left, most wanted first. Bounded by the partitions of one message and their ranges.
+/// Remaining work by descending priority. Bounded by the partitions in one message and their ranges.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Synchronization {
     work: VecDeque<Work>,
@@ -32,15 +32,15 @@
         self.work.clear();
     }
 
-    /// Whether something is left to do for one of these partitions.
-    pub fn holds_any<'a>(&self, mut partitions: impl Iterator<Item = &'a Partition>) -> bool {
-        let is_left = |partition: &Partition| {
+    /// Whether work remains for any of these partitions.
+    pub fn has_work_for<'a>(&self, mut partitions: impl Iterator<Item = &'a Partition>) -> bool {
+        let is_pending = |partition: &Partition| {
             self.work.iter().any(|work| match work {
                 Work::Compare(left) => left == partition,
                 Work::Fetch(range) => range.partition == *partition,
             })
         };
-        partitions.any(is_left)
+        partitions.any(is_pending)
     }
 
     pub fn next(&self) -> Option<Step> {
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Begins anew with the digests of another copy, of the same epoch and not behind this one. Partitions that the
-    /// caller would have first come first.
+    /// Restarts with the digests of another replica, which is in the same epoch and not older than this one. The
+    /// partitions in `priority` come first.
     pub fn begin(
         &mut self,
         replica: &mut Replica,
@@ -90,8 +90,8 @@
         Ok(changes)
     }
 
-    /// The digests of a partition's ranges have come. Those that its relay has not verified itself are left for later.
-    pub fn compared(
+    /// Handles the digests of a partition's ranges. Ranges that the relay has not verified itself are left for later.
+    pub fn handle_range_digests(
         &mut self,
         replica: &mut Replica,
         partition: &Partition,
@@ -115,38 +115,38 @@
         Ok(())
     }
 
-    /// Ranges that were asked for have come, or some of them: what did not fit is still to be fetched. If none came,
-    /// the other copy has none of them.
-    pub fn fetched(
+    /// Handles the contents of requested ranges. Ranges that did not fit into the reply remain to be fetched. If the
+    /// reply contains no ranges, the other replica has none of them.
+    pub fn handle_contents(
         &mut self,
         replica: &mut Replica,
-        asked: &[Range],
+        requested: &[Range],
         contents: &[RangeContents],
         sequence: u64,
     ) -> Result<Vec<Change>, FetchError> {
         let mut changes = Vec::new();
         for RangeContents { range, records, digest } in contents {
             let sum = records.iter().fold(0, |sum: Digest, record| {
-                sum.wrapping_add(digest_of(&range.partition, &record.name, &record.value))
+                sum.wrapping_add(record_digest(&range.partition, &record.name, &record.value))
             });
-            if sum != *digest || !asked.contains(range) {
+            if sum != *digest || !requested.contains(range) {
                 return Err(FetchError::Mismatch);
             }
             changes.extend(replica.replace(range, records, sequence)?);
         }
         let is_done = |range: &Range| contents.is_empty() || contents.iter().any(|c| c.range == *range);
         self.work.retain(|work| match work {
-            Work::Fetch(range) => !(asked.contains(range) && is_done(range)),
+            Work::Fetch(range) => !(requested.contains(range) && is_done(range)),
             Work::Compare(_) => true,
         });
         Ok(changes)
     }
 }
 
-/// Why ranges were not taken.
+/// Why fetched ranges were rejected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub(crate) enum FetchError {
-    #[error("a range was not asked for, or its digest does not fit")]
+    #[error("a range was not requested, or its digest does not match")]
     Mismatch,
     #[error(transparent)]
     Store(#[from] StoreError),
--- a/distribution/src/timing.rs
+++ b/distribution/src/timing.rs
@@ -1,74 +1,76 @@
-//! Spans, rates and bounds that all processes have alike.
+//! Intervals, rates, and limits, which are the same for all processes.
 
 use std::time::Duration;
 
-/// Spans and rates of subscribers.
+/// Intervals and rates of subscribers.
 #[derive(Clone, Debug)]
 pub struct Timing {
-    /// Between two questions for changes.
-    pub poll_every: Duration,
-    /// The shortest time that an answer is waited for.
-    pub shortest_timeout: Duration,
-    /// The longest time that an answer is waited for.
-    pub longest_timeout: Duration,
-    /// The first bound of the random wait after a failure; it doubles with each further one.
-    pub first_backoff: Duration,
-    /// The last such bound while the staleness bound holds: tries go on often enough to keep it.
-    pub longest_backoff: Duration,
-    /// The last such bound once it has been passed: whoever is asked is likely gone.
-    pub stale_backoff: Duration,
-    /// Failures in a row until another upstream is asked.
+    /// The interval between requests for changes.
+    pub poll_interval: Duration,
+    /// The minimum timeout of a request.
+    pub min_timeout: Duration,
+    /// The maximum timeout of a request.
+    pub max_timeout: Duration,
+    /// The initial upper bound of the random delay after a failure; it doubles with each consecutive failure.
+    pub initial_backoff: Duration,
+    /// The maximum of that bound while the replica is within the staleness bound: retries are frequent enough to keep
+    /// it there.
+    pub max_backoff: Duration,
+    /// The maximum of that bound after the staleness bound has been exceeded, when the upstreams are probably gone.
+    pub max_stale_backoff: Duration,
+    /// Consecutive failures before a failover.
     pub failures_before_failover: u32,
-    /// How long after a failover the first choice is tried again.
-    pub prefer_first_again: Duration,
-    /// An upstream whose own copy is older than this is passed over where another one is known.
-    pub stale_upstream: Duration,
-    /// A copy that is older than this must not be relied on alone: discovery is asked.
+    /// The delay after a failover before the preferred upstream is tried again.
+    pub failback_delay: Duration,
+    /// An upstream whose own replica is older than this is skipped if another one is known.
+    pub max_upstream_age: Duration,
+    /// A replica older than this must not be used alone; discovery must be queried.
     pub staleness_bound: Duration,
-    /// By how many parts of 1,000 a clock's rate may be off.
-    pub drift_permille: u32,
-    /// Bytes a second for questions and answers together.
+    /// The maximum clock drift in parts per 1,000.
+    pub max_drift_permille: u32,
+    /// Bytes per second for requests and replies together.
     pub bytes_per_second: u32,
-    /// The longest answer that is asked for, in bytes.
-    pub longest_answer: u32,
-    /// Bytes that each message takes beside its own: the link's tag and the transport's headers.
+    /// The maximum reply size that is requested, in bytes.
+    pub max_reply_bytes: u32,
+    /// Overhead of each message in bytes: the link's authentication tag and the transport headers.
     pub message_overhead: u32,
 }
 
 impl Default for Timing {
     fn default() -> Timing {
         Timing {
-            poll_every: Duration::from_millis(500),
-            shortest_timeout: Duration::from_millis(100),
-            longest_timeout: Duration::from_secs(2),
-            first_backoff: Duration::from_millis(50),
-            longest_backoff: Duration::from_millis(200),
-            stale_backoff: Duration::from_secs(4),
+            poll_interval: Duration::from_millis(500),
+            min_timeout: Duration::from_millis(100),
+            max_timeout: Duration::from_secs(2),
+            initial_backoff: Duration::from_millis(50),
+            max_backoff: Duration::from_millis(200),
+            max_stale_backoff: Duration::from_secs(4),
             failures_before_failover: 3,
-            prefer_first_again: Duration::from_secs(2),
-            stale_upstream: Duration::from_secs(3),
+            failback_delay: Duration::from_secs(2),
+            max_upstream_age: Duration::from_secs(3),
             staleness_bound: Duration::from_secs(10),
-            drift_permille: 20,
-            // Of the 5,000 that a dispatcher has for all control traffic; gossip and leases take a few hundred.
+            max_drift_permille: 20,
+            // Of the 5,000 bytes per second that a dispatcher may use for all control traffic; gossip and leases need
+            // a few hundred.
             bytes_per_second: 4000,
-            longest_answer: 2048,
+            max_reply_bytes: 2048,
             message_overhead: 80,
         }
     }
 }
 
-/// Bounds of one replica. Beyond them records and messages are refused, and history is forgotten.
+/// Limits of one replica. Records and messages beyond them are rejected, and old history is evicted.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Records of all partitions.
+    /// The number of records in all partitions.
     pub records: usize,
-    /// Partitions.
+    /// The number of partitions.
     pub partitions: usize,
-    /// Bytes of names and values of all records.
+    /// The total size of the names and values of all records in bytes.
     pub record_bytes: usize,
-    /// Changes that are remembered.
+    /// The number of changes in the history.
     pub history_changes: usize,
-    /// Bytes of those.
+    /// The size of the history in bytes.
     pub history_bytes: usize,
 }
 
--- a/distribution/src/upstream.rs
+++ b/distribution/src/upstream.rs
@@ -1,25 +1,26 @@
-//! Whom a subscriber asks, and the fence against those that are no longer to be asked.
+//! The processes that a subscriber queries, and fencing of former lease holders.
 
 use crate::message::{Service, Versions};
 use crate::timing::Timing;
 use crate::{Time, Token};
 use std::collections::BTreeMap;
 
-/// A process, as the caller numbers them.
+/// A process, numbered by the caller.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct PeerId(pub u16);
 
-/// A role that one process has at a time, under a lease.
+/// A role held by one process at a time, under a lease.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Role {
     /// The source.
     Source,
-    /// The relay of a zone. The caller numbers zones; each keeps its number for as long as the subscriber lives.
+    /// The relay of a zone. Zones are numbered by the caller; a number must not change during the lifetime of the
+    /// subscriber.
     Relay(u16),
 }
 
 impl Role {
-    /// What a process in this role is asked for.
+    /// The service that a process provides in this role.
     pub fn service(self) -> Service {
         match self {
             Role::Source => Service::Source,
@@ -28,34 +29,35 @@
     }
 }
 
-/// A process that may be asked.
+/// A process that may be queried.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Upstream {
-    /// Which process.
+    /// The process.
     pub peer: PeerId,
-    /// The role in which it answers.
+    /// The role in which it replies.
     pub role: Role,
-    /// The token under which it has the role, as far as the caller knows.
+    /// The token of its lease, as far as the caller knows.
     pub token: Token,
 }
 
-/// Upstreams that a subscriber knows, at most; roles whose tokens it remembers.
+/// The maximum number of upstreams of a subscriber, and of roles whose tokens it remembers.
 const MAX_UPSTREAMS: usize = 64;
 const MAX_ROLES: usize = 1024;
 
-/// Upstreams in the order in which they are preferred.
+/// Upstreams by descending preference.
 #[derive(Clone, Debug)]
 pub(crate) struct Upstreams {
     list: Vec<Upstream>,
     current: usize,
     failures: u32,
     failed_over_at: Time,
-    /// The first choice is asked again after a failover: one failure is enough to leave it.
-    is_probing: bool,
-    /// The highest token seen for each role: smaller ones are refused.
-    highest: BTreeMap<Role, Token>,
-    /// Versions that peers have said to speak, where those are not this program's.
-    spoken: BTreeMap<PeerId, u8>,
+    /// Whether the preferred upstream is being retried after a failover; a single failure then causes another
+    /// failover.
+    is_retrying_first: bool,
+    /// The highest token seen for each role; lower ones are rejected.
+    highest_tokens: BTreeMap<Role, Token>,
+    /// Negotiated versions of peers that do not support this program's newest version.
+    negotiated: BTreeMap<PeerId, u8>,
     versions: Versions,
 }
 
@@ -66,65 +68,65 @@
             current: 0,
             failures: 0,
             failed_over_at: Time::ZERO,
-            is_probing: false,
-            highest: BTreeMap::new(),
-            spoken: BTreeMap::new(),
+            is_retrying_first: false,
+            highest_tokens: BTreeMap::new(),
+            negotiated: BTreeMap::new(),
             versions,
         }
     }
 
     pub fn set(&mut self, list: &[Upstream]) {
-        let asked = self.list.get(self.current).copied();
-        let first = self.list.first().copied();
+        let previous = self.list.get(self.current).copied();
+        let previous_first = self.list.first().copied();
         for upstream in list {
-            self.admits(upstream.role, upstream.token);
+            self.accept_token(upstream.role, upstream.token);
         }
         let list: Vec<Upstream> = list
             .iter()
-            .filter(|u| self.highest.get(&u.role) == Some(&u.token))
+            .filter(|u| self.highest_tokens.get(&u.role) == Some(&u.token))
             .take(MAX_UPSTREAMS)
             .copied()
             .collect();
-        // A new first choice is tried at once; what else has changed is no reason to leave one that answers.
-        let kept = list.iter().position(|upstream| Some(*upstream) == asked);
-        self.current = kept.filter(|_| first == list.first().copied()).unwrap_or(0);
-        self.spoken.retain(|peer, _| list.iter().any(|upstream| upstream.peer == *peer));
-        if list.get(self.current).copied() != asked {
+        // A new preferred upstream is tried at once. Other changes are no reason to leave an upstream that replies.
+        let kept = list.iter().position(|upstream| Some(*upstream) == previous);
+        self.current = kept.filter(|_| previous_first == list.first().copied()).unwrap_or(0);
+        self.negotiated.retain(|peer, _| list.iter().any(|upstream| upstream.peer == *peer));
+        if list.get(self.current).copied() != previous {
             self.failures = 0;
-            self.is_probing = false;
+            self.is_retrying_first = false;
         }
         self.list = list;
     }
 
-    /// Whether a message under this token may be believed; remembers it if so.
-    pub fn admits(&mut self, role: Role, token: Token) -> bool {
-        if let Some(highest) = self.highest.get_mut(&role) {
-            let passes = token >= *highest;
+    /// Returns whether a message with this token may be accepted, and if so records the token.
+    pub fn accept_token(&mut self, role: Role, token: Token) -> bool {
+        if let Some(highest) = self.highest_tokens.get_mut(&role) {
+            let is_current = token >= *highest;
             *highest = (*highest).max(token);
-            return passes;
+            return is_current;
         }
-        if self.highest.len() >= MAX_ROLES {
-            // Tokens grow over all roles, so the smallest has been out of use for longest.
-            let oldest = self.highest.iter().min_by_key(|(_, token)| **token).map(|(role, _)| *role);
+        if self.highest_tokens.len() >= MAX_ROLES {
+            // Tokens increase across all roles, so the lowest one has been unused for the longest time.
+            let oldest = self.highest_tokens.iter().min_by_key(|(_, token)| **token).map(|(role, _)| *role);
             if let Some(role) = oldest {
-                self.highest.remove(&role);
+                self.highest_tokens.remove(&role);
             }
         }
-        self.highest.insert(role, token);
+        self.highest_tokens.insert(role, token);
         true
     }
 
-    pub fn highest(&self, role: Role) -> Token {
-        self.highest.get(&role).copied().unwrap_or(0)
+    pub fn highest_token(&self, role: Role) -> Token {
+        self.highest_tokens.get(&role).copied().unwrap_or(0)
     }
 
-    /// Whom to ask now.
+    /// The upstream to query now.
     pub fn current(&mut self, now: Time, timing: &Timing) -> Option<Upstream> {
-        let again = self.failed_over_at + timing.prefer_first_again;
-        if self.current > 0 && now >= again {
+        let failback_at = self.failed_over_at + timing.failback_delay;
+        if self.current > 0 && now >= failback_at {
             self.current = 0;
             self.failures = 0;
-            self.is_probing = true;
+            self.is_retrying_first = true;
         }
         self.list.get(self.current).copied()
     }
@@ -137,31 +139,31 @@
         self.list.len()
     }
 
-    /// Failures of the current one in a row.
+    /// Consecutive failures of the current upstream.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    pub fn succeeded(&mut self) {
-        self.is_probing = false;
+    pub fn record_success(&mut self) {
+        self.is_retrying_first = false;
         self.failures = 0;
     }
 
-    /// The current one did not answer as it should, or is of no use; whether another one is asked from now on.
-    pub fn failed(&mut self, now: Time, timing: &Timing, is_of_no_use: bool) -> bool {
+    /// Records that the current upstream failed or is unusable. Returns whether this caused a failover.
+    pub fn record_failure(&mut self, now: Time, timing: &Timing, is_unusable: bool) -> bool {
         self.failures = self.failures.saturating_add(1);
-        let is_over = is_of_no_use
-            || self.is_probing
+        let must_fail_over = is_unusable
+            || self.is_retrying_first
             || self.failures.is_multiple_of(timing.failures_before_failover.max(1));
-        if is_over {
+        if must_fail_over {
             self.fail_over(now);
         }
-        is_over
+        must_fail_over
     }
 
-    /// Goes over to the next one.
+    /// Switches to the next upstream.
     pub fn fail_over(&mut self, now: Time) {
-        self.is_probing = false;
+        self.is_retrying_first = false;
         if self.list.len() > 1 {
             self.current = (self.current + 1) % self.list.len();
             self.failed_over_at = now;
@@ -169,16 +171,16 @@
     }
 
     pub fn version(&self, peer: PeerId) -> u8 {
-        self.spoken.get(&peer).copied().unwrap_or(self.versions.highest)
+        self.negotiated.get(&peer).copied().unwrap_or(self.versions.highest)
     }
 
-    /// A peer says which versions it speaks; whether one of them is spoken here.
-    pub fn speaks(&mut self, peer: PeerId, versions: Versions) -> bool {
-        let before = self.version(peer);
-        match self.versions.common(versions) {
+    /// Handles the versions supported by a peer. Returns whether a retry with another common version is possible.
+    pub fn negotiate_version(&mut self, peer: PeerId, versions: Versions) -> bool {
+        let previous = self.version(peer);
+        match self.versions.highest_common(versions) {
             Some(version) => {
-                self.spoken.insert(peer, version);
-                version != before
+                self.negotiated.insert(peer, version);
+                version != previous
             }
             None => false,
         }
--- a/distribution/src/worker.rs
+++ b/distribution/src/worker.rs
@@ -1,38 +1,38 @@
-//! The form of a worker in a record.
+//! The encoding of a worker as a record value.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What a worker takes.
+/// Which jobs a worker accepts.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum WorkerState {
-    /// New jobs.
+    /// The worker accepts new jobs.
     Up,
-    /// No new jobs; those that it has go on.
+    /// The worker accepts no new jobs; its current jobs continue.
     Draining,
 }
 
-/// Everything that the list says of a worker beside its name and zone.
+/// Everything the list contains about a worker except its name and zone.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Worker {
-    /// Where it listens.
+    /// The listen address.
     pub address: SocketAddr,
-    /// Its kind.
+    /// The kind of the worker.
     pub kind: String,
-    /// Its cell in the zone.
+    /// The cell within the zone.
     pub cell: u32,
-    /// What it takes.
+    /// Whether the worker accepts new jobs.
     pub state: WorkerState,
-    /// When it started, in milliseconds of the time of day.
+    /// The start time in milliseconds since the Unix epoch.
     pub started_ms: u64,
-    /// Its size beside that of others.
+    /// The capacity relative to other workers.
     pub weight: f64,
 }
 
-/// The same as it is written: the bytes of the weight are turned round, since most weights end in zeros, and small
-/// numbers are short.
+/// The encoded form. The bytes of the weight are swapped: most weights end in zero bytes, and small integers have a
+/// short encoding.
 #[derive(Deserialize, Serialize)]
-struct Written {
+struct EncodedWorker {
     address: SocketAddr,
     kind: String,
     cell: u32,
@@ -42,18 +42,18 @@
 }
 
 impl Worker {
-    /// Its bytes.
+    /// Encodes the worker.
     pub fn encode(&self) -> Vec<u8> {
         let Worker { address, kind, cell, state, started_ms, weight } = self.clone();
         let weight = weight.to_bits().swap_bytes();
-        let written = Written { address, kind, cell, state, started_ms, weight };
-        postcard::to_stdvec(&written).unwrap_or_default()
+        let encoded = EncodedWorker { address, kind, cell, state, started_ms, weight };
+        postcard::to_stdvec(&encoded).unwrap_or_default()
     }
 
-    /// A worker out of bytes; nothing where they are none.
+    /// Decodes a worker; `None` if the bytes are invalid.
     pub fn decode(bytes: &[u8]) -> Option<Worker> {
-        let Ok((written, [])) = postcard::take_from_bytes::<Written>(bytes) else { return None };
-        let Written { address, kind, cell, state, started_ms, weight } = written;
+        let Ok((encoded, [])) = postcard::take_from_bytes::<EncodedWorker>(bytes) else { return None };
+        let EncodedWorker { address, kind, cell, state, started_ms, weight } = encoded;
         let weight = f64::from_bits(weight.swap_bytes());
         Some(Worker { address, kind, cell, state, started_ms, weight })
     }
