--- a/distribution/src/subscriber.rs
+++ b/distribution/src/subscriber.rs
@@ -340,11 +340,11 @@
     }
 
     fn next_request(&mut self, now: Time, service: Service) -> Option<Request> {
-        let longest = self.config.timing.max_reply_bytes;
+        let max_reply_bytes = self.config.timing.max_reply_bytes;
         let available = self.budget.available(now);
         if now >= self.poll_due {
             let query = Query::Changes { after: self.replica.position() };
-            let max_bytes = available.clamp(MIN_CHANGES_BYTES, longest);
+            let max_bytes = available.clamp(MIN_CHANGES_BYTES, max_reply_bytes);
             return Some(Request { service, max_bytes, query });
         }
         if self.replica.position().is_none() || available < MIN_CONTENTS_BYTES {
@@ -361,7 +361,7 @@
             None if needs_digests => Query::Partitions,
             None => return None,
         };
-        Some(Request { service, max_bytes: available.min(longest), query })
+        Some(Request { service, max_bytes: available.min(max_reply_bytes), query })
     }
 
     fn send(&mut self, now: Time, upstream: Upstream, request: Request) -> Transmit {
@@ -423,8 +423,8 @@
         let timing = &self.config.timing;
         let is_disconnected = self.log_age(now).is_none_or(|age| age > timing.staleness_bound)
             && failures as usize >= timing.failures_before_failover as usize * self.upstreams.len().max(1);
-        let longest = if is_disconnected { timing.max_stale_backoff } else { timing.max_backoff };
-        let bound = timing.initial_backoff.saturating_mul(1 << failures.min(16)).min(longest);
+        let max_delay = if is_disconnected { timing.max_stale_backoff } else { timing.max_backoff };
+        let bound = timing.initial_backoff.saturating_mul(1 << failures.min(16)).min(max_delay);
         self.backoff_until = now + random_up_to(&mut self.random, bound);
     }
 
@@ -611,8 +611,8 @@
     }
 
     fn back_off_while_busy(&mut self, now: Time, retry_after_ms: u32) {
-        let longest = self.config.timing.max_stale_backoff;
-        let wait = Duration::from_millis(u64::from(retry_after_ms)).min(longest);
+        let max_delay = self.config.timing.max_stale_backoff;
+        let wait = Duration::from_millis(u64::from(retry_after_ms)).min(max_delay);
         self.backoff_until = now + wait / 2 + random_up_to(&mut self.random, wait);
     }
 
--- a/distribution/src/synchronization.rs
+++ b/distribution/src/synchronization.rs
@@ -36,7 +36,7 @@
     pub fn has_work_for<'a>(&self, mut partitions: impl Iterator<Item = &'a Partition>) -> bool {
         let is_pending = |partition: &Partition| {
             self.work.iter().any(|work| match work {
-                Work::Compare(left) => left == partition,
+                Work::Compare(pending) => pending == partition,
                 Work::Fetch(range) => range.partition == *partition,
             })
         };
