--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod load_gossip;
 pub mod overrides;
 pub mod peers;
-pub mod turn_estimate;
+pub mod service_time;
 pub mod watch;
 
 /// Unix time, or a span of it, in milliseconds.
--- a/control/src/list_status.rs
+++ b/control/src/list_status.rs
@@ -26,7 +26,7 @@
 //! Times are milliseconds of a monotonic clock that starts anywhere.
 
 use crate::call_failure::CallFailure;
-use crate::turn_estimate::TurnEstimate;
+use crate::service_time::TurnEstimate;
 use crate::watch::TOLD_AFTER;
 use crate::Millis;
 use std::fmt;
