--- a/control/src/admin_console.rs
+++ b/control/src/admin_console.rs
@@ -4,7 +4,7 @@
 //! Refused are: lines that never end (a bound in bytes), bytes that are not text, arguments beyond those that a command
 //! takes, and names that no override could hold.
 
-use crate::overrides::LONGEST_NAME;
+use crate::overrides::MAX_NAME_LEN;
 
 /// A command line holds so many bytes at most, its end of line included.
 pub const MAX_LINE: usize = 256;
@@ -24,19 +24,19 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Parsed {
     /// No end of line yet, and there is room for more.
-    More,
+    Incomplete,
     /// A whole line, parsed as a command, or the reason why it is none.
-    Whole(Result<Command, String>),
+    Complete(Result<Command, String>),
 }
 
 /// Parses what has come on a connection so far. Bytes after the first end of line are not looked at.
 pub fn parse(bytes: &[u8]) -> Parsed {
     match bytes.iter().position(|b| *b == b'\n') {
-        Some(end) => Parsed::Whole(parse_line(&bytes[..end])),
+        Some(end) => Parsed::Complete(parse_line(&bytes[..end])),
         None if bytes.len() >= MAX_LINE => {
-            Parsed::Whole(Err(format!("the line is longer than {MAX_LINE} bytes")))
+            Parsed::Complete(Err(format!("the line is longer than {MAX_LINE} bytes")))
         }
-        None => Parsed::More,
+        None => Parsed::Incomplete,
     }
 }
 
@@ -52,8 +52,8 @@
     }
     let words: Vec<&str> = text.split_whitespace().collect();
     let worker = |call: &str| match words.as_slice() {
-        [_, id] if id.len() <= LONGEST_NAME => Ok(id.to_string()),
-        [_, _] => Err(format!("{call} ID: the id is longer than {LONGEST_NAME} bytes")),
+        [_, id] if id.len() <= MAX_NAME_LEN => Ok(id.to_string()),
+        [_, _] => Err(format!("{call} ID: the id is longer than {MAX_NAME_LEN} bytes")),
         _ => Err(format!("{call} takes one worker id: {call} ID")),
     };
     match words.first().map(|w| w.to_ascii_lowercase()).as_deref() {
@@ -72,10 +72,10 @@
 
     #[test]
     fn commands_are_parsed() {
-        assert_eq!(parse(b"health\n"), Parsed::Whole(Ok(Command::Health)));
-        assert_eq!(parse(b"cordon w-1\r\n"), Parsed::Whole(Ok(Command::Cordon("w-1".into()))));
-        assert_eq!(parse(b"UNCORDON  w-1 \nmore"), Parsed::Whole(Ok(Command::Uncordon("w-1".into()))));
-        assert_eq!(parse(b"cord"), Parsed::More);
+        assert_eq!(parse(b"health\n"), Parsed::Complete(Ok(Command::Health)));
+        assert_eq!(parse(b"cordon w-1\r\n"), Parsed::Complete(Ok(Command::Cordon("w-1".into()))));
+        assert_eq!(parse(b"UNCORDON  w-1 \nmore"), Parsed::Complete(Ok(Command::Uncordon("w-1".into()))));
+        assert_eq!(parse(b"cord"), Parsed::Incomplete);
     }
 
     #[test]
@@ -83,11 +83,11 @@
         for line in
             [&b"\n"[..], b"  \r\n", b"dance\n", b"cordon\n", b"cordon a b\n", b"health x\n", b"\xff\xfe\n"]
         {
-            assert!(matches!(parse(line), Parsed::Whole(Err(_))), "{line:?}");
+            assert!(matches!(parse(line), Parsed::Complete(Err(_))), "{line:?}");
         }
         let long = vec![b'a'; MAX_LINE];
-        assert!(matches!(parse(&long), Parsed::Whole(Err(_))));
-        let name = format!("cordon {}\n", "w".repeat(LONGEST_NAME + 1));
-        assert!(matches!(parse(name.as_bytes()), Parsed::Whole(Err(_))));
+        assert!(matches!(parse(&long), Parsed::Complete(Err(_))));
+        let name = format!("cordon {}\n", "w".repeat(MAX_NAME_LEN + 1));
+        assert!(matches!(parse(name.as_bytes()), Parsed::Complete(Err(_))));
     }
 }
--- a/control/src/discovery_report.rs
+++ b/control/src/discovery_report.rs
@@ -47,7 +47,7 @@
 
 impl ReportSchedule {
     /// A peer has sent a report.
-    pub fn heard(&mut self, now: Millis, report: DiscoveryReport) {
+    pub fn peer_reported(&mut self, now: Millis, report: DiscoveryReport) {
         self.last = Some((now, report));
     }
 
--- a/control/src/list_status.rs
+++ b/control/src/list_status.rs
@@ -7,16 +7,16 @@
 //! | state | meaning | valid |
 //! | --- | --- | --- |
 //! | [`ListState::Unconfirmed`] | discovery has answered nothing since the start | not at all: the age of the list is not known |
-//! | [`ListState::Confirmed`] | an answer has come, and no watch stands | [`UNTOLD_FOR`] from the answer |
-//! | [`ListState::Watched`] | a watch stands: a change ends its wait | until [`SILENT_WATCH`] after its wait, since it may have fallen silent |
-//! | [`ListState::Unreachable`] | the last call found nobody | [`UNTOLD_FOR`] from the end of each such call |
-//! | [`ListState::TurnedAway`] | the last call was turned away | the same, unless a crowd may have been the reason; a newer list that a peer reports leaves [`TOLD_TO_PEER_FOR`] |
+//! | [`ListState::Confirmed`] | an answer has come, and no watch stands | [`UNCONFIRMED_VALIDITY`] from the answer |
+//! | [`ListState::Watched`] | a watch stands: a change ends its wait | until [`WATCH_SILENCE_GRACE`] after its wait, since it may have fallen silent |
+//! | [`ListState::Unreachable`] | the last call found nobody | [`UNCONFIRMED_VALIDITY`] from the end of each such call |
+//! | [`ListState::TurnedAway`] | the last call was turned away | the same, unless a crowd may have been the reason; a newer list that a peer reports leaves [`NEWER_LIST_VALIDITY`] |
 //! | [`ListState::Expired`] | none of these times is left | not at all |
 //!
 //! A discovery that turns calls away may be down, or crowded. Where dispatchers of a tier talk, those that it answers report it
 //! ([`ListStatus::peer_answered`]), and calls that are turned away about then say nothing of an outage. Where they don't, and the
-//! whole tier's calls may keep discovery busy for longer than [`UNTOLD_FOR`] ([`TurnEstimate`]), nothing tells a crowd from an
-//! outage in time: a call that is turned away then confirms nothing, and the list ends [`UNTOLD_FOR`] behind the last answer, or
+//! whole tier's calls may keep discovery busy for longer than [`UNCONFIRMED_VALIDITY`] ([`ServiceTimeEstimate`]), nothing tells a crowd from an
+//! outage in time: a call that is turned away then confirms nothing, and the list ends [`UNCONFIRMED_VALIDITY`] behind the last answer, or
 //! behind the end of the watch that stood. In an outage that lasts longer such a tier stops. An estimate that is too high stops a
 //! tier that need not stop; one that is too low lets it send by an old list in a crowd.
 //!
@@ -26,26 +26,26 @@
 //! Times are milliseconds of a monotonic clock that starts anywhere.
 
 use crate::call_failure::CallFailure;
-use crate::service_time::TurnEstimate;
-use crate::watch::TOLD_AFTER;
+use crate::service_time::ServiceTimeEstimate;
+use crate::watch::PROPAGATION_BOUND;
 use crate::Millis;
 use std::fmt;
 
 /// What is not heard of for so long is acted against: the platform's time until a change counts as told.
-pub const UNTOLD_FOR: Millis = TOLD_AFTER;
+pub const UNCONFIRMED_VALIDITY: Millis = PROPAGATION_BOUND;
 /// A watch that is this much behind the end of its wait is silent, and what it missed counts as told.
-pub const SILENT_WATCH: Millis = 2000;
+pub const WATCH_SILENCE_GRACE: Millis = 2000;
 /// The next call carries a watch on if it comes so soon behind an answer.
 pub const WATCH_CONTINUES_WITHIN: Millis = 200;
 /// After a move of discovery, what the new one has to tell counts as told this much later.
-pub const MOVED_FOR: Millis = 4000;
+pub const VALIDITY_AFTER_MOVE: Millis = 4000;
 
 /// A call that is turned away so soon behind a report that discovery has answered a peer was turned away by a crowd. Calls stand
 /// in its queue for some seconds before they are turned away, and reports follow each other as answers do.
-pub const CROWDED_FOR: Millis = 3000;
+pub const CONGESTION_EVIDENCE_TTL: Millis = 3000;
 /// What a peer was told, and this dispatcher was not, counts as told this much later: the peer's call took its turn too, for
-/// which a third of [`UNTOLD_FOR`] is left.
-pub const TOLD_TO_PEER_FOR: Millis = UNTOLD_FOR / 3 * 2;
+/// which a third of [`UNCONFIRMED_VALIDITY`] is left.
+pub const NEWER_LIST_VALIDITY: Millis = UNCONFIRMED_VALIDITY / 3 * 2;
 
 /// How far a list can be relied on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -89,7 +89,7 @@
 pub struct ListStatus {
     /// How long the list may be acted on behind each call that was made, where an agent on this machine is asked: that is
     /// silent only while there is nothing to hear.
-    lasts_behind_calls: Option<Millis>,
+    validity_after_call: Option<Millis>,
     /// When discovery last answered.
     confirmed_at: Option<Millis>,
     /// Until when the list may be acted on, if it was ever confirmed.
@@ -101,7 +101,7 @@
     /// When a peer last reported that discovery had answered it.
     peer_answered_at: Option<Millis>,
     /// What a call's turn costs at discovery.
-    turn: TurnEstimate,
+    service_time: ServiceTimeEstimate,
     /// Peers report what discovery answers them: their silence tells an outage from a crowd.
     peers_report: bool,
 }
@@ -109,20 +109,20 @@
 impl ListStatus {
     /// A list that has to be asked for by one of so many dispatchers. It may have been known at the start: of what age, nobody
     /// says.
-    pub fn asked_by_tier(dispatchers: u32) -> Self {
-        ListStatus { turn: TurnEstimate::of_tier(dispatchers), ..Self::asked() }
+    pub fn polled_by_tier(dispatchers: u32) -> Self {
+        ListStatus { service_time: ServiceTimeEstimate::for_tier(dispatchers), ..Self::polled() }
     }
 
     /// The same where nobody else asks.
-    pub fn asked() -> Self {
+    pub fn polled() -> Self {
         ListStatus {
-            lasts_behind_calls: None,
+            validity_after_call: None,
             confirmed_at: None,
             valid_until: 0,
             last: ListState::Unconfirmed,
             answered_last: false,
             peer_answered_at: None,
-            turn: TurnEstimate::of_tier(1),
+            service_time: ServiceTimeEstimate::for_tier(1),
             peers_report: false,
         }
     }
@@ -131,20 +131,20 @@
     /// when it comes. Its first answer is needed all the same. What it has counts as told at once, and sends to a worker that
     /// drains may go on for `drain_grace`: the list is valid for so long behind each call that was made.
     pub fn pushed(drain_grace: Millis) -> Self {
-        ListStatus { lasts_behind_calls: Some(drain_grace), ..Self::asked() }
+        ListStatus { validity_after_call: Some(drain_grace), ..Self::polled() }
     }
 
     /// A list that never changes.
     pub fn fixed() -> Self {
         let last = ListState::Confirmed;
         ListStatus {
-            lasts_behind_calls: Some(Millis::MAX),
+            validity_after_call: Some(Millis::MAX),
             confirmed_at: Some(0),
             valid_until: Millis::MAX,
             last,
             answered_last: false,
             peer_answered_at: None,
-            turn: TurnEstimate::of_tier(1),
+            service_time: ServiceTimeEstimate::for_tier(1),
             peers_report: false,
         }
     }
@@ -154,44 +154,44 @@
         self.confirmed_at = Some(now);
         self.last = ListState::Confirmed;
         self.answered_last = true;
-        self.valid_until = self.after(now, UNTOLD_FOR);
+        self.valid_until = self.after(now, UNCONFIRMED_VALIDITY);
     }
 
     /// Peers report from now on that discovery has answered them.
-    pub fn hears_peers(&mut self) {
+    pub fn expect_peer_reports(&mut self) {
         self.peers_report = true;
     }
 
     /// The call that discovery has answered did not wait for news, and took so long.
-    pub fn took_turn(&mut self, took: Millis) {
-        self.turn.answered_after(took);
+    pub fn record_service_time(&mut self, took: Millis) {
+        self.service_time.record(took);
     }
 
     /// What a call's turn costs at discovery, as far as known.
-    pub fn turn(&self) -> TurnEstimate {
-        self.turn
+    pub fn service_time(&self) -> ServiceTimeEstimate {
+        self.service_time
     }
 
     /// A watch begins that may wait so long. It carries on from an answer only if that came just before; any other one may
     /// stand in a queue, and confirms nothing.
-    pub fn watch_began(&mut self, now: Millis, wait: Millis) {
+    pub fn watch_started(&mut self, now: Millis, wait: Millis) {
         let since_answer = now.saturating_sub(self.confirmed_at.unwrap_or(0));
         if !std::mem::take(&mut self.answered_last) || since_answer > WATCH_CONTINUES_WITHIN {
             return;
         }
         self.last = ListState::Watched;
-        self.valid_until = self.valid_until.max(self.after(now, wait + SILENT_WATCH));
+        self.valid_until = self.valid_until.max(self.after(now, wait + WATCH_SILENCE_GRACE));
     }
 
     /// A call came to nothing. What has expired stays so until discovery answers, or an agent had nothing to say.
     pub fn failed(&mut self, now: Millis, failure: CallFailure) {
         self.answered_last = false;
-        let agent_is_silent = self.lasts_behind_calls.is_some() && failure == CallFailure::Silent;
+        let agent_is_silent = self.validity_after_call.is_some() && failure == CallFailure::Silent;
         if now >= self.valid_until && !agent_is_silent {
             return;
         }
         let watched = self.last == ListState::Watched;
-        let later = self.after(now, UNTOLD_FOR);
+        let later = self.after(now, UNCONFIRMED_VALIDITY);
         self.last = ListState::Confirmed;
         match failure {
             CallFailure::Unreachable => {
@@ -200,7 +200,7 @@
                 self.valid_until = later;
             }
             // A watch that stood would have told of a change by then.
-            CallFailure::TurnedAway if watched || !self.may_be_crowded(now) => {
+            CallFailure::TurnedAway if watched || !self.may_be_congested(now) => {
                 self.last = ListState::TurnedAway;
                 self.valid_until = later;
             }
@@ -217,7 +217,7 @@
     /// have stood unread since `came_at`. Whether it leaves the list less time than it had.
     pub fn peer_answered(&mut self, now: Millis, came_at: Millis, has_newer: bool) -> bool {
         self.peer_answered_at = Some(now);
-        let until = came_at + TOLD_TO_PEER_FOR;
+        let until = came_at + NEWER_LIST_VALIDITY;
         let is_behind = has_newer && self.last == ListState::TurnedAway && until < self.valid_until;
         if is_behind {
             self.valid_until = until;
@@ -227,21 +227,22 @@
 
     /// Whether a crowd of the whole tier may last longer at discovery than a change takes to count as told, and no peer would tell
     /// of it.
-    pub fn crowd_outlasts_bound(&self) -> bool {
-        !self.peers_report && self.turn.whole_tier().is_some_and(|span| span > UNTOLD_FOR)
+    pub fn congestion_may_exceed_bound(&self) -> bool {
+        !self.peers_report
+            && self.service_time.full_tier_time().is_some_and(|span| span > UNCONFIRMED_VALIDITY)
     }
 
     /// Whether discovery may turn calls away only because too many wait.
-    fn may_be_crowded(&self, now: Millis) -> bool {
-        let answers_peers = self.peer_answered_at.is_some_and(|at| now < at + CROWDED_FOR);
-        answers_peers || self.crowd_outlasts_bound()
+    fn may_be_congested(&self, now: Millis) -> bool {
+        let answers_peers = self.peer_answered_at.is_some_and(|at| now < at + CONGESTION_EVIDENCE_TTL);
+        answers_peers || self.congestion_may_exceed_bound()
     }
 
     /// Discovery has moved: what the new one has to tell is not known yet.
     pub fn moved(&mut self, now: Millis) {
         self.answered_last = false;
         self.last = ListState::Confirmed;
-        self.valid_until = self.valid_until.min(now + MOVED_FOR);
+        self.valid_until = self.valid_until.min(now + VALIDITY_AFTER_MOVE);
     }
 
     /// The state at a time.
@@ -264,6 +265,6 @@
     }
 
     fn after(&self, now: Millis, span: Millis) -> Millis {
-        now.saturating_add(self.lasts_behind_calls.unwrap_or(span))
+        now.saturating_add(self.validity_after_call.unwrap_or(span))
     }
 }
--- a/control/src/load_gossip.rs
+++ b/control/src/load_gossip.rs
@@ -55,11 +55,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
     /// States what the sender has out.
-    Tell,
+    Report,
     /// The same, and asks for the picture of a zone.
-    Ask,
+    Query,
     /// What all others have out in a zone. Workers that are not named have nothing.
-    Picture,
+    Snapshot,
 }
 
 /// One datagram.
@@ -68,11 +68,11 @@
     /// What it is for.
     pub purpose: Purpose,
     /// Grows with each load report of a sender, modulo 16. A picture has that of the question.
-    pub turn: u8,
+    pub sequence: u8,
     /// The zone that is asked for or shown.
     pub zone: Tag,
     /// Workers that hold jobs, and how many.
-    pub out: Vec<(Tag, u8)>,
+    pub in_flight: Vec<(Tag, u8)>,
     /// Workers that have just refused or failed one, or were not reached.
     pub refused: Vec<Tag>,
 }
@@ -80,16 +80,16 @@
 impl LoadReport {
     /// The datagram. Workers beyond what it can name are left out: those with the least jobs.
     pub fn encode(&self) -> Vec<u8> {
-        let mut out = self.out.clone();
+        let mut out = self.in_flight.clone();
         out.sort_unstable_by_key(|(tag, out)| (std::cmp::Reverse(*out), *tag));
         let refused = self.refused.iter().map(|tag| (*tag, REFUSED));
         let out = out.into_iter().map(|(tag, out)| (tag, out.min(REFUSED - 1)));
         let purpose = match self.purpose {
-            Purpose::Tell => 0,
-            Purpose::Ask => 1,
-            Purpose::Picture => 2,
+            Purpose::Report => 0,
+            Purpose::Query => 1,
+            Purpose::Snapshot => 2,
         };
-        let mut bytes = vec![purpose << 4 | self.turn & 15];
+        let mut bytes = vec![purpose << 4 | self.sequence & 15];
         bytes.extend(self.zone.0.to_be_bytes());
         for (Tag(tag), said) in refused.chain(out).take(MAX_NAMED) {
             bytes.extend(tag.to_be_bytes());
@@ -105,19 +105,19 @@
             return None;
         }
         let purpose = match head[0] >> 4 {
-            0 => Purpose::Tell,
-            1 => Purpose::Ask,
-            2 => Purpose::Picture,
+            0 => Purpose::Report,
+            1 => Purpose::Query,
+            2 => Purpose::Snapshot,
             _ => return None,
         };
         let zone = Tag(u16::from_be_bytes([head[1], head[2]]));
         let mut report =
-            LoadReport { purpose, turn: head[0] & 15, zone, out: Vec::new(), refused: Vec::new() };
+            LoadReport { purpose, sequence: head[0] & 15, zone, in_flight: Vec::new(), refused: Vec::new() };
         for entry in rest.chunks_exact(ENTRY) {
             let tag = Tag(u16::from_be_bytes([entry[0], entry[1]]));
             match entry[2] {
                 REFUSED => report.refused.push(tag),
-                out => report.out.push((tag, out)),
+                out => report.in_flight.push((tag, out)),
             }
         }
         Some(report)
@@ -150,20 +150,20 @@
 
 impl ReportedLoad {
     /// Takes in what a peer has out. One that was overtaken changes nothing.
-    pub fn take(&mut self, number: u32, report: &LoadReport, now: Millis) {
+    pub fn apply(&mut self, number: u32, report: &LoadReport, now: Millis) {
         if now >= self.swept + REPORT_TTL / 4 {
             self.sweep(now);
         }
         let peer = self.peers.entry(number).or_default();
         // Turns go round after 16: a load report is an old one if it comes soon after a newer one.
-        let ahead = report.turn.wrapping_sub(peer.turn) & 15;
+        let ahead = report.sequence.wrapping_sub(peer.turn) & 15;
         if now.saturating_sub(peer.at) < REORDER_WINDOW && peer.at > 0 && (ahead > 8 || ahead == 0) {
             return;
         }
-        let before = std::mem::replace(&mut peer.out, report.out.clone());
-        (peer.turn, peer.at) = (report.turn, now.max(1));
+        let before = std::mem::replace(&mut peer.out, report.in_flight.clone());
+        (peer.turn, peer.at) = (report.sequence, now.max(1));
         self.subtract(&before);
-        for (tag, out) in &report.out {
+        for (tag, out) in &report.in_flight {
             *self.sums.entry(*tag).or_default() += u32::from(*out);
         }
         for tag in &report.refused {
@@ -197,7 +197,7 @@
     }
 
     /// Jobs at those of the workers that hold any, beside those of the peer that asks, and which have just refused one.
-    pub fn picture(
+    pub fn snapshot(
         &self,
         querier: u32,
         now: Millis,
@@ -228,7 +228,7 @@
     /// Until when an aggregator that did not answer is passed over.
     silent: FxHashMap<u32, Millis>,
     /// How long to wait for an answer, by those that came.
-    answer_wait: Millis,
+    answer_timeout: Millis,
 }
 
 impl ZoneAggregators {
@@ -238,7 +238,7 @@
             tier,
             candidates: FxHashMap::default(),
             silent: FxHashMap::default(),
-            answer_wait: ANSWER_WAIT.0,
+            answer_timeout: ANSWER_WAIT.0,
         }
     }
 
@@ -275,20 +275,20 @@
     }
 
     /// How long to wait for an answer: well over what the last ones took.
-    pub fn answer_wait(&self) -> Millis {
-        self.answer_wait
+    pub fn answer_timeout(&self) -> Millis {
+        self.answer_timeout
     }
 
     /// An aggregator was asked, and has not answered in time. It may be dead, or datagrams take longer than they did.
-    pub fn was_silent(&mut self, number: u32, now: Millis) {
+    pub fn timed_out(&mut self, number: u32, now: Millis) {
         self.silent.insert(number, now + SILENT_FOR);
-        self.answer_wait = (self.answer_wait * 5 / 4).min(ANSWER_WAIT.2);
+        self.answer_timeout = (self.answer_timeout * 5 / 4).min(ANSWER_WAIT.2);
     }
 
     /// An aggregator has answered after so long.
     pub fn answered(&mut self, number: u32, took: Millis) {
         self.silent.remove(&number);
         let enough = (took * 2 + 5).clamp(ANSWER_WAIT.1, ANSWER_WAIT.2);
-        self.answer_wait = (self.answer_wait * 7 + enough).div_ceil(8);
+        self.answer_timeout = (self.answer_timeout * 7 + enough).div_ceil(8);
     }
 }
--- a/control/src/overrides/codec.rs
+++ b/control/src/overrides/codec.rs
@@ -5,7 +5,7 @@
 //! byte of length and UTF-8: origin, worker, class, tenant (as the scope has them), by, why. Big endian.
 
 use super::clock::Stamp;
-use super::record::{Effect, Name, Record, Scope, Slot, Weight, LONGEST_NAME};
+use super::record::{Effect, Name, Record, Scope, Slot, Weight, MAX_NAME_LEN};
 use crate::Millis;
 use thiserror::Error;
 
@@ -107,7 +107,7 @@
 
     fn name(&mut self, field: &'static str) -> Result<Name, Malformed> {
         let name = self.text(field)?;
-        match (1..=LONGEST_NAME).contains(&name.len()) {
+        match (1..=MAX_NAME_LEN).contains(&name.len()) {
             true => Ok(name),
             false => Err(Malformed(field)),
         }
--- a/control/src/overrides/log.rs
+++ b/control/src/overrides/log.rs
@@ -69,14 +69,14 @@
 
 fn parse(line: &[u8]) -> Option<Record> {
     let (digits, checksum) = std::str::from_utf8(line).ok()?.split_once(' ')?;
-    let bytes = unhex(digits)?;
+    let bytes = decode_hex(digits)?;
     let is_whole = checksum.len() == CHECKSUM_DIGITS
         && u64::from_str_radix(checksum, 16).is_ok_and(|sum| sum == fingerprint(&bytes));
     decode(&bytes).ok().filter(|_| is_whole)
 }
 
 /// Bytes from their hexadecimal digits; `None` where they are none.
-pub fn unhex(digits: &str) -> Option<Vec<u8>> {
+pub fn decode_hex(digits: &str) -> Option<Vec<u8>> {
     let pairs = digits.as_bytes().chunks(2).map(|pair| {
         let text = std::str::from_utf8(pair).ok().filter(|text| text.len() == 2)?;
         u8::from_str_radix(text, 16).ok()
--- a/control/src/overrides/mod.rs
+++ b/control/src/overrides/mod.rs
@@ -11,9 +11,9 @@
 
 pub use clock::{Clock, Stamp};
 pub use codec::{decode, encode, Malformed, MAX_RECORD};
-pub use log::{log_line, unhex, LogReader};
-pub use record::{Effect, Name, Record, Scope, Slot, Weight, LONGEST_NAME};
+pub use log::{decode_hex, log_line, LogReader};
+pub use record::{Effect, Name, Record, Scope, Slot, Weight, MAX_NAME_LEN};
 pub use table::{
-    record_fingerprint, Faulty, Forces, Line, Merged, Order, Pin, Standing, Table, FUTURE, HARD_LONGEST,
-    KEPT, MAX_SLOTS,
+    record_fingerprint, ActiveOverrides, InvalidRequest, Merged, OverrideEntry, OverrideRequest, Pin,
+    Standing, Table, MAX_FUTURE_SKEW, MAX_OVERRIDE_DURATION, MAX_SLOTS, RETENTION,
 };
--- a/control/src/overrides/record.rs
+++ b/control/src/overrides/record.rs
@@ -9,7 +9,7 @@
 pub type Name = Arc<str>;
 
 /// Names of workers, dispatchers, classes, tenants and operators hold so many bytes at most.
-pub const LONGEST_NAME: usize = 64;
+pub const MAX_NAME_LEN: usize = 64;
 
 /// A multiplier of a worker's share, in thousandths: the same number on every dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -105,7 +105,7 @@
 
 impl Record {
     /// Whether it sets something that has not ended by itself.
-    pub fn lasts(&self, now: Millis) -> bool {
+    pub fn is_live(&self, now: Millis) -> bool {
         self.effect != Effect::Clear && now < self.until
     }
 }
--- a/control/src/overrides/table.rs
+++ b/control/src/overrides/table.rs
@@ -3,25 +3,25 @@
 //! The table is a function of the set of records that have reached it, so dispatchers that have seen the same
 //! hold the same, in whatever order and however often it came: in each slot the records from the latest
 //! clearing on, of these the latest [`MAX_IN_SLOT`], by stamp. The latest alone is in force. It stays for
-//! [`KEPT`] after it was written, its end notwithstanding: until then something that it replaced might still
+//! [`RETENTION`] after it was written, its end notwithstanding: until then something that it replaced might still
 //! arrive, and must find itself replaced. Records leave in the order of their stamps, so no older one can take
 //! the place of a newer one that has left.
 
 use super::clock::{Clock, Stamp};
 use super::codec::{encode, MAX_RECORD};
-use super::record::{Effect, Name, Record, Scope, Slot, Weight, LONGEST_NAME};
+use super::record::{Effect, Name, Record, Scope, Slot, Weight, MAX_NAME_LEN};
 use crate::{fingerprint, Millis};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use thiserror::Error;
 
 /// No override may last longer, whatever is configured: 72 hours, a week-end.
-pub const HARD_LONGEST: Millis = 72 * 3_600_000;
+pub const MAX_OVERRIDE_DURATION: Millis = 72 * 3_600_000;
 /// A record written so far in the future is not taken: the clock of its writer is wrong, and nothing that is
 /// written here could replace it.
-pub const FUTURE: Millis = 60_000;
+pub const MAX_FUTURE_SKEW: Millis = 60_000;
 /// How long after its writing a record is kept: nothing written before it can be in force any more.
-pub const KEPT: Millis = HARD_LONGEST + 2 * FUTURE;
+pub const RETENTION: Millis = MAX_OVERRIDE_DURATION + 2 * MAX_FUTURE_SKEW;
 /// Slots that are remembered. More are refused.
 pub const MAX_SLOTS: usize = 2048;
 /// Records of a slot that are remembered: the one in force and those it has beaten.
@@ -30,20 +30,20 @@
 /// An order that can't be followed: which field of it, and why.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{field}: {reason}")]
-pub struct Faulty {
+pub struct InvalidRequest {
     /// The field, as the command line and the admin listener name it.
     pub field: &'static str,
     /// What is wrong with it and what would be right.
     pub reason: String,
 }
 
-fn faulty<T>(field: &'static str, reason: impl Into<String>) -> Result<T, Faulty> {
-    Err(Faulty { field, reason: reason.into() })
+fn faulty<T>(field: &'static str, reason: impl Into<String>) -> Result<T, InvalidRequest> {
+    Err(InvalidRequest { field, reason: reason.into() })
 }
 
 /// What an operator wants set.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Order {
+pub struct OverrideRequest {
     /// Where.
     pub slot: Slot,
     /// To what, where the slot is one of a weight.
@@ -84,11 +84,11 @@
 
 /// What is in force: all that decisions need to know.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Forces {
+pub struct ActiveOverrides {
     /// Workers whose share is multiplied.
     pub weights: Vec<(Name, f64)>,
     /// Workers that get nothing new.
-    pub out: Vec<Name>,
+    pub out_of_service: Vec<Name>,
     /// Pins, one for each class and tenant.
     pub pins: Vec<Pin>,
 }
@@ -99,11 +99,11 @@
     /// It decides.
     InForce,
     /// It would, but the list has no such worker; a pin falls back to the ordinary path.
-    NoSuchWorker,
+    UnknownWorker,
     /// A pin to a worker that another override keeps out of service: it falls back to the ordinary path.
-    WorkerOut,
+    WorkerOutOfService,
     /// A later one has replaced it, for good.
-    Beaten {
+    Superseded {
         /// The id of that one.
         id: String,
         /// Who set that.
@@ -115,7 +115,7 @@
 
 /// An override as it is shown.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct OverrideEntry {
     /// What was set.
     pub record: Arc<Record>,
     /// How it stands.
@@ -130,7 +130,7 @@
     /// Latest first; never empty.
     slots: BTreeMap<Slot, Vec<Arc<Record>>>,
     /// All of them by fingerprint, for digests.
-    prints: BTreeMap<u64, Arc<Record>>,
+    by_fingerprint: BTreeMap<u64, Arc<Record>>,
     /// Nothing that is remembered was written before.
     oldest: Millis,
     revision: u64,
@@ -138,13 +138,13 @@
 
 impl Table {
     /// An empty table of the dispatcher of that name. `longest` bounds what is set here; it is cut to
-    /// [`HARD_LONGEST`].
+    /// [`MAX_OVERRIDE_DURATION`].
     pub fn new(origin: &str, longest: Millis) -> Table {
         Table {
             clock: Clock::new(origin.into()),
-            longest: longest.min(HARD_LONGEST),
+            longest: longest.min(MAX_OVERRIDE_DURATION),
             slots: BTreeMap::new(),
-            prints: BTreeMap::new(),
+            by_fingerprint: BTreeMap::new(),
             oldest: Millis::MAX,
             revision: 0,
         }
@@ -166,17 +166,17 @@
     }
 
     /// Everything that is remembered, by fingerprint.
-    pub fn prints(&self) -> &BTreeMap<u64, Arc<Record>> {
-        &self.prints
+    pub fn by_fingerprint(&self) -> &BTreeMap<u64, Arc<Record>> {
+        &self.by_fingerprint
     }
 
     /// Sets an override.
     ///
     /// # Errors
     /// Names the field that can't be used; the table is as it was.
-    pub fn set(&mut self, order: Order, now: Millis) -> Result<Arc<Record>, Faulty> {
+    pub fn set(&mut self, order: OverrideRequest, now: Millis) -> Result<Arc<Record>, InvalidRequest> {
         self.purge(now);
-        let Order { slot, weight, until, by, why } = order;
+        let OverrideRequest { slot, weight, until, by, why } = order;
         check_name("worker", &slot.worker)?;
         if let Scope::Pinned { class, tenant } = &slot.scope {
             check_name("pin", class)?;
@@ -209,13 +209,19 @@
     ///
     /// # Errors
     /// There is no such override in force; the table is as it was.
-    pub fn clear(&mut self, id: &str, by: &str, why: &str, now: Millis) -> Result<Arc<Record>, Faulty> {
+    pub fn clear(
+        &mut self,
+        id: &str,
+        by: &str,
+        why: &str,
+        now: Millis,
+    ) -> Result<Arc<Record>, InvalidRequest> {
         self.purge(now);
         check_name("by", by)?;
         let Some(stamp) = Stamp::parse(id) else {
             return faulty("id", format!("{id:?} is not the id of an override"));
         };
-        let lasting = self.prints.values().filter(|r| r.stamp == stamp && r.lasts(now));
+        let lasting = self.by_fingerprint.values().filter(|r| r.stamp == stamp && r.is_live(now));
         let found: Vec<Arc<Record>> = lasting.cloned().collect();
         let record = match found.as_slice() {
             [] => return faulty("id", format!("no override {id} is known here; it may have ended")),
@@ -249,10 +255,10 @@
         by: &str,
         why: &str,
         now: Millis,
-    ) -> Result<Option<Arc<Record>>, Faulty> {
+    ) -> Result<Option<Arc<Record>>, InvalidRequest> {
         self.purge(now);
         check_name("by", by)?;
-        let top = self.slots.get(slot).and_then(|held| held.first()).filter(|r| r.lasts(now));
+        let top = self.slots.get(slot).and_then(|held| held.first()).filter(|r| r.is_live(now));
         let Some(until) = top.map(|record| record.until) else { return Ok(None) };
         self.write(slot.clone(), Effect::Clear, until, by.into(), why.into(), now).map(Some)
     }
@@ -265,7 +271,7 @@
         by: Name,
         why: Name,
         now: Millis,
-    ) -> Result<Arc<Record>, Faulty> {
+    ) -> Result<Arc<Record>, InvalidRequest> {
         if self.slots.len() >= MAX_SLOTS && !self.slots.contains_key(&slot) {
             return faulty(
                 "worker",
@@ -287,7 +293,7 @@
 
     /// Takes in a record from another dispatcher.
     pub fn merge(&mut self, record: Record, now: Millis) -> Merged {
-        if record.stamp.wall > now + FUTURE {
+        if record.stamp.wall > now + MAX_FUTURE_SKEW {
             return Merged::Future;
         }
         self.restore(record, now)
@@ -298,7 +304,9 @@
     pub fn restore(&mut self, record: Record, now: Millis) -> Merged {
         self.purge(now);
         let wall = record.stamp.wall;
-        if wall + KEPT <= now || record.until > wall.saturating_add(HARD_LONGEST + FUTURE) {
+        if wall + RETENTION <= now
+            || record.until > wall.saturating_add(MAX_OVERRIDE_DURATION + MAX_FUTURE_SKEW)
+        {
             return Merged::Stale;
         }
         if self.slots.len() >= MAX_SLOTS && !self.slots.contains_key(&record.slot) {
@@ -323,31 +331,31 @@
         held.insert(at, record.clone());
         let cleared = held.iter().position(|r| r.effect == Effect::Clear).map_or(usize::MAX, |at| at + 1);
         for gone in held.split_off(cleared.min(MAX_IN_SLOT).min(held.len())) {
-            self.prints.remove(&record_fingerprint(&gone));
+            self.by_fingerprint.remove(&record_fingerprint(&gone));
         }
         self.oldest = self.oldest.min(record.stamp.wall);
-        self.prints.insert(record_fingerprint(&record), record);
+        self.by_fingerprint.insert(record_fingerprint(&record), record);
         self.revision += 1;
         true
     }
 
     /// Forgets what was written so long ago that nothing it has replaced can still be in force.
     pub fn purge(&mut self, now: Millis) {
-        if self.oldest.saturating_add(KEPT) > now {
+        if self.oldest.saturating_add(RETENTION) > now {
             return;
         }
-        let old = |r: &Arc<Record>| r.stamp.wall + KEPT <= now;
-        self.prints.retain(|_, r| !old(r));
+        let old = |r: &Arc<Record>| r.stamp.wall + RETENTION <= now;
+        self.by_fingerprint.retain(|_, r| !old(r));
         self.slots.retain(|_, held| {
             held.retain(|r| !old(r));
             !held.is_empty()
         });
-        self.oldest = self.prints.values().map(|r| r.stamp.wall).min().unwrap_or(Millis::MAX);
+        self.oldest = self.by_fingerprint.values().map(|r| r.stamp.wall).min().unwrap_or(Millis::MAX);
         self.revision += 1;
     }
 
     fn tops(&self, now: Millis) -> impl Iterator<Item = &Arc<Record>> {
-        self.slots.values().filter_map(|held| held.first()).filter(move |r| r.lasts(now))
+        self.slots.values().filter_map(|held| held.first()).filter(move |r| r.is_live(now))
     }
 
     /// The pin that decides for its class and tenant: the latest, whatever its worker.
@@ -363,13 +371,13 @@
     }
 
     /// What is in force at this moment.
-    pub fn forces(&self, now: Millis) -> Forces {
-        let mut forces = Forces::default();
+    pub fn active(&self, now: Millis) -> ActiveOverrides {
+        let mut forces = ActiveOverrides::default();
         for record in self.tops(now) {
             let worker = record.slot.worker.clone();
             match (&record.slot.scope, record.effect) {
                 (Scope::Weight, Effect::Set(Some(weight))) => forces.weights.push((worker, weight.factor())),
-                (Scope::OutOfService, _) => forces.out.push(worker),
+                (Scope::OutOfService, _) => forces.out_of_service.push(worker),
                 _ => {}
             }
         }
@@ -384,19 +392,19 @@
     }
 
     /// When what is in force changes by itself next, if it does.
-    pub fn next_end(&self, now: Millis) -> Option<Millis> {
+    pub fn next_expiry(&self, now: Millis) -> Option<Millis> {
         self.tops(now).map(|r| r.until).min()
     }
 
     /// All overrides that have not ended or been cleared, beaten ones included, and how they stand. `listed`
     /// tells whether the list has a worker.
-    pub fn lines(&self, now: Millis, listed: impl Fn(&str) -> bool) -> Vec<Line> {
+    pub fn entries(&self, now: Millis, listed: impl Fn(&str) -> bool) -> Vec<OverrideEntry> {
         let pins = self.pins(now);
         let out = |worker: &Name| {
             let slot = Slot { worker: worker.clone(), scope: Scope::OutOfService };
-            self.slots.get(&slot).is_some_and(|held| held[0].lasts(now))
+            self.slots.get(&slot).is_some_and(|held| held[0].is_live(now))
         };
-        let beaten = |top: &Record| Standing::Beaten {
+        let beaten = |top: &Record| Standing::Superseded {
             id: top.stamp.to_string(),
             by: top.by.clone(),
             at: top.stamp.wall,
@@ -404,32 +412,32 @@
         let mut lines = Vec::new();
         for held in self.slots.values() {
             let top = &held[0];
-            for record in held.iter().filter(|r| r.lasts(now)) {
+            for record in held.iter().filter(|r| r.is_live(now)) {
                 let standing = match &record.slot.scope {
                     _ if record != top => beaten(top),
                     Scope::Pinned { class, tenant } if pins[&(class, tenant.as_ref())] != record => {
                         beaten(pins[&(class, tenant.as_ref())])
                     }
-                    _ if !listed(&record.slot.worker) => Standing::NoSuchWorker,
-                    Scope::Pinned { .. } if out(&record.slot.worker) => Standing::WorkerOut,
+                    _ if !listed(&record.slot.worker) => Standing::UnknownWorker,
+                    Scope::Pinned { .. } if out(&record.slot.worker) => Standing::WorkerOutOfService,
                     _ => Standing::InForce,
                 };
-                lines.push(Line { record: record.clone(), standing });
+                lines.push(OverrideEntry { record: record.clone(), standing });
             }
         }
         lines
     }
 }
 
-/// The digest of a record by which [`Table::prints`] has it.
+/// The digest of a record by which [`Table::by_fingerprint`] has it.
 pub fn record_fingerprint(record: &Record) -> u64 {
     fingerprint(&encode(record))
 }
 
-fn check_name(field: &'static str, name: &str) -> Result<(), Faulty> {
-    match (1..=LONGEST_NAME).contains(&name.len()) && !name.chars().any(char::is_control) {
+fn check_name(field: &'static str, name: &str) -> Result<(), InvalidRequest> {
+    match (1..=MAX_NAME_LEN).contains(&name.len()) && !name.chars().any(char::is_control) {
         true => Ok(()),
-        false => faulty(field, format!("{name:?} is not a name of 1 to {LONGEST_NAME} bytes")),
+        false => faulty(field, format!("{name:?} is not a name of 1 to {MAX_NAME_LEN} bytes")),
     }
 }
 
--- a/control/src/peers/datagram.rs
+++ b/control/src/peers/datagram.rs
@@ -24,7 +24,7 @@
 
 /// A datagram, opened or about to be sealed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sealed {
+pub struct Datagram {
     /// What the payload is.
     pub kind: u8,
     /// The sender's session.
@@ -41,14 +41,14 @@
 
 /// Why bytes are no datagram of ours.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unopened {
+pub enum OpenError {
     /// Too short, too long, or of another form or version.
     Malformed,
     /// The tag is wrong: another key, or somebody changed it.
     Unauthentic,
 }
 
-impl Sealed {
+impl Datagram {
     /// The bytes to send. A payload over [`MAX_PAYLOAD`] is the caller's fault and is cut.
     pub fn seal(&self, keys: &KeyRing) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(MAX_DATAGRAM);
@@ -65,17 +65,17 @@
     }
 
     /// Reads bytes that came, if they are authentic.
-    pub fn open(bytes: &[u8], keys: &KeyRing) -> Result<Sealed, Unopened> {
+    pub fn open(bytes: &[u8], keys: &KeyRing) -> Result<Datagram, OpenError> {
         if !(HEAD + TAG..=MAX_DATAGRAM).contains(&bytes.len()) || bytes[..2] != MAGIC {
-            return Err(Unopened::Malformed);
+            return Err(OpenError::Malformed);
         }
         let (said, tag) = bytes.split_at(bytes.len() - TAG);
-        if !keys.opens(said, tag.try_into().unwrap_or(&[0; TAG])) {
-            return Err(Unopened::Unauthentic);
+        if !keys.verifies(said, tag.try_into().unwrap_or(&[0; TAG])) {
+            return Err(OpenError::Unauthentic);
         }
         let number =
             |at: usize, length: usize| said[at..at + length].iter().fold(0, |n, b| n << 8 | u64::from(*b));
-        Ok(Sealed {
+        Ok(Datagram {
             kind: said[2],
             session: number(3, 8),
             echo: number(11, 8),
--- a/control/src/peers/gossip.rs
+++ b/control/src/peers/gossip.rs
@@ -11,7 +11,7 @@
 //! each new session of the peer, so nothing that was recorded before can be believed again. What is not
 //! believed changes nothing; an authentic one is answered with a greeting that tells the token, seldom.
 
-use super::datagram::{Sealed, Unopened, MAX_PAYLOAD};
+use super::datagram::{Datagram, OpenError, MAX_PAYLOAD};
 use super::keys::KeyRing;
 use super::replay::Window;
 use crate::discovery_report::DiscoveryReport;
@@ -119,7 +119,7 @@
     }
 
     fn sum(self, table: &Table) -> u64 {
-        table.prints().range(self.range()).fold(0, |sum, (print, _)| sum ^ print)
+        table.by_fingerprint().range(self.range()).fold(0, |sum, (print, _)| sum ^ print)
     }
 
     fn encode(self) -> Vec<u8> {
@@ -221,13 +221,13 @@
             self.counts.strangers += 1;
             return Vec::new();
         };
-        let datagram = match Sealed::open(bytes, &self.keys) {
+        let datagram = match Datagram::open(bytes, &self.keys) {
             Ok(datagram) => datagram,
-            Err(Unopened::Malformed) => {
+            Err(OpenError::Malformed) => {
                 self.counts.malformed += 1;
                 return Vec::new();
             }
-            Err(Unopened::Unauthentic) => {
+            Err(OpenError::Unauthentic) => {
                 self.counts.unauthentic += 1;
                 return Vec::new();
             }
@@ -270,7 +270,13 @@
     }
 
     /// Does what a believed datagram asks for; `None` if it can't be read.
-    fn act(&mut self, now: Millis, at: usize, datagram: &Sealed, table: &mut Table) -> Option<Vec<Outgoing>> {
+    fn act(
+        &mut self,
+        now: Millis,
+        at: usize,
+        datagram: &Datagram,
+        table: &mut Table,
+    ) -> Option<Vec<Outgoing>> {
         match datagram.kind {
             GREETING => Some(vec![self.digest(at, Bucket::ALL, table)]),
             RECORD => {
@@ -313,7 +319,7 @@
             if ours == theirs {
                 continue;
             }
-            let count = table.prints().range(child.range()).take(FEW + 1).count();
+            let count = table.by_fingerprint().range(child.range()).take(FEW + 1).count();
             if count <= FEW || child.depth == DEEPEST {
                 out.extend(self.records(at, child, table));
                 if theirs != 0 {
@@ -332,7 +338,7 @@
     }
 
     fn records(&mut self, at: usize, bucket: Bucket, table: &Table) -> Vec<Outgoing> {
-        let records = table.prints().range(bucket.range()).take(MAX_REPLIES);
+        let records = table.by_fingerprint().range(bucket.range()).take(MAX_REPLIES);
         let payloads: Vec<Vec<u8>> = records.map(|(_, record)| encode(record)).collect();
         payloads.into_iter().map(|payload| self.seal(at, RECORD, payload)).collect()
     }
@@ -354,7 +360,7 @@
         let peer = &mut self.peers[at];
         peer.sent = peer.sent.wrapping_add(1).max(1);
         let (session, echo, demand, number) = (self.session, peer.echo, peer.demand, peer.sent);
-        let sealed = Sealed { kind, session, echo, demand, number, payload };
+        let sealed = Datagram { kind, session, echo, demand, number, payload };
         self.counts.sent += 1;
         (peer.addr, sealed.seal(&self.keys))
     }
--- a/control/src/peers/keys.rs
+++ b/control/src/peers/keys.rs
@@ -4,7 +4,7 @@
 
 /// A key file that can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum BadKeys {
+pub enum KeyFileError {
     /// A line is no key.
     #[error("line {0} is not a key: 64 hexadecimal digits are one")]
     Line(usize),
@@ -38,20 +38,20 @@
     ///
     /// # Errors
     /// Says which line can't be used, never what it holds.
-    pub fn parse(text: &str) -> Result<KeyRing, BadKeys> {
+    pub fn parse(text: &str) -> Result<KeyRing, KeyFileError> {
         let mut keys = Vec::new();
         for (at, line) in text.lines().enumerate() {
             let line = line.trim();
             if !line.is_empty() && !line.starts_with('#') {
-                let key = blake3::Hash::from_hex(line).map_err(|_| BadKeys::Line(at + 1))?;
+                let key = blake3::Hash::from_hex(line).map_err(|_| KeyFileError::Line(at + 1))?;
                 keys.push(*key.as_bytes());
             }
         }
         match keys.len() {
-            0 => Err(BadKeys::None),
-            2 if keys[0] == keys[1] => Err(BadKeys::Twice),
+            0 => Err(KeyFileError::None),
+            2 if keys[0] == keys[1] => Err(KeyFileError::Twice),
             1 | 2 => Ok(KeyRing(keys)),
-            more => Err(BadKeys::TooMany(more)),
+            more => Err(KeyFileError::TooMany(more)),
         }
     }
 
@@ -61,13 +61,13 @@
     }
 
     /// What `act` makes of the one key under which a tag is that of the bytes; of the first, where it is none's.
-    pub fn either<T>(&self, bytes: &[u8], sent: &[u8; 16], act: impl Fn(&KeyRing) -> T) -> T {
+    pub fn with_matching_key<T>(&self, bytes: &[u8], sent: &[u8; 16], act: impl Fn(&KeyRing) -> T) -> T {
         let mut alone = self.0.iter().map(|key| KeyRing(vec![*key]));
-        act(&alone.find(|one| one.opens(bytes, sent)).unwrap_or_else(|| self.clone()))
+        act(&alone.find(|one| one.verifies(bytes, sent)).unwrap_or_else(|| self.clone()))
     }
 
     /// Whether a tag is that of the bytes under any key. Takes as long for a wrong tag as for a right one.
-    pub fn opens(&self, bytes: &[u8], sent: &[u8; 16]) -> bool {
+    pub fn verifies(&self, bytes: &[u8], sent: &[u8; 16]) -> bool {
         let widened = |tag: [u8; 16]| {
             let mut hash = [0; 32];
             hash[..16].copy_from_slice(&tag);
@@ -94,13 +94,13 @@
         let two = KeyRing::parse(&format!("{a}\n{b}")).expect("two keys");
         let first = KeyRing::parse(&a).expect("a key");
         let second = KeyRing::parse(&b).expect("a key");
-        assert!(two.opens(b"x", &first.seal(b"x")) && two.opens(b"x", &second.seal(b"x")));
-        assert!(first.opens(b"x", &two.seal(b"x")) && !second.opens(b"x", &two.seal(b"x")));
-        assert!(!two.opens(b"y", &first.seal(b"x")));
-        assert_eq!(KeyRing::parse("# none\n").unwrap_err(), BadKeys::None);
-        assert_eq!(KeyRing::parse(&format!("{a}\n{a}")).unwrap_err(), BadKeys::Twice);
-        assert_eq!(KeyRing::parse(&format!("{a}\n{b}\n{c}")).unwrap_err(), BadKeys::TooMany(3));
-        assert_eq!(KeyRing::parse(&format!("{a}\nsecret")).unwrap_err(), BadKeys::Line(2));
+        assert!(two.verifies(b"x", &first.seal(b"x")) && two.verifies(b"x", &second.seal(b"x")));
+        assert!(first.verifies(b"x", &two.seal(b"x")) && !second.verifies(b"x", &two.seal(b"x")));
+        assert!(!two.verifies(b"y", &first.seal(b"x")));
+        assert_eq!(KeyRing::parse("# none\n").unwrap_err(), KeyFileError::None);
+        assert_eq!(KeyRing::parse(&format!("{a}\n{a}")).unwrap_err(), KeyFileError::Twice);
+        assert_eq!(KeyRing::parse(&format!("{a}\n{b}\n{c}")).unwrap_err(), KeyFileError::TooMany(3));
+        assert_eq!(KeyRing::parse(&format!("{a}\nsecret")).unwrap_err(), KeyFileError::Line(2));
         assert_eq!(format!("{two:?}"), "KeyRing(2 keys)");
     }
 }
--- a/control/src/peers/mod.rs
+++ b/control/src/peers/mod.rs
@@ -8,6 +8,6 @@
 mod keys;
 mod replay;
 
-pub use datagram::{Sealed, MAX_DATAGRAM, MAX_PAYLOAD};
+pub use datagram::{Datagram, MAX_DATAGRAM, MAX_PAYLOAD};
 pub use gossip::{Counts, Gossip, Outgoing};
-pub use keys::{BadKeys, KeyRing};
+pub use keys::{KeyFileError, KeyRing};
--- a/control/src/service_time.rs
+++ b/control/src/service_time.rs
@@ -11,19 +11,19 @@
 
 /// What one dispatcher knows of the cost of a turn.
 #[derive(Clone, Copy, Debug)]
-pub struct TurnEstimate {
+pub struct ServiceTimeEstimate {
     dispatchers: u32,
     shortest_call: Option<Millis>,
 }
 
-impl TurnEstimate {
+impl ServiceTimeEstimate {
     /// Nothing is known yet of a discovery that so many dispatchers share.
-    pub fn of_tier(dispatchers: u32) -> Self {
-        TurnEstimate { dispatchers, shortest_call: None }
+    pub fn for_tier(dispatchers: u32) -> Self {
+        ServiceTimeEstimate { dispatchers, shortest_call: None }
     }
 
     /// A call that did not wait for news was answered after so long.
-    pub fn answered_after(&mut self, took: Millis) {
+    pub fn record(&mut self, took: Millis) {
         self.shortest_call = Some(self.shortest_call.map_or(took, |shortest| shortest.min(took)));
     }
 
@@ -33,7 +33,7 @@
     }
 
     /// How long discovery needs at most to answer the whole tier once; `None`: nothing is known.
-    pub fn whole_tier(&self) -> Option<Millis> {
+    pub fn full_tier_time(&self) -> Option<Millis> {
         self.shortest_call.map(|turn| turn.saturating_mul(self.dispatchers.into()))
     }
 }
--- a/control/src/watch.rs
+++ b/control/src/watch.rs
@@ -14,9 +14,9 @@
 //!
 //! # The bound
 //!
-//! A change counts as told [`TOLD_AFTER`] after discovery had it and could be reached, whatever became of the calls before.
+//! A change counts as told [`PROPAGATION_BOUND`] after discovery had it and could be reached, whatever became of the calls before.
 //! A dispatcher is without a call for [`MAX_RETRY_DELAY`] at most. What is left is for the call's turn at discovery. So the
-//! bound holds while the new watches of the whole tier take two thirds of [`TOLD_AFTER`] together; beyond that no
+//! bound holds while the new watches of the whole tier take two thirds of [`PROPAGATION_BOUND`] together; beyond that no
 //! schedule of single calls can keep it, and the list stops being valid instead ([`crate::list_status`]).
 
 use crate::call_failure::CallFailure;
@@ -26,10 +26,10 @@
 
 /// A change counts as told so long after discovery had it and could be reached. The platform's protocol page has this
 /// figure; no setting holds it.
-pub const TOLD_AFTER: Millis = 6000;
-/// The longest wait before a call is made again that failed: a third of [`TOLD_AFTER`]. Another third is for a call that
+pub const PROPAGATION_BOUND: Millis = 6000;
+/// The longest wait before a call is made again that failed: a third of [`PROPAGATION_BOUND`]. Another third is for a call that
 /// discovery holds until its patience ends while it comes back, and one for the turn of the call made again.
-pub const MAX_RETRY_DELAY: Millis = TOLD_AFTER / 3;
+pub const MAX_RETRY_DELAY: Millis = PROPAGATION_BOUND / 3;
 /// Time that a tier whose watches were ended leaves discovery for each dispatcher's new one. No setting tells how long
 /// one takes: 3 to 200 ms were seen, the longer ones in smaller tiers.
 const ENDED_WATCH: Millis = 40;
@@ -107,7 +107,7 @@
     }
 
     /// A call came to nothing; when to ask for the list again, unless the module has to say.
-    pub fn call_again_after(&mut self, failed: FailedCall) -> Option<Millis> {
+    pub fn retry_delay(&mut self, failed: FailedCall) -> Option<Millis> {
         if failed.failure == CallFailure::NotMade {
             // It cost discovery nothing.
             return Some(self.rng.random_range(NOT_MADE_DELAY / 2..=NOT_MADE_DELAY));
@@ -131,7 +131,7 @@
 
     /// Whether the next call is to take a turn at discovery in place of carrying the watch on, so that its cost is known from a
     /// quiet time too. `turn_seems_long`: what is known of it says that a crowd outlasts the bound. Asked once for each answer.
-    pub fn takes_turn_anew(&mut self, turn_seems_long: bool) -> bool {
+    pub fn should_measure_service_time(&mut self, turn_seems_long: bool) -> bool {
         if !turn_seems_long || self.turns_taken >= TURNS_TAKEN_ANEW {
             self.renewals_left = None;
             return false;
@@ -148,7 +148,7 @@
 
     /// How long a call that does not wait for news may stand without an answer. It grows with those that came to none: the
     /// queue may be longer than that.
-    pub fn patience(&self) -> Millis {
+    pub fn answer_timeout(&self) -> Millis {
         let doublings = self.silent_calls.min(PATIENCE.1.ilog2());
         (PATIENCE.0 << doublings).min(PATIENCE.1)
     }
--- a/control/tests/cluster.rs
+++ b/control/tests/cluster.rs
@@ -2,7 +2,9 @@
 //! the same run.
 
 use lineroute_control::discovery_report::DiscoveryReport;
-use lineroute_control::overrides::{Forces, Line, Order, Record, Scope, Slot, Table};
+use lineroute_control::overrides::{
+    ActiveOverrides, OverrideEntry, OverrideRequest, Record, Scope, Slot, Table,
+};
 use lineroute_control::peers::{Gossip, KeyRing, Outgoing};
 use lineroute_control::Millis;
 use rand::rngs::StdRng;
@@ -129,8 +131,13 @@
     fn set(&mut self, at: usize, worker: &str, weight: f64, span: Millis) -> Arc<Record> {
         let now = self.clock(at);
         let slot = Slot { worker: worker.into(), scope: Scope::Weight };
-        let order =
-            Order { slot, weight: Some(weight), until: now + span, by: "ama".into(), why: "test".into() };
+        let order = OverrideRequest {
+            slot,
+            weight: Some(weight),
+            until: now + span,
+            by: "ama".into(),
+            why: "test".into(),
+        };
         let Node { table, gossip, .. } = &mut self.nodes[at];
         let record = table.set(order, now).expect("set");
         let out = gossip.announce(&record);
@@ -146,26 +153,26 @@
         self.post(at, out);
     }
 
-    fn forces(&self, at: usize) -> Forces {
-        self.nodes[at].table.forces(self.clock(at))
+    fn active(&self, at: usize) -> ActiveOverrides {
+        self.nodes[at].table.active(self.clock(at))
     }
 
-    fn lines(&self, at: usize) -> Vec<Line> {
-        self.nodes[at].table.lines(self.clock(at), |_| true)
+    fn entries(&self, at: usize) -> Vec<OverrideEntry> {
+        self.nodes[at].table.entries(self.clock(at), |_| true)
     }
 
     /// Asserts that all say the same, shown ones and those in force.
     fn agree(&self) {
         for at in 1..self.nodes.len() {
-            assert_eq!(self.forces(at), self.forces(0), "n{at}");
-            assert_eq!(self.lines(at), self.lines(0), "n{at}");
+            assert_eq!(self.active(at), self.active(0), "n{at}");
+            assert_eq!(self.entries(at), self.entries(0), "n{at}");
         }
     }
 
     /// Rounds until all hold the same, in milliseconds.
     fn until_agreed(&mut self, limit: Millis) -> Millis {
         let start = self.now;
-        while (1..self.nodes.len()).any(|at| self.forces(at) != self.forces(0)) {
+        while (1..self.nodes.len()).any(|at| self.active(at) != self.active(0)) {
             assert!(self.now - start < limit, "not agreed after {limit} ms");
             self.run(10);
         }
@@ -194,12 +201,12 @@
         cluster.set(0, "w", 0.5, HOUR);
         cluster.set(1, "w", 2.0, HOUR);
         cluster.run(3000);
-        assert_ne!(cluster.forces(0), cluster.forces(1));
+        assert_ne!(cluster.active(0), cluster.active(1));
         cluster.groups = vec![0, 0, 0];
         cluster.run(4000);
         cluster.agree();
-        assert_eq!(cluster.forces(2).weights.len(), 1);
-        assert_eq!(cluster.lines(2).len(), 2, "the beaten one is shown, also where nothing was set");
+        assert_eq!(cluster.active(2).weights.len(), 1);
+        assert_eq!(cluster.entries(2).len(), 2, "the beaten one is shown, also where nothing was set");
     }
 }
 
@@ -214,11 +221,11 @@
         cluster.groups = vec![0, 0, 1];
         cluster.clear(1, &set.stamp.to_string());
         cluster.run(2000);
-        assert_eq!(cluster.forces(2).weights.len(), 1);
+        assert_eq!(cluster.active(2).weights.len(), 1);
         cluster.groups = vec![0; 3];
         cluster.run(3000);
         cluster.agree();
-        assert_eq!(cluster.forces(2), Forces::default());
+        assert_eq!(cluster.active(2), ActiveOverrides::default());
     }
 }
 
@@ -232,11 +239,14 @@
     cluster.nodes[0].up = false;
     cluster.restart(1);
     cluster.run(2500);
-    assert_eq!(cluster.forces(1).weights, [("w".into(), 0.5)]);
+    assert_eq!(cluster.active(1).weights, [("w".into(), 0.5)]);
     cluster.run(HOUR - 4500);
-    assert_eq!(cluster.forces(1).weights.len(), 1);
+    assert_eq!(cluster.active(1).weights.len(), 1);
     cluster.run(1000);
-    assert_eq!((cluster.forces(1), cluster.forces(2)), (Forces::default(), Forces::default()));
+    assert_eq!(
+        (cluster.active(1), cluster.active(2)),
+        (ActiveOverrides::default(), ActiveOverrides::default())
+    );
 }
 
 #[test]
@@ -249,18 +259,19 @@
     cluster.run(2000);
     // Written later, by a clock that is 800 ms behind the first writer's.
     cluster.set(2, "w", 4.0, 10_000);
-    let until = cluster.lines(2)[0].record.until;
+    let until = cluster.entries(2)[0].record.until;
     cluster.run(2000);
     cluster.agree();
-    assert_eq!(cluster.forces(0).weights, [("w".into(), 4.0)]);
+    assert_eq!(cluster.active(0).weights, [("w".into(), 4.0)]);
     assert!(until > end);
     while cluster.now < until + 1000 {
         cluster.run(100);
         if cluster.now < until - 1000 {
-            (0..3).for_each(|at| assert_eq!(cluster.forces(at).weights.len(), 1, "n{at} ended early"));
+            (0..3).for_each(|at| assert_eq!(cluster.active(at).weights.len(), 1, "n{at} ended early"));
         }
     }
-    (0..3).for_each(|at| assert_eq!(cluster.forces(at), Forces::default(), "n{at} at its end + 1 s"));
+    (0..3)
+        .for_each(|at| assert_eq!(cluster.active(at), ActiveOverrides::default(), "n{at} at its end + 1 s"));
 }
 
 #[test]
@@ -300,7 +311,7 @@
     for (to, from, bytes) in &recorded {
         cluster.deliver(*to, *from, bytes);
     }
-    assert_eq!((cluster.nodes[1].gossip.counts().taken, cluster.forces(1)), (0, Forces::default()));
+    assert_eq!((cluster.nodes[1].gossip.counts().taken, cluster.active(1)), (0, ActiveOverrides::default()));
     // Changed in any one place, cut anywhere, lengthened, from elsewhere, or under another key.
     let (_, from, whole) = recorded.iter().max_by_key(|r| r.2.len()).expect("some").clone();
     for at in 0..whole.len() {
@@ -336,7 +347,10 @@
     cluster.run(2000);
     let taken = cluster.nodes[1].gossip.counts().taken;
     held_back.iter().for_each(|(to, from, bytes)| cluster.deliver(*to, *from, bytes));
-    assert_eq!((cluster.nodes[1].gossip.counts().taken, cluster.forces(1)), (taken, Forces::default()));
+    assert_eq!(
+        (cluster.nodes[1].gossip.counts().taken, cluster.active(1)),
+        (taken, ActiveOverrides::default())
+    );
 }
 
 #[test]
--- a/control/tests/discovery_report.rs
+++ b/control/tests/discovery_report.rs
@@ -30,7 +30,7 @@
             now += gap;
             if members[member].answered(now, report) {
                 sent += 1;
-                members.iter_mut().for_each(|other| other.heard(now, report));
+                members.iter_mut().for_each(|other| other.peer_reported(now, report));
             }
         }
         prop_assert!(sent <= 1 + now / REPORT_GAP);
@@ -43,7 +43,7 @@
     assert!(schedule.answered(0, DiscoveryReport { version: 1 }));
     assert!(!schedule.answered(1, DiscoveryReport { version: 1 }));
     assert!(schedule.answered(2, DiscoveryReport { version: 2 }));
-    schedule.heard(3, DiscoveryReport { version: 5 });
+    schedule.peer_reported(3, DiscoveryReport { version: 5 });
     assert!(!schedule.answered(4, DiscoveryReport { version: 4 }));
     assert!(schedule.answered(3 + REPORT_GAP, DiscoveryReport { version: 4 }));
 }
--- a/control/tests/list_status.rs
+++ b/control/tests/list_status.rs
@@ -2,7 +2,8 @@
 
 use lineroute_control::call_failure::CallFailure;
 use lineroute_control::list_status::{
-    ListState, ListStatus, CROWDED_FOR, MOVED_FOR, SILENT_WATCH, TOLD_TO_PEER_FOR, UNTOLD_FOR,
+    ListState, ListStatus, CONGESTION_EVIDENCE_TTL, NEWER_LIST_VALIDITY, UNCONFIRMED_VALIDITY,
+    VALIDITY_AFTER_MOVE, WATCH_SILENCE_GRACE,
 };
 use proptest::prelude::*;
 use rstest::rstest;
@@ -11,7 +12,7 @@
 
 #[test]
 fn a_list_of_unknown_age_is_not_valid_until_discovery_answers() {
-    let mut status = ListStatus::asked();
+    let mut status = ListStatus::polled();
     for failure in [
         CallFailure::Unreachable,
         CallFailure::TurnedAway,
@@ -28,22 +29,22 @@
 
 #[test]
 fn a_confirmed_list_expires_where_no_watch_follows() {
-    let mut status = ListStatus::asked();
+    let mut status = ListStatus::polled();
     status.answered(100);
-    assert_eq!(status.at(100 + UNTOLD_FOR - 1), ListState::Confirmed);
-    assert_eq!(status.at(100 + UNTOLD_FOR), ListState::Expired);
+    assert_eq!(status.at(100 + UNCONFIRMED_VALIDITY - 1), ListState::Confirmed);
+    assert_eq!(status.at(100 + UNCONFIRMED_VALIDITY), ListState::Expired);
 }
 
 /// The incident's class: what is not known of discovery must not keep a list valid.
 #[test]
 fn calls_that_could_not_be_made_confirm_nothing() {
-    let mut status = ListStatus::asked();
+    let mut status = ListStatus::polled();
     status.answered(0);
-    for now in (200..UNTOLD_FOR).step_by(200) {
+    for now in (200..UNCONFIRMED_VALIDITY).step_by(200) {
         status.failed(now, CallFailure::NotMade);
         assert_eq!(status.at(now), ListState::Confirmed);
     }
-    assert_eq!(status.at(UNTOLD_FOR), ListState::Expired);
+    assert_eq!(status.at(UNCONFIRMED_VALIDITY), ListState::Expired);
 }
 
 /// What an agent has counts as told at once: while it can't be called, sends end with the grace.
@@ -62,55 +63,55 @@
 
 #[test]
 fn a_watch_is_believed_until_it_must_have_fallen_silent() {
-    let mut status = ListStatus::asked();
+    let mut status = ListStatus::polled();
     status.answered(0);
-    status.watch_began(0, 20_000);
-    assert_eq!(status.at(20_000 + SILENT_WATCH - 1), ListState::Watched);
-    assert_eq!(status.at(20_000 + SILENT_WATCH), ListState::Expired);
+    status.watch_started(0, 20_000);
+    assert_eq!(status.at(20_000 + WATCH_SILENCE_GRACE - 1), ListState::Watched);
+    assert_eq!(status.at(20_000 + WATCH_SILENCE_GRACE), ListState::Expired);
     // Silence adds nothing to it.
     status.failed(21_500, CallFailure::Silent);
-    assert_eq!(status.at(20_000 + SILENT_WATCH), ListState::Expired);
+    assert_eq!(status.at(20_000 + WATCH_SILENCE_GRACE), ListState::Expired);
 }
 
 #[test]
 fn a_short_watch_does_not_shorten_the_time_of_the_answer() {
-    let mut status = ListStatus::asked();
+    let mut status = ListStatus::polled();
     status.answered(0);
-    status.watch_began(0, 100);
-    assert_eq!(status.at(UNTOLD_FOR - 1), ListState::Watched);
+    status.watch_started(0, 100);
+    assert_eq!(status.at(UNCONFIRMED_VALIDITY - 1), ListState::Watched);
 }
 
 #[test]
 fn a_list_is_valid_while_discovery_turns_calls_away_and_ends_when_it_falls_silent() {
-    let mut status = ListStatus::asked();
+    let mut status = ListStatus::polled();
     status.answered(0);
-    status.watch_began(0, 20_000);
+    status.watch_started(0, 20_000);
     status.failed(5000, CallFailure::Unreachable);
     assert_eq!(status.at(5000), ListState::Unreachable);
     status.failed(9000, CallFailure::Unreachable);
     status.failed(12_000, CallFailure::Silent);
-    assert_eq!(status.at(9000 + UNTOLD_FOR - 1), ListState::Confirmed);
-    assert_eq!(status.at(9000 + UNTOLD_FOR), ListState::Expired);
+    assert_eq!(status.at(9000 + UNCONFIRMED_VALIDITY - 1), ListState::Confirmed);
+    assert_eq!(status.at(9000 + UNCONFIRMED_VALIDITY), ListState::Expired);
 }
 
 #[test]
 fn what_has_expired_stays_so_until_an_answer() {
-    let mut status = ListStatus::asked();
+    let mut status = ListStatus::polled();
     status.answered(0);
-    status.failed(UNTOLD_FOR, CallFailure::Unreachable);
-    assert_eq!(status.at(UNTOLD_FOR), ListState::Expired);
-    status.answered(UNTOLD_FOR + 1);
-    assert_eq!(status.at(UNTOLD_FOR + 1), ListState::Confirmed);
+    status.failed(UNCONFIRMED_VALIDITY, CallFailure::Unreachable);
+    assert_eq!(status.at(UNCONFIRMED_VALIDITY), ListState::Expired);
+    status.answered(UNCONFIRMED_VALIDITY + 1);
+    assert_eq!(status.at(UNCONFIRMED_VALIDITY + 1), ListState::Confirmed);
 }
 
 #[test]
 fn a_move_leaves_the_list_a_short_time() {
-    let mut status = ListStatus::asked();
+    let mut status = ListStatus::polled();
     status.answered(0);
-    status.watch_began(0, 20_000);
+    status.watch_started(0, 20_000);
     status.moved(1000);
-    assert_eq!(status.at(1000 + MOVED_FOR - 1), ListState::Confirmed);
-    assert_eq!(status.at(1000 + MOVED_FOR), ListState::Expired);
+    assert_eq!(status.at(1000 + VALIDITY_AFTER_MOVE - 1), ListState::Confirmed);
+    assert_eq!(status.at(1000 + VALIDITY_AFTER_MOVE), ListState::Expired);
 }
 
 #[test]
@@ -136,7 +137,7 @@
 /// As an outage shows where nobody reports anything: the list lasts for as long as refusals come.
 #[test]
 fn a_list_is_valid_while_calls_are_turned_away_and_no_peer_is_answered() {
-    let mut status = ListStatus::asked();
+    let mut status = ListStatus::polled();
     status.answered(0);
     for now in (2000..60_000).step_by(2000) {
         assert!(status.at(now).is_valid());
@@ -148,62 +149,62 @@
 /// Discovery is back, and answers others: what it turns away then is a crowd.
 #[test]
 fn calls_turned_away_while_peers_are_answered_confirm_nothing() {
-    let mut status = ListStatus::asked();
+    let mut status = ListStatus::polled();
     status.answered(0);
     status.failed(2000, CallFailure::TurnedAway);
     for now in (2500..8000).step_by(500) {
         assert!(!status.peer_answered(now, now, false), "nothing is newer");
         status.failed(now + 400, CallFailure::TurnedAway);
-        assert_eq!(status.at(now).is_valid(), now < 2000 + UNTOLD_FOR, "{now}");
+        assert_eq!(status.at(now).is_valid(), now < 2000 + UNCONFIRMED_VALIDITY, "{now}");
     }
-    assert_eq!(status.at(2000 + UNTOLD_FOR), ListState::Expired);
+    assert_eq!(status.at(2000 + UNCONFIRMED_VALIDITY), ListState::Expired);
 }
 
 #[test]
 fn what_a_peer_was_told_ends_the_list_sooner() {
-    let mut status = ListStatus::asked();
+    let mut status = ListStatus::polled();
     status.answered(0);
     status.failed(5000, CallFailure::TurnedAway);
     assert!(status.peer_answered(5500, 5500, true));
     assert!(!status.peer_answered(5700, 5700, true), "the first report counts");
-    assert!(status.at(5500 + TOLD_TO_PEER_FOR - 1).is_valid());
-    assert_eq!(status.at(5500 + TOLD_TO_PEER_FOR), ListState::Expired);
+    assert!(status.at(5500 + NEWER_LIST_VALIDITY - 1).is_valid());
+    assert_eq!(status.at(5500 + NEWER_LIST_VALIDITY), ListState::Expired);
     status.answered(11_000);
-    assert!(status.at(11_000 + UNTOLD_FOR - 1).is_valid());
+    assert!(status.at(11_000 + UNCONFIRMED_VALIDITY - 1).is_valid());
 }
 
 /// The process stood still: what a peer was told counts from when the report may have come.
 #[test]
 fn a_report_that_stood_unread_counts_from_when_it_came() {
-    let mut status = ListStatus::asked();
+    let mut status = ListStatus::polled();
     status.answered(0);
     status.failed(5000, CallFailure::TurnedAway);
     assert!(status.peer_answered(8000, 5100, true));
-    assert_eq!(status.at(5100 + TOLD_TO_PEER_FOR), ListState::Expired);
+    assert_eq!(status.at(5100 + NEWER_LIST_VALIDITY), ListState::Expired);
     // A refusal that is read behind it is held to be of the same crowd, whenever it came.
     status.failed(5200, CallFailure::TurnedAway);
-    assert_eq!(status.at(5100 + TOLD_TO_PEER_FOR), ListState::Expired);
+    assert_eq!(status.at(5100 + NEWER_LIST_VALIDITY), ListState::Expired);
 }
 
 /// A partition that cuts this dispatcher off from discovery, and not from peers; a watch; an agent.
 #[test]
 fn reports_of_peers_change_nothing_where_calls_are_not_turned_away() {
-    let mut cut_off = ListStatus::asked();
+    let mut cut_off = ListStatus::polled();
     cut_off.answered(0);
     cut_off.failed(2000, CallFailure::Unreachable);
     assert!(!cut_off.peer_answered(2100, 2100, true));
     cut_off.failed(4000, CallFailure::Unreachable);
-    assert!(cut_off.at(4000 + UNTOLD_FOR - 1).is_valid());
+    assert!(cut_off.at(4000 + UNCONFIRMED_VALIDITY - 1).is_valid());
 
-    let mut watched = ListStatus::asked();
+    let mut watched = ListStatus::polled();
     watched.answered(0);
-    watched.watch_began(0, 6000);
+    watched.watch_started(0, 6000);
     assert!(!watched.peer_answered(100, 100, true));
-    assert!(watched.at(6000 + SILENT_WATCH - 1).is_valid());
+    assert!(watched.at(6000 + WATCH_SILENCE_GRACE - 1).is_valid());
     // It is ended by a crowd: until then it would have told of a change.
     watched.peer_answered(6900, 6900, false);
     watched.failed(7000, CallFailure::TurnedAway);
-    assert!(watched.at(7000 + UNTOLD_FOR - 1).is_valid());
+    assert!(watched.at(7000 + UNCONFIRMED_VALIDITY - 1).is_valid());
 
     let mut pushed = ListStatus::pushed(DRAIN_GRACE);
     pushed.answered(0);
@@ -213,20 +214,20 @@
 
 #[test]
 fn an_outage_behind_a_report_is_one_again_when_the_report_is_old() {
-    let mut status = ListStatus::asked();
+    let mut status = ListStatus::polled();
     status.answered(0);
     status.peer_answered(100, 100, false);
-    status.failed(100 + CROWDED_FOR - 1, CallFailure::TurnedAway);
-    assert_eq!(status.at(100 + CROWDED_FOR - 1), ListState::Confirmed);
-    status.failed(100 + CROWDED_FOR, CallFailure::TurnedAway);
-    assert_eq!(status.at(100 + CROWDED_FOR), ListState::TurnedAway);
-    assert!(status.at(100 + CROWDED_FOR + UNTOLD_FOR - 1).is_valid());
+    status.failed(100 + CONGESTION_EVIDENCE_TTL - 1, CallFailure::TurnedAway);
+    assert_eq!(status.at(100 + CONGESTION_EVIDENCE_TTL - 1), ListState::Confirmed);
+    status.failed(100 + CONGESTION_EVIDENCE_TTL, CallFailure::TurnedAway);
+    assert_eq!(status.at(100 + CONGESTION_EVIDENCE_TTL), ListState::TurnedAway);
+    assert!(status.at(100 + CONGESTION_EVIDENCE_TTL + UNCONFIRMED_VALIDITY - 1).is_valid());
 }
 
 /// A list that was confirmed at 0 by one of so many dispatchers, whose calls that took a turn were as long as this.
 fn confirmed_by_one_of(dispatchers: u32, calls: &[u64]) -> ListStatus {
-    let mut status = ListStatus::asked_by_tier(dispatchers);
-    calls.iter().for_each(|took| status.took_turn(*took));
+    let mut status = ListStatus::polled_by_tier(dispatchers);
+    calls.iter().for_each(|took| status.record_service_time(*took));
     status.answered(0);
     status
 }
@@ -248,30 +249,30 @@
     let mut status = confirmed_by_one_of(dispatchers, calls);
     status.failed(2000, CallFailure::TurnedAway);
     status.failed(4000, CallFailure::TurnedAway);
-    assert!(status.at(UNTOLD_FOR - 1).is_valid());
-    assert_eq!(status.at(UNTOLD_FOR).is_valid(), stays_valid);
+    assert!(status.at(UNCONFIRMED_VALIDITY - 1).is_valid());
+    assert_eq!(status.at(UNCONFIRMED_VALIDITY).is_valid(), stays_valid);
     // Nobody is reached: that is an outage, whatever a turn costs, as long as the list was valid.
     let mut status = confirmed_by_one_of(dispatchers, calls);
     status.failed(4000, CallFailure::Unreachable);
-    assert!(status.at(4000 + UNTOLD_FOR - 1).is_valid());
+    assert!(status.at(4000 + UNCONFIRMED_VALIDITY - 1).is_valid());
 }
 
 #[test]
 fn a_watch_that_stood_until_it_was_turned_away_would_have_told_of_changes_by_then() {
     let mut status = confirmed_by_one_of(16, &[700]);
-    status.watch_began(10, 1000);
+    status.watch_started(10, 1000);
     status.failed(900, CallFailure::TurnedAway);
     status.failed(2900, CallFailure::TurnedAway);
-    assert!(status.at(900 + UNTOLD_FOR - 1).is_valid());
-    assert_eq!(status.at(900 + UNTOLD_FOR), ListState::Expired);
+    assert!(status.at(900 + UNCONFIRMED_VALIDITY - 1).is_valid());
+    assert_eq!(status.at(900 + UNCONFIRMED_VALIDITY), ListState::Expired);
 }
 
 #[test]
 fn where_peers_report_their_silence_tells_an_outage_from_a_crowd() {
     let mut status = confirmed_by_one_of(16, &[700]);
-    status.hears_peers();
+    status.expect_peer_reports();
     status.failed(4000, CallFailure::TurnedAway);
-    assert!(status.at(4000 + UNTOLD_FOR - 1).is_valid());
+    assert!(status.at(4000 + UNCONFIRMED_VALIDITY - 1).is_valid());
 }
 
 /// Something that happens to the calls, and how long after the one before.
@@ -284,7 +285,7 @@
     /// be reached, or the watch that follows an answer, allows.
     #[test]
     fn validity_is_bounded_by_evidence(steps in proptest::collection::vec(step(), 1..60)) {
-        let mut status = ListStatus::asked();
+        let mut status = ListStatus::polled();
         let (mut now, mut bound) = (0, 0);
         let (mut answered_at, mut reported_at, mut watched) = (None, None, false);
         for (after, what, wait) in steps {
@@ -293,33 +294,33 @@
             match what {
                 0 | 1 => {
                     status.answered(now);
-                    bound = now + UNTOLD_FOR;
+                    bound = now + UNCONFIRMED_VALIDITY;
                 }
                 2 => {
-                    status.watch_began(now, wait);
+                    status.watch_started(now, wait);
                     if answered_at.is_some_and(|at| now <= at + 200) {
                         watched = true;
-                        bound = bound.max(now + wait + SILENT_WATCH);
+                        bound = bound.max(now + wait + WATCH_SILENCE_GRACE);
                     }
                 }
                 3 => {
                     status.failed(now, CallFailure::Unreachable);
                     if was_valid {
-                        bound = now + UNTOLD_FOR;
+                        bound = now + UNCONFIRMED_VALIDITY;
                     }
                 }
                 4 => status.failed(now, CallFailure::Silent),
                 5 => status.failed(now, CallFailure::NotMade),
                 6 => {
                     status.failed(now, CallFailure::TurnedAway);
-                    let crowded = reported_at.is_some_and(|at| now < at + CROWDED_FOR);
+                    let crowded = reported_at.is_some_and(|at| now < at + CONGESTION_EVIDENCE_TTL);
                     if was_valid && (watched || !crowded) {
-                        bound = now + UNTOLD_FOR;
+                        bound = now + UNCONFIRMED_VALIDITY;
                     }
                 }
                 7 | 8 => {
                     if status.peer_answered(now, now, what == 8) {
-                        bound = bound.min(now + TOLD_TO_PEER_FOR);
+                        bound = bound.min(now + NEWER_LIST_VALIDITY);
                     }
                     reported_at = Some(now);
                 }
--- a/control/tests/load_gossip.rs
+++ b/control/tests/load_gossip.rs
@@ -7,18 +7,24 @@
 
 fn report(turn: u8, out: &[(&str, u8)]) -> LoadReport {
     let out = out.iter().map(|(name, out)| (Tag::of(name), *out)).collect();
-    LoadReport { purpose: Purpose::Tell, turn, zone: Tag::of("a"), out, refused: Vec::new() }
+    LoadReport {
+        purpose: Purpose::Report,
+        sequence: turn,
+        zone: Tag::of("a"),
+        in_flight: out,
+        refused: Vec::new(),
+    }
 }
 
 /// Jobs that others than the querier have at a worker.
 fn others(reported: &ReportedLoad, querier: u32, worker: &str, now: u64) -> u32 {
-    let picture = reported.picture(querier, now, |tag| tag == Tag::of(worker)).0;
+    let picture = reported.snapshot(querier, now, |tag| tag == Tag::of(worker)).0;
     picture.iter().map(|(_, out)| *out).sum()
 }
 
 #[test]
 fn a_report_reads_as_it_was_written() {
-    for purpose in [Purpose::Tell, Purpose::Ask, Purpose::Picture] {
+    for purpose in [Purpose::Report, Purpose::Query, Purpose::Snapshot] {
         let refused = vec![Tag::of("full")];
         let report = LoadReport { purpose, refused, ..report(7, &[("b", 200), ("a", 1)]) };
         assert_eq!(LoadReport::decode(&report.encode()), Some(report));
@@ -36,31 +42,31 @@
     all[499].1 = 9;
     let bytes = report(0, &all).encode();
     assert_eq!(bytes.len(), MAX_DATAGRAM);
-    assert_eq!(LoadReport::decode(&bytes).expect("a report").out[0], (Tag::of("w499"), 9));
+    assert_eq!(LoadReport::decode(&bytes).expect("a report").in_flight[0], (Tag::of("w499"), 9));
 }
 
 #[test]
 fn counts_add_up_without_those_of_who_asks_and_one_that_comes_twice_counts_once() {
     let mut reported = ReportedLoad::default();
-    reported.take(0, &report(1, &[("a", 2)]), 1000);
-    reported.take(1, &report(1, &[("a", 3)]), 1000);
-    reported.take(0, &report(1, &[("a", 2)]), 1010);
+    reported.apply(0, &report(1, &[("a", 2)]), 1000);
+    reported.apply(1, &report(1, &[("a", 3)]), 1000);
+    reported.apply(0, &report(1, &[("a", 2)]), 1010);
     assert_eq!([0, 1, 2].map(|querier| others(&reported, querier, "a", 1010)), [3, 2, 5]);
     // The next one says that nothing is out there any more.
-    reported.take(0, &report(2, &[]), 1020);
+    reported.apply(0, &report(2, &[]), 1020);
     assert_eq!(others(&reported, 2, "a", 1020), 3);
 }
 
 #[test]
 fn a_report_that_was_overtaken_is_left_out_and_one_that_stood_too_long_ends() {
     let mut reported = ReportedLoad::default();
-    reported.take(0, &report(0, &[]), 1000);
-    reported.take(0, &report(15, &[("a", 1)]), 1017);
+    reported.apply(0, &report(0, &[]), 1000);
+    reported.apply(0, &report(15, &[("a", 1)]), 1017);
     assert_eq!(others(&reported, 2, "a", 1017), 0, "sent before the other");
-    reported.take(0, &report(1, &[("a", 1)]), 1030);
-    reported.take(1, &report(1, &[]), 1030 + REPORT_TTL - 1);
+    reported.apply(0, &report(1, &[("a", 1)]), 1030);
+    reported.apply(1, &report(1, &[]), 1030 + REPORT_TTL - 1);
     assert_eq!(others(&reported, 2, "a", 1030 + REPORT_TTL - 1), 1);
-    reported.take(1, &report(2, &[]), 1030 + REPORT_TTL * 5 / 4);
+    reported.apply(1, &report(2, &[]), 1030 + REPORT_TTL * 5 / 4);
     assert_eq!(others(&reported, 2, "a", 1030 + REPORT_TTL * 5 / 4), 0, "its sender may be dead");
 }
 
@@ -68,15 +74,15 @@
 fn a_refusal_that_two_tell_of_is_passed_on_for_a_while() {
     let mut reported = ReportedLoad::default();
     let refusal = |turn| LoadReport { refused: vec![Tag::of("full")], ..report(turn, &[]) };
-    let refused = |reported: &ReportedLoad, now| reported.picture(5, now, |_| true).1;
+    let refused = |reported: &ReportedLoad, now| reported.snapshot(5, now, |_| true).1;
     for turn in 1..9 {
-        reported.take(0, &refusal(turn), 1000 + u64::from(turn) * 200);
+        reported.apply(0, &refusal(turn), 1000 + u64::from(turn) * 200);
         assert!(refused(&reported, 1000 + u64::from(turn) * 200).is_empty(), "one peer may be wrong");
     }
-    reported.take(1, &refusal(1), 3000);
+    reported.apply(1, &refusal(1), 3000);
     assert_eq!(refused(&reported, 6999), [Tag::of("full")]);
     assert!(refused(&reported, 7000).is_empty());
-    reported.take(1, &refusal(2), 8500);
+    reported.apply(1, &refusal(2), 8500);
     assert!(refused(&reported, 8500).is_empty(), "the other spoke too long ago");
 }
 
@@ -87,9 +93,9 @@
     for turn in 0..1000u32 {
         let name = format!("w{turn}");
         let lie = LoadReport { refused: vec![Tag::of(&name)], ..report((turn % 16) as u8, &[(&name, 254)]) };
-        reported.take(0, &lie, u64::from(turn) * 200 + 1);
+        reported.apply(0, &lie, u64::from(turn) * 200 + 1);
     }
-    let (out, refused) = reported.picture(1, 999 * 200 + 1, |_| true);
+    let (out, refused) = reported.snapshot(1, 999 * 200 + 1, |_| true);
     assert_eq!(out, [(Tag::of("w999"), 254)]);
     assert!(refused.len() < 10, "{refused:?}");
 }
@@ -115,15 +121,15 @@
     let receivers = aggregators.report_to(zone, 0);
     let first = aggregators.query(zone, 0).expect("a aggregator");
     assert_eq!((receivers.len(), receivers[0]), (2, first));
-    aggregators.was_silent(first, 100);
+    aggregators.timed_out(first, 100);
     let second = aggregators.query(zone, 101).expect("a aggregator");
     assert_eq!(second, receivers[1]);
-    aggregators.was_silent(second, 110);
+    aggregators.timed_out(second, 110);
     let third = aggregators.query(zone, 120).expect("a aggregator");
     assert!(!receivers.contains(&third));
     assert_eq!(aggregators.report_to(zone, 120), [first, second, third]);
     assert_eq!(aggregators.query(zone, 5000), Some(first));
-    aggregators.was_silent(first, 5000);
+    aggregators.timed_out(first, 5000);
     aggregators.answered(first, 4);
     assert_eq!(aggregators.query(zone, 5001), Some(first));
     assert_eq!(ZoneAggregators::new(0).query(zone, 0), None);
@@ -135,10 +141,14 @@
     for (took, least, most) in [(3, 11, 18), (20, 40, 55), (45, 90, 100)] {
         let mut aggregators = ZoneAggregators::new(50);
         (0..50).for_each(|_| aggregators.answered(1, took));
-        assert!((least..=most).contains(&aggregators.answer_wait()), "{took}: {}", aggregators.answer_wait());
+        assert!(
+            (least..=most).contains(&aggregators.answer_timeout()),
+            "{took}: {}",
+            aggregators.answer_timeout()
+        );
     }
     let mut aggregators = ZoneAggregators::new(50);
     (0..50).for_each(|_| aggregators.answered(1, 3));
-    (0..20).for_each(|i| aggregators.was_silent(2, i));
-    assert_eq!(aggregators.answer_wait(), 100, "answers may take longer than they did");
+    (0..20).for_each(|i| aggregators.timed_out(2, i));
+    assert_eq!(aggregators.answer_timeout(), 100, "answers may take longer than they did");
 }
--- a/control/tests/model.rs
+++ b/control/tests/model.rs
@@ -2,7 +2,7 @@
 //! record that is on its way may be delivered at any later moment, or never: that is loss, delay, reordering
 //! and duplication at once.
 
-use lineroute_control::overrides::{Effect, Forces, Order, Record, Scope, Slot, Table};
+use lineroute_control::overrides::{ActiveOverrides, Effect, OverrideRequest, Record, Scope, Slot, Table};
 use lineroute_control::Millis;
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
@@ -28,7 +28,7 @@
     /// What tells two states apart: the tables by what they remember.
     fn identity(&self) -> impl Hash + PartialEq + '_ {
         let held: Vec<Vec<&Arc<Record>>> =
-            self.tables.iter().map(|t| t.prints().values().collect()).collect();
+            self.tables.iter().map(|t| t.by_fingerprint().values().collect()).collect();
         (held, &self.written, self.now, self.sets, self.clears, self.restarts)
     }
 
@@ -85,13 +85,13 @@
                 actions.push(Step::Set(at));
             }
             for (record, written) in world.written.iter().enumerate() {
-                let lasts = written.lasts(world.now);
+                let lasts = written.is_live(world.now);
                 if world.clears < self.clears && lasts {
                     actions.push(Step::Clear(at, record));
                 }
                 actions.push(Step::Deliver { record, to: at });
             }
-            if world.restarts < self.restarts && !world.tables[at].prints().is_empty() {
+            if world.restarts < self.restarts && !world.tables[at].by_fingerprint().is_empty() {
                 actions.push(Step::Restart(at));
             }
         }
@@ -107,8 +107,13 @@
             Step::Set(at) => {
                 let slot = Slot { worker: "w".into(), scope: Scope::Weight };
                 let weight = Some(1.0 + f64::from(next.sets));
-                let order =
-                    Order { slot, weight, until: now + 2 * STEP, by: "ama".into(), why: "model".into() };
+                let order = OverrideRequest {
+                    slot,
+                    weight,
+                    until: now + 2 * STEP,
+                    by: "ama".into(),
+                    why: "model".into(),
+                };
                 let record = next.tables[at].set(order, now).ok()?;
                 next.written.push(record);
                 next.sets += 1;
@@ -141,8 +146,8 @@
                     for record in &world.written {
                         heard.merge((**record).clone(), world.now);
                     }
-                    let shown = |t: &Table| t.lines(world.now, |_| true);
-                    heard.forces(world.now) == all.forces(world.now) && shown(&heard) == shown(&all)
+                    let shown = |t: &Table| t.entries(world.now, |_| true);
+                    heard.active(world.now) == all.active(world.now) && shown(&heard) == shown(&all)
                 })
             }),
             Property::always(
@@ -150,14 +155,14 @@
                 |_, world: &World| {
                     world.tables.iter().all(|t| {
                         // The last that this dispatcher has heard of decides, or nothing does.
-                        let last = t.prints().values().max();
+                        let last = t.by_fingerprint().values().max();
                         let weight = last.filter(|r| world.now < r.until).and_then(|r| match r.effect {
                             Effect::Set(weight) => weight,
                             Effect::Clear => None,
                         });
-                        let forces = t.forces(world.now);
+                        let forces = t.active(world.now);
                         forces.weights.iter().map(|w| w.1).eq(weight.map(|w| w.factor()))
-                            && Forces { weights: Vec::new(), ..forces } == Forces::default()
+                            && ActiveOverrides { weights: Vec::new(), ..forces } == ActiveOverrides::default()
                     })
                 },
             ),
@@ -166,15 +171,17 @@
                 |_, world: &World| {
                     let clears = world.written.iter().filter(|r| r.effect == Effect::Clear);
                     clears.clone().all(|clear| {
-                        world.tables.iter().filter(|t| t.prints().values().any(|r| r == clear)).all(|t| {
-                            let shown = t.lines(world.now, |_| true);
-                            shown.iter().all(|l| l.record > *clear)
-                        })
+                        world.tables.iter().filter(|t| t.by_fingerprint().values().any(|r| r == clear)).all(
+                            |t| {
+                                let shown = t.entries(world.now, |_| true);
+                                shown.iter().all(|l| l.record > *clear)
+                            },
+                        )
                     })
                 },
             ),
             Property::sometimes("two dispatchers differ", |_, world: &World| {
-                world.tables[0].forces(world.now) != world.tables[1].forces(world.now)
+                world.tables[0].active(world.now) != world.tables[1].active(world.now)
             }),
             Property::sometimes("something ends by itself", |_, world: &World| {
                 world.now == LAST && world.written.len() > 1 && world.clears == 0
--- a/control/tests/override_log.rs
+++ b/control/tests/override_log.rs
@@ -1,6 +1,8 @@
 //! The log of overrides: whatever is torn, only the torn record is lost.
 
-use lineroute_control::overrides::{log_line, LogReader, Merged, Order, Record, Scope, Slot, Table};
+use lineroute_control::overrides::{
+    log_line, LogReader, Merged, OverrideRequest, Record, Scope, Slot, Table,
+};
 use proptest::prelude::*;
 use std::sync::Arc;
 
@@ -10,7 +12,8 @@
     let mut table = Table::new("n1", 3_600_000);
     let set = |number| {
         let slot = Slot { worker: format!("w{number}").as_str().into(), scope: Scope::OutOfService };
-        let order = Order { slot, weight: None, until: NOW + 60_000, by: "ama".into(), why: "test".into() };
+        let order =
+            OverrideRequest { slot, weight: None, until: NOW + 60_000, by: "ama".into(), why: "test".into() };
         table.set(order, NOW).expect("set")
     };
     (0..count).map(set).collect()
@@ -75,7 +78,7 @@
     assert_eq!(Table::new("n1", 3_600_000).merge(record.clone(), earlier), Merged::Future);
     let mut table = Table::new("n1", 3_600_000);
     assert_eq!(table.restore(record, earlier), Merged::New);
-    assert_eq!(table.forces(earlier).out.len(), 1);
+    assert_eq!(table.active(earlier).out_of_service.len(), 1);
 }
 
 /// Two processes of one dispatcher may give one stamp to two workers: each is cleared for itself.
@@ -84,7 +87,8 @@
     let set = |worker: &str| {
         let mut table = Table::new("n1", 3_600_000);
         let slot = Slot { worker: worker.into(), scope: Scope::OutOfService };
-        let order = Order { slot, weight: None, until: NOW + 60_000, by: "ama".into(), why: "test".into() };
+        let order =
+            OverrideRequest { slot, weight: None, until: NOW + 60_000, by: "ama".into(), why: "test".into() };
         (*table.set(order, NOW).expect("set")).clone()
     };
     let (first, second) = (set("w0"), set("w1"));
@@ -96,7 +100,7 @@
     assert_eq!(faulty.field, "id");
     let cleared = table.clear_slot(&second.slot, "ama", "test", NOW).expect("it can be cleared");
     assert!(cleared.is_some());
-    let out: Vec<String> = table.forces(NOW).out.iter().map(|worker| worker.to_string()).collect();
+    let out: Vec<String> = table.active(NOW).out_of_service.iter().map(|worker| worker.to_string()).collect();
     assert_eq!(out, ["w0"]);
     assert_eq!(table.clear_slot(&second.slot, "ama", "test", NOW), Ok(None));
 }
--- a/control/tests/service_time.rs
+++ b/control/tests/service_time.rs
@@ -8,7 +8,7 @@
 /// Behind which answers a turn is taken anew, where `seems_long` tells of each whether turns still seem long.
 fn turns_taken(seed: u64, seems_long: impl Fn(usize) -> bool) -> Vec<usize> {
     let mut schedule = WatchSchedule::new(300, seed);
-    (0..ANSWERS).filter(|answer| schedule.takes_turn_anew(seems_long(*answer))).collect()
+    (0..ANSWERS).filter(|answer| schedule.should_measure_service_time(seems_long(*answer))).collect()
 }
 
 #[test]
--- a/control/tests/table.rs
+++ b/control/tests/table.rs
@@ -1,8 +1,8 @@
 //! The table by itself: what is refused, what beats what, what is shown, and that the merge is one.
 
 use lineroute_control::overrides::{
-    Effect, Forces, Line, Merged, Order, Pin, Record, Scope, Slot, Stamp, Standing, Table, Weight, FUTURE,
-    HARD_LONGEST, KEPT, MAX_SLOTS,
+    ActiveOverrides, Effect, Merged, OverrideEntry, OverrideRequest, Pin, Record, Scope, Slot, Stamp,
+    Standing, Table, Weight, MAX_FUTURE_SKEW, MAX_OVERRIDE_DURATION, MAX_SLOTS, RETENTION,
 };
 use lineroute_control::Millis;
 use proptest::prelude::*;
@@ -11,16 +11,16 @@
 const NOW: Millis = 1_764_600_000_000;
 const HOUR: Millis = 3_600_000;
 
-fn order(worker: &str, scope: Scope, weight: Option<f64>, until: Millis) -> Order {
+fn order(worker: &str, scope: Scope, weight: Option<f64>, until: Millis) -> OverrideRequest {
     let slot = Slot { worker: worker.into(), scope };
-    Order { slot, weight, until, by: "ama".into(), why: "test".into() }
+    OverrideRequest { slot, weight, until, by: "ama".into(), why: "test".into() }
 }
 
-fn out(worker: &str, until: Millis) -> Order {
+fn out(worker: &str, until: Millis) -> OverrideRequest {
     order(worker, Scope::OutOfService, None, until)
 }
 
-fn pin(worker: &str, class: &str, tenant: Option<&str>) -> Order {
+fn pin(worker: &str, class: &str, tenant: Option<&str>) -> OverrideRequest {
     let scope = Scope::Pinned { class: class.into(), tenant: tenant.map(Into::into) };
     order(worker, scope, None, NOW + HOUR)
 }
@@ -29,8 +29,8 @@
     Table::new("n1", 16 * HOUR)
 }
 
-fn shown(table: &Table, now: Millis) -> Vec<Line> {
-    table.lines(now, |_| true)
+fn shown(table: &Table, now: Millis) -> Vec<OverrideEntry> {
+    table.entries(now, |_| true)
 }
 
 #[test]
@@ -43,16 +43,16 @@
         (weight(Some(0.0)), "weight", "between 0.01 and 100"),
         (weight(Some(f64::NAN)), "weight", "between"),
         (weight(Some(100.1)), "weight", "between"),
-        (Order { weight: Some(1.0), ..out("w", NOW + HOUR) }, "weight", "out-of-service"),
+        (OverrideRequest { weight: Some(1.0), ..out("w", NOW + HOUR) }, "weight", "out-of-service"),
         (out("", NOW + HOUR), "worker", "1 to 64"),
         (out(&long, NOW + HOUR), "worker", "1 to 64"),
         (out("a\nb", NOW + HOUR), "worker", "1 to 64"),
         (out("w", NOW), "until", "past"),
         (out("w", NOW - 1), "until", "past"),
         (out("w", NOW + 16 * HOUR + 1), "until", "the longest that is allowed is 16 h"),
-        (Order { by: String::new(), ..out("w", NOW + HOUR) }, "by", "1 to 64"),
-        (Order { why: " ".into(), ..out("w", NOW + HOUR) }, "why", "line of text"),
-        (Order { why: "y".repeat(300), ..out("w", NOW + HOUR) }, "why", "too many"),
+        (OverrideRequest { by: String::new(), ..out("w", NOW + HOUR) }, "by", "1 to 64"),
+        (OverrideRequest { why: " ".into(), ..out("w", NOW + HOUR) }, "why", "line of text"),
+        (OverrideRequest { why: "y".repeat(300), ..out("w", NOW + HOUR) }, "why", "too many"),
         (pin("w", "", None), "pin", "1 to 64"),
         (pin("w", "chart", Some(&long)), "pin", "1 to 64"),
     ] {
@@ -60,14 +60,14 @@
         assert_eq!(refused.field, field, "{refused}");
         assert!(refused.reason.contains(words), "{refused}");
     }
-    assert_eq!((table.revision(), table.forces(NOW)), (0, Forces::default()));
+    assert_eq!((table.revision(), table.active(NOW)), (0, ActiveOverrides::default()));
     for id in ["", "n1", "n1-1.0"] {
         assert_eq!(table.clear(id, "ama", "", NOW).expect_err(id).field, "id");
     }
     // A limit over the hard one does not count.
     let mut table = Table::new("n1", u64::MAX);
-    assert!(table.set(out("w", NOW + HARD_LONGEST + 1), NOW).is_err());
-    assert!(table.set(out("w", NOW + HARD_LONGEST), NOW).is_ok());
+    assert!(table.set(out("w", NOW + MAX_OVERRIDE_DURATION + 1), NOW).is_err());
+    assert!(table.set(out("w", NOW + MAX_OVERRIDE_DURATION), NOW).is_ok());
 }
 
 #[test]
@@ -77,45 +77,45 @@
     table.set(out("w2", NOW + 200), NOW).expect("set");
     table.set(pin("w3", "chart", None), NOW).expect("set");
     table.set(pin("w4", "chart", Some("acme")), NOW).expect("set");
-    let forces = table.forces(NOW);
+    let forces = table.active(NOW);
     assert_eq!(forces.weights, [("w1".into(), 0.25)]);
-    assert_eq!(forces.out, ["w2".into()]);
+    assert_eq!(forces.out_of_service, ["w2".into()]);
     let of = |worker: &str, tenant: Option<&str>| Pin {
         class: "chart".into(),
         tenant: tenant.map(Into::into),
         worker: worker.into(),
     };
     assert_eq!(forces.pins, [of("w3", None), of("w4", Some("acme"))]);
-    assert_eq!(table.next_end(NOW), Some(NOW + 100));
-    assert!(table.forces(NOW + 100).weights.is_empty());
-    assert_eq!(table.next_end(NOW + 100), Some(NOW + 200));
-    assert_eq!(table.forces(NOW + HOUR), Forces::default());
+    assert_eq!(table.next_expiry(NOW), Some(NOW + 100));
+    assert!(table.active(NOW + 100).weights.is_empty());
+    assert_eq!(table.next_expiry(NOW + 100), Some(NOW + 200));
+    assert_eq!(table.active(NOW + HOUR), ActiveOverrides::default());
     assert!(shown(&table, NOW + HOUR).is_empty());
-    assert_eq!(table.next_end(NOW + HOUR), None);
+    assert_eq!(table.next_expiry(NOW + HOUR), None);
     // All of it is forgotten once nothing older can matter.
-    table.purge(NOW + KEPT);
-    assert!(table.prints().is_empty());
+    table.purge(NOW + RETENTION);
+    assert!(table.by_fingerprint().is_empty());
 }
 
 #[test]
 fn the_last_write_counts_and_a_beaten_one_says_by_whom() {
     let mut table = table();
     let first = table.set(order("w", Scope::Weight, Some(0.5), NOW + HOUR), NOW).expect("set");
-    let second = Order { by: "kofi".into(), ..order("w", Scope::Weight, Some(2.0), NOW + 1000) };
+    let second = OverrideRequest { by: "kofi".into(), ..order("w", Scope::Weight, Some(2.0), NOW + 1000) };
     let second = table.set(second, NOW).expect("set");
     let lines = shown(&table, NOW);
     assert_eq!((&lines[0].record, &lines[0].standing), (&second, &Standing::InForce));
-    let beaten = Standing::Beaten { id: second.stamp.to_string(), by: "kofi".into(), at: NOW };
+    let beaten = Standing::Superseded { id: second.stamp.to_string(), by: "kofi".into(), at: NOW };
     assert_eq!((&lines[1].record, &lines[1].standing), (&first, &beaten));
     // Beaten is beaten: it does not come back when the one that beat it ends, or is cleared.
-    assert!(table.forces(NOW + 1000).weights.is_empty());
+    assert!(table.active(NOW + 1000).weights.is_empty());
     let refused = table.clear(&first.stamp.to_string(), "ama", "", NOW).expect_err("beaten");
     assert!(refused.reason.contains(&second.stamp.to_string()), "{refused}");
     table.clear(&second.stamp.to_string(), "ama", "done", NOW + 1).expect("cleared");
     assert!(shown(&table, NOW + 1).is_empty());
     assert_eq!(table.merge((*first).clone(), NOW + 2), Merged::Known);
     assert_eq!(table.merge((*second).clone(), NOW + 2), Merged::Known);
-    assert_eq!(table.forces(NOW + 2), Forces::default());
+    assert_eq!(table.active(NOW + 2), ActiveOverrides::default());
 }
 
 #[test]
@@ -123,18 +123,18 @@
     let mut table = table();
     table.set(pin("w1", "chart", None), NOW).expect("set");
     let later = table.set(pin("w0", "chart", None), NOW).expect("set");
-    assert_eq!(table.forces(NOW).pins.iter().map(|p| &*p.worker).collect::<Vec<_>>(), ["w0"]);
+    assert_eq!(table.active(NOW).pins.iter().map(|p| &*p.worker).collect::<Vec<_>>(), ["w0"]);
     let standing = |worker: &str, table: &Table, listed: fn(&str) -> bool| {
-        let lines = table.lines(NOW, listed);
+        let lines = table.entries(NOW, listed);
         lines.into_iter().find(|l| &*l.record.slot.worker == worker).expect("listed").standing
     };
-    let beaten = Standing::Beaten { id: later.stamp.to_string(), by: "ama".into(), at: NOW };
+    let beaten = Standing::Superseded { id: later.stamp.to_string(), by: "ama".into(), at: NOW };
     assert_eq!(standing("w1", &table, |_| true), beaten);
     // One to a worker that is gone, or out of service, falls back and says so.
-    assert_eq!(standing("w0", &table, |w| w != "w0"), Standing::NoSuchWorker);
+    assert_eq!(standing("w0", &table, |w| w != "w0"), Standing::UnknownWorker);
     table.set(out("w0", NOW + HOUR), NOW).expect("set");
     let lines = shown(&table, NOW);
-    assert!(lines.iter().any(|l| l.standing == Standing::WorkerOut));
+    assert!(lines.iter().any(|l| l.standing == Standing::WorkerOutOfService));
 }
 
 /// Set, cleared, and the set arrives after the clear.
@@ -145,15 +145,15 @@
     let clear = n1.clear(&set.stamp.to_string(), "ama", "", NOW + 5).expect("cleared");
     assert_eq!(n2.merge((*clear).clone(), NOW + 10), Merged::New);
     assert_eq!(n2.merge((*set).clone(), NOW + 20), Merged::Known);
-    assert_eq!(n2.forces(NOW + 20), Forces::default());
+    assert_eq!(n2.active(NOW + 20), ActiveOverrides::default());
     // The clear is remembered for as long as the set could last, and the set is stale after.
-    let late = NOW + KEPT;
+    let late = NOW + RETENTION;
     assert_eq!(n2.merge((*set).clone(), late - 1), Merged::Known);
     assert_eq!(n2.merge((*set).clone(), late), Merged::Stale);
     // A later set of the same slot is another matter, even by a clock that is behind.
     let again = n2.set(out("w", NOW + HOUR), NOW + 1).expect("set");
     assert!(again.stamp > clear.stamp);
-    assert_eq!(n2.forces(NOW + 30).out, ["w".into()]);
+    assert_eq!(n2.active(NOW + 30).out_of_service, ["w".into()]);
 }
 
 #[test]
@@ -167,9 +167,9 @@
         by: "ama".into(),
         why: "test".into(),
     };
-    assert_eq!(table.merge(record(NOW + FUTURE + 1, NOW + HOUR), NOW), Merged::Future);
-    assert_eq!(table.merge(record(NOW - KEPT, NOW + HOUR), NOW), Merged::Stale);
-    assert_eq!(table.merge(record(NOW, NOW + 10 * HARD_LONGEST), NOW), Merged::Stale);
+    assert_eq!(table.merge(record(NOW + MAX_FUTURE_SKEW + 1, NOW + HOUR), NOW), Merged::Future);
+    assert_eq!(table.merge(record(NOW - RETENTION, NOW + HOUR), NOW), Merged::Stale);
+    assert_eq!(table.merge(record(NOW, NOW + 10 * MAX_OVERRIDE_DURATION), NOW), Merged::Stale);
     assert_eq!(table.merge(record(NOW + 400, NOW + HOUR), NOW), Merged::New);
     // This dispatcher's own next write is later, although its clock is behind.
     assert!(table.set(out("w", NOW + HOUR), NOW).expect("set").stamp.wall >= NOW + 400);
@@ -184,7 +184,7 @@
     let refused = table.set(out("one more", NOW + HOUR), NOW).expect_err("no room");
     assert_eq!(refused.field, "worker");
     table.set(out("w7", NOW + 2 * HOUR), NOW).expect("its slot is there");
-    assert_eq!(table.prints().len(), MAX_SLOTS + 1);
+    assert_eq!(table.by_fingerprint().len(), MAX_SLOTS + 1);
 }
 
 fn any_record() -> impl Strategy<Value = Record> {
@@ -214,14 +214,14 @@
     table
 }
 
-fn state(table: &Table) -> (Vec<Arc<Record>>, Vec<Line>, Forces) {
+fn state(table: &Table) -> (Vec<Arc<Record>>, Vec<OverrideEntry>, ActiveOverrides) {
     let now = NOW + 10;
-    (table.prints().values().cloned().collect(), shown(table, now), table.forces(now))
+    (table.by_fingerprint().values().cloned().collect(), shown(table, now), table.active(now))
 }
 
 fn joined(a: &Table, b: &Table) -> Table {
     let mut all = a.clone();
-    for record in b.prints().values() {
+    for record in b.by_fingerprint().values() {
         all.merge((**record).clone(), NOW);
     }
     all
--- a/dispatcher/src/admin/api.rs
+++ b/dispatcher/src/admin/api.rs
@@ -1,7 +1,7 @@
 //! What goes over the admin listener, as JSON: the listener writes it, the command line reads it.
 
 use crate::targets::http::UpdateCounts;
-use lineroute_control::overrides::{Effect, Line, Scope, Standing};
+use lineroute_control::overrides::{Effect, OverrideEntry, Scope, Standing};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -65,7 +65,7 @@
 
 impl OverrideLine {
     /// A line of the table, as seen at that moment.
-    pub fn of(line: &Line, now: u64) -> OverrideLine {
+    pub fn of(line: &OverrideEntry, now: u64) -> OverrideLine {
         let record = &line.record;
         let (class, tenant) = match &record.slot.scope {
             Scope::Pinned { class, tenant } => {
@@ -75,9 +75,9 @@
         };
         let (standing, beaten) = match &line.standing {
             Standing::InForce => ("in force", None),
-            Standing::NoSuchWorker => ("no such worker", None),
-            Standing::WorkerOut => ("worker out of service", None),
-            Standing::Beaten { id, by, at } => {
+            Standing::UnknownWorker => ("no such worker", None),
+            Standing::WorkerOutOfService => ("worker out of service", None),
+            Standing::Superseded { id, by, at } => {
                 ("beaten", Some(Beaten { id: id.clone(), by: by.to_string(), at_ms: *at }))
             }
         };
--- a/dispatcher/src/admin/calls.rs
+++ b/dispatcher/src/admin/calls.rs
@@ -14,7 +14,7 @@
 use crate::targets::http::HttpTargets;
 use crate::{fleet, peers, store};
 use actix_http::{Method, StatusCode};
-use lineroute_control::overrides::{Effect, Faulty, Order, Scope, Slot, Stamp};
+use lineroute_control::overrides::{Effect, InvalidRequest, OverrideRequest, Scope, Slot, Stamp};
 use lineroute_control::peers::Counts;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -64,7 +64,7 @@
     }
 }
 
-fn refused(faulty: Faulty) -> Reply {
+fn refused(faulty: InvalidRequest) -> Reply {
     fault(StatusCode::BAD_REQUEST, Some(faulty.field), faulty.to_string())
 }
 
@@ -130,7 +130,7 @@
                 state: if seen.stage == Stage::Ready { "up" } else { "draining" }.into(),
                 forwards: seen.out,
                 weight,
-                out_of_service: forces.out.iter().any(|w| **w == *seen.name),
+                out_of_service: forces.out_of_service.iter().any(|w| **w == *seen.name),
                 pinned: pins
                     .map(|p| p.tenant.as_ref().map_or(p.class.to_string(), |t| format!("{}/{t}", p.class)))
                     .collect(),
@@ -208,7 +208,7 @@
             None => Scope::Weight,
         };
         let slot = Slot { worker: worker.into(), scope };
-        let order = Order { slot, weight, until: until_ms, by, why };
+        let order = OverrideRequest { slot, weight, until: until_ms, by, why };
         let record = self.overrides.set(order).map_err(refused)?;
         let saved = self.saved().await;
         let lines = self.overrides.lines();
@@ -249,7 +249,7 @@
                 return Err(format!("no worker {worker} was ever listed"));
             }
             let until = now() + self.longest;
-            let order = Order {
+            let order = OverrideRequest {
                 slot: slot.clone(),
                 weight: None,
                 until,
--- a/dispatcher/src/admin/console.rs
+++ b/dispatcher/src/admin/console.rs
@@ -96,7 +96,7 @@
         let got = stream.read(&mut chunk).await.ok().filter(|n| *n > 0)?;
         bytes.extend_from_slice(&chunk[..got]);
         let Some(call) = bytes.strip_prefix(PREFIX.as_bytes()) else {
-            if let Parsed::Whole(command) = parse(&bytes) {
+            if let Parsed::Complete(command) = parse(&bytes) {
                 return Some(Line::Operator(command));
             }
             continue;
--- a/dispatcher/src/config/checked.rs
+++ b/dispatcher/src/config/checked.rs
@@ -6,7 +6,7 @@
 use lineroute_fleet::timing::Timing;
 use lineroute_fleet::Member;
 use lineroute_http1::Forwarding;
-use lineroute_settings::Site;
+use lineroute_settings::PlatformSettings;
 use lineroute_stream::PaceLimits;
 use serde::Serialize;
 use std::net::SocketAddr;
@@ -102,7 +102,7 @@
     /// Connections to workers, those that are kept for further calls included.
     pub connections: usize,
     pub known: Option<HostList>,
-    pub site: Site,
+    pub site: PlatformSettings,
     pub routes: Vec<Route>,
     pub workers: Vec<BeanstalkdWorkers>,
     pub upstreams: Vec<HttpWorkers>,
--- a/dispatcher/src/config/mod.rs
+++ b/dispatcher/src/config/mod.rs
@@ -16,11 +16,11 @@
 use crate::beanstalkd::is_name;
 use crate::list::HostList;
 use lineroute::{Class, KindId};
-use lineroute_control::overrides::HARD_LONGEST;
+use lineroute_control::overrides::MAX_OVERRIDE_DURATION;
 use lineroute_control::peers::KeyRing;
 use lineroute_control::watch::LARGE_TIER;
 use lineroute_http1::Forwarding;
-use lineroute_settings::Site;
+use lineroute_settings::PlatformSettings;
 use lineroute_stream::PaceLimits;
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
@@ -421,8 +421,13 @@
     Some(Admin { listen: listen?, keys, max_connections: raw.max_connections })
 }
 
-fn peers(raw: &RawPeers, platform: &Raw, site: Option<&Site>, faults: &mut Faults) -> Option<Peers> {
-    if site.is_some_and(|s| !s.peers) {
+fn peers(
+    raw: &RawPeers,
+    platform: &Raw,
+    site: Option<&PlatformSettings>,
+    faults: &mut Faults,
+) -> Option<Peers> {
+    if site.is_some_and(|s| !s.peer_messages_allowed) {
         let words = "the settings forbid talk between dispatchers (allowed.peers)";
         faults.add("operator's file: peers", words);
     }
@@ -445,12 +450,12 @@
 
 /// Talk of forwards between the dispatchers of a large tier, where the settings allow it. Where overrides are talked
 /// of, they have the socket.
-fn load_gossip_peers(platform: &Raw, site: &Site) -> Option<LoadGossipPeers> {
+fn load_gossip_peers(platform: &Raw, site: &PlatformSettings) -> Option<LoadGossipPeers> {
     let (listen, tier) = (platform.peer_listen?, site.settings.instances);
-    let own = site.number.filter(|own| (*own as usize) < platform.peers.len())?;
-    let is_cheap = GOSSIP_DATAGRAMS_PER_REQUEST * site.peer_price <= MAX_GOSSIP_COST;
+    let own = site.self_index.filter(|own| (*own as usize) < platform.peers.len())?;
+    let is_cheap = GOSSIP_DATAGRAMS_PER_REQUEST * site.peer_message_price <= MAX_GOSSIP_COST;
     let is_bounded = is_cheap && platform.peers.len() <= MAX_GOSSIP_PEERS;
-    if !site.peers || tier < LARGE_TIER || !is_bounded {
+    if !site.peer_messages_allowed || tier < LARGE_TIER || !is_bounded {
         return None;
     }
     let zone = site.settings.zone.and_then(|z| site.zones.get(z.0 as usize));
@@ -467,11 +472,11 @@
     let text = operator.overrides.as_ref().map_or("16h", |o| o.longest.as_str());
     let key = "operator's file: overrides.longest";
     match humantime::parse_duration(text) {
-        Ok(span) if (1000..=u128::from(HARD_LONGEST)).contains(&span.as_millis()) => {
+        Ok(span) if (1000..=u128::from(MAX_OVERRIDE_DURATION)).contains(&span.as_millis()) => {
             Some(span.as_millis() as u64)
         }
         Ok(_) => {
-            faults.add(key, format!("{text:?} is not between 1s and {}h", HARD_LONGEST / 3_600_000));
+            faults.add(key, format!("{text:?} is not between 1s and {}h", MAX_OVERRIDE_DURATION / 3_600_000));
             None
         }
         Err(e) => {
@@ -523,7 +528,7 @@
     Ok(())
 }
 
-fn front(raw: RawFront, site: &Site, memory: usize, faults: &mut Faults) -> BeanstalkdFront {
+fn front(raw: RawFront, site: &PlatformSettings, memory: usize, faults: &mut Faults) -> BeanstalkdFront {
     let mut tubes: Vec<Tube> = Vec::new();
     let count = raw.tubes.len();
     for (i, tube) in raw.tubes.into_iter().enumerate() {
--- a/dispatcher/src/facade.rs
+++ b/dispatcher/src/facade.rs
@@ -8,7 +8,7 @@
 };
 pub use lineroute::{Discovery, ListKind, Outcome, ReportSource, Settings, Stage};
 use lineroute::{Effect, Rules};
-use lineroute_permit::{SideEffect, HOLD_UP};
+use lineroute_permit::{RepeatSafety, STALL_ALLOWANCE};
 use rustc_hash::FxHashMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -157,7 +157,7 @@
     names: Vec<Arc<str>>,
     /// How long repeats of each class may begin to go out, where that has an end; and the rules.
     windows: Vec<Option<Duration>>,
-    effects: Vec<SideEffect>,
+    effects: Vec<RepeatSafety>,
     rules: Rules,
 }
 
@@ -166,7 +166,7 @@
         // Workers' memory of a key must not end between a decision and its write.
         for class in &mut settings.classes {
             if let Effect::ByKey { ttl, .. } = &mut class.effect {
-                *ttl = ttl.saturating_sub(HOLD_UP.as_micros() as Micros);
+                *ttl = ttl.saturating_sub(STALL_ALLOWANCE.as_micros() as Micros);
             }
         }
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as Micros;
@@ -204,8 +204,8 @@
     }
 
     /// What a second run of a flow of this class would do.
-    pub fn side_effect(&self, class: usize) -> SideEffect {
-        self.effects.get(class).copied().unwrap_or(SideEffect::Harm)
+    pub fn side_effect(&self, class: usize) -> RepeatSafety {
+        self.effects.get(class).copied().unwrap_or(RepeatSafety::NotIdempotent)
     }
 
     /// The number of a target by its name, the same for as long as the program runs.
@@ -333,11 +333,11 @@
     }
 }
 
-fn side_effect(effect: Effect) -> SideEffect {
+fn side_effect(effect: Effect) -> RepeatSafety {
     match effect {
-        Effect::Repeatable => SideEffect::None,
-        Effect::ByKey { .. } => SideEffect::NoneByKey,
-        Effect::Once => SideEffect::Harm,
+        Effect::Repeatable => RepeatSafety::Idempotent,
+        Effect::ByKey { .. } => RepeatSafety::IdempotentByKey,
+        Effect::Once => RepeatSafety::NotIdempotent,
     }
 }
 
--- a/dispatcher/src/flow/core.rs
+++ b/dispatcher/src/flow/core.rs
@@ -136,7 +136,7 @@
                 true => EarlierAttempts::MayHaveRun { repeat_until: flow.start_by },
                 false => EarlierAttempts::NeverRan,
             },
-            is_out: flow.out.is_some(),
+            has_attempt_in_flight: flow.out.is_some(),
         };
         let permit = self.ledger.retry(ticket, facts.permit());
         if flow.out.is_some() {
--- a/dispatcher/src/flow/permits.rs
+++ b/dispatcher/src/flow/permits.rs
@@ -46,13 +46,13 @@
             list: list_validity(self.list.state()),
             worker: WorkerFacts {
                 stage,
-                decided_at: worker_stage(forward.stage),
-                operators: match self.out_of_service.contains_key(&forward.target) {
+                stage_when_decided: worker_stage(forward.stage),
+                operator_state: match self.out_of_service.contains_key(&forward.target) {
                     true => OperatorState::OutOfService,
                     false => OperatorState::InService,
                 },
             },
-            attempt: if is_out { AttemptState::Out } else { AttemptState::Over },
+            attempt: if is_out { AttemptState::InFlight } else { AttemptState::Ended },
             client: if waits { ClientState::Waiting } else { ClientState::Gone },
             deadline: forward.until,
             repeat_until: forward.start_by,
@@ -66,13 +66,13 @@
         SendAudit {
             now,
             list_valid: self.list.was_valid_lately(),
-            unready: unready.zip(self.bounds.drain_grace),
+            not_ready_since: unready.zip(self.bounds.drain_grace),
             out_of_service: self.out_of_service.get(&forward.target).copied(),
             client_gone: flow.and_then(|f| f.left_at),
             deadline: forward.until,
             repeat_until: forward.start_by,
             passed_on,
-            out: usize::from(flow.is_some_and(|f| f.out.is_some())),
+            attempts_in_flight: usize::from(flow.is_some_and(|f| f.out.is_some())),
         }
     }
 }
--- a/dispatcher/src/list/monitor.rs
+++ b/dispatcher/src/list/monitor.rs
@@ -125,7 +125,7 @@
 
     /// Peers report from now on that discovery has answered them.
     pub fn hears_peers(&self) {
-        self.status.borrow_mut().hears_peers();
+        self.status.borrow_mut().expect_peer_reports();
     }
 
     /// Discovery has answered a call that was made then.
@@ -136,13 +136,13 @@
 
     /// The same, where the call did not wait for news.
     pub fn answered_in_turn(&self, asked: Instant) {
-        self.status.borrow_mut().took_turn(asked.elapsed().as_millis() as u64);
+        self.status.borrow_mut().record_service_time(asked.elapsed().as_millis() as u64);
         self.answered(asked);
     }
 
     /// Whether a crowd of the whole tier may last too long at discovery, as far as is known.
     pub fn crowd_outlasts_bound(&self) -> bool {
-        self.status.borrow().crowd_outlasts_bound()
+        self.status.borrow().congestion_may_exceed_bound()
     }
 
     /// A call that was made then came to nothing.
@@ -158,7 +158,7 @@
             let mut status = self.status.borrow_mut();
             match change {
                 Change::Answered => status.answered(self.ended_at()),
-                Change::WatchBegan(wait) => status.watch_began(now, wait.as_millis() as u64),
+                Change::WatchBegan(wait) => status.watch_started(now, wait.as_millis() as u64),
                 Change::Failed(failure) => status.failed(self.ended_at(), failure),
                 Change::PeerAnswered(version) => {
                     let has_newer = self.version.get().is_none_or(|own| version > own);
@@ -234,7 +234,7 @@
     pub fn report(&self) -> ListReport {
         let now = self.now();
         let confirmed_at = self.status.borrow().confirmed_at();
-        let shortest_call = self.status.borrow().turn().shortest_call();
+        let shortest_call = self.status.borrow().service_time().shortest_call();
         ListReport {
             state: self.state(),
             version: self.version.get(),
--- a/dispatcher/src/list/watch.rs
+++ b/dispatcher/src/list/watch.rs
@@ -95,7 +95,7 @@
     async fn call(&self, at: SocketAddr) -> Result<HostList, NoList> {
         let ListSource { client, monitor, .. } = &self.with;
         if self.wait.is_zero() {
-            let patience = Duration::from_millis(self.schedule.patience());
+            let patience = Duration::from_millis(self.schedule.answer_timeout());
             let second_after = monitor.valid_for().saturating_sub(SECOND_CALL_AHEAD);
             let second_after = second_after.clamp(SECOND_CALL_AFTER.0, SECOND_CALL_AFTER.1);
             return call_in_turn(client, at, self.after, (second_after, patience)).await;
@@ -124,7 +124,7 @@
             reports.answered(version);
         }
         self.schedule.answered();
-        if self.schedule.takes_turn_anew(self.with.monitor.crowd_outlasts_bound()) {
+        if self.schedule.should_measure_service_time(self.with.monitor.crowd_outlasts_bound()) {
             self.wait = Duration::ZERO;
             tokio::time::sleep(BEHIND_WATCH).await;
             return;
@@ -149,7 +149,7 @@
         let failed = FailedCall { watched: !self.wait.is_zero(), failure, took: took_ms };
         // The next call does not wait: if it comes to nothing, that is a failure like any other.
         self.wait = Duration::ZERO;
-        self.schedule.call_again_after(failed)
+        self.schedule.retry_delay(failed)
     }
 
     /// Resolves when the module wants the list again, or discovery has moved.
--- a/dispatcher/src/listeners/connection_slots.rs
+++ b/dispatcher/src/listeners/connection_slots.rs
@@ -171,10 +171,10 @@
     /// What is known for the permit to end it for this reason.
     pub fn close_facts(&self, reason: CloseReason) -> CloseFacts {
         let state = match self.stage.get() {
-            Stage::Silent | Stage::Idle | Stage::Ending => ConnectionState::AtRest,
-            Stage::Head | Stage::Body => ConnectionState::Coming,
-            Stage::InWork => ConnectionState::Owed,
-            Stage::Streaming => ConnectionState::Answering,
+            Stage::Silent | Stage::Idle | Stage::Ending => ConnectionState::Idle,
+            Stage::Head | Stage::Body => ConnectionState::Receiving,
+            Stage::InWork => ConnectionState::AwaitingResponse,
+            Stage::Streaming => ConnectionState::Responding,
         };
         CloseFacts { state, reason }
     }
@@ -182,7 +182,7 @@
     /// The same where it was cut.
     pub fn cut_facts(&self, cut: Cut) -> CloseFacts {
         self.close_facts(match cut {
-            Cut::Away if self.has_left() => CloseReason::PeerLeft,
+            Cut::Away if self.has_left() => CloseReason::ClientClosed,
             Cut::Away => CloseReason::SlotNeeded,
             Cut::Late | Cut::TooLong | Cut::Malformed => CloseReason::BadRequest,
         })
--- a/dispatcher/src/listeners/http.rs
+++ b/dispatcher/src/listeners/http.rs
@@ -322,7 +322,7 @@
                 let (cut, facts) = tokio::select! {
                     biased;
                     cut = taken.slot.until_cut() => (Some(cut), taken.slot.cut_facts(cut)),
-                    () = guarded.watch() => (None, taken.slot.close_facts(CloseReason::PeerLeft)),
+                    () = guarded.watch() => (None, taken.slot.close_facts(CloseReason::ClientClosed)),
                     () = phase.until_ended(&guarded) => {
                         (None, taken.slot.close_facts(CloseReason::Stopping))
                     }
--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -232,7 +232,7 @@
     let source_kind = ListSourceKind::of(&config);
     let status = match source_kind {
         ListSourceKind::Pushed => ListStatus::pushed(drains.as_millis() as u64),
-        ListSourceKind::Asked => ListStatus::asked_by_tier(site.settings.instances),
+        ListSourceKind::Asked => ListStatus::polled_by_tier(site.settings.instances),
         ListSourceKind::Fixed => ListStatus::fixed(),
     };
     // Before any socket is opened: what stands in one has come since.
--- a/dispatcher/src/overrides.rs
+++ b/dispatcher/src/overrides.rs
@@ -4,7 +4,9 @@
 
 use crate::facade::{Pinned, Steer};
 use crate::flow::Flows;
-use lineroute_control::overrides::{Faulty, Forces, Line, Merged, Order, Record, Slot, Table};
+use lineroute_control::overrides::{
+    ActiveOverrides, InvalidRequest, Merged, OverrideEntry, OverrideRequest, Record, Slot, Table,
+};
 use lineroute_control::Millis;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -30,7 +32,7 @@
     classes: Vec<String>,
     tenants: Vec<String>,
     /// What the core was last told.
-    applied: RefCell<Forces>,
+    applied: RefCell<ActiveOverrides>,
     /// Set here and not yet told to peers; kept only while somebody takes it.
     fresh: RefCell<Vec<Arc<Record>>>,
     talks: Cell<bool>,
@@ -67,7 +69,7 @@
     ///
     /// # Errors
     /// Names the field that can't be used; nothing has changed then.
-    pub fn set(&self, order: Order) -> Result<Arc<Record>, Faulty> {
+    pub fn set(&self, order: OverrideRequest) -> Result<Arc<Record>, InvalidRequest> {
         let record = self.0.table.borrow_mut().set(order, now())?;
         self.wrote(&record, "override set");
         Ok(record)
@@ -77,7 +79,7 @@
     ///
     /// # Errors
     /// No such override is in force here.
-    pub fn clear(&self, id: &str, by: &str, why: &str) -> Result<Arc<Record>, Faulty> {
+    pub fn clear(&self, id: &str, by: &str, why: &str) -> Result<Arc<Record>, InvalidRequest> {
         let record = self.0.table.borrow_mut().clear(id, by, why, now())?;
         self.wrote(&record, "override cleared");
         Ok(record)
@@ -87,7 +89,12 @@
     ///
     /// # Errors
     /// Names the field that can't be used; nothing has changed then.
-    pub fn clear_slot(&self, slot: &Slot, by: &str, why: &str) -> Result<Option<Arc<Record>>, Faulty> {
+    pub fn clear_slot(
+        &self,
+        slot: &Slot,
+        by: &str,
+        why: &str,
+    ) -> Result<Option<Arc<Record>>, InvalidRequest> {
         let record = self.0.table.borrow_mut().clear_slot(slot, by, why, now())?;
         if let Some(record) = &record {
             self.wrote(record, "override cleared");
@@ -131,11 +138,11 @@
 
     /// Tells the core what is in force, where that has changed.
     fn apply(&self) {
-        let forces = self.0.table.borrow().forces(now());
+        let forces = self.0.table.borrow().active(now());
         if *self.0.applied.borrow() == forces {
             return;
         }
-        let Forces { weights, out, pins } = &forces;
+        let ActiveOverrides { weights, out_of_service: out, pins } = &forces;
         let revision = self.0.table.borrow().revision();
         let workers: Vec<&str> = out.iter().take(NAMES_LOGGED).map(|worker| &**worker).collect();
         info!(
@@ -173,7 +180,7 @@
     /// Ends overrides at their time. Never ends itself.
     pub async fn run(self) {
         loop {
-            let next = self.0.table.borrow().next_end(now());
+            let next = self.0.table.borrow().next_expiry(now());
             match next {
                 Some(at) => {
                     let left = Duration::from_millis(at.saturating_sub(now()));
@@ -188,12 +195,12 @@
     }
 
     /// All that has not ended, and how it stands.
-    pub fn lines(&self) -> Vec<Line> {
-        self.0.table.borrow().lines(now(), |worker| self.0.flows.is_listed(worker))
+    pub fn lines(&self) -> Vec<OverrideEntry> {
+        self.0.table.borrow().entries(now(), |worker| self.0.flows.is_listed(worker))
     }
 
     /// What the core was last told.
-    pub fn in_force(&self) -> Forces {
+    pub fn in_force(&self) -> ActiveOverrides {
         self.0.applied.borrow().clone()
     }
 
--- a/dispatcher/src/peers/discovery_reports.rs
+++ b/dispatcher/src/peers/discovery_reports.rs
@@ -52,7 +52,7 @@
 
     /// A peer has sent a report.
     pub fn heard(&self, report: DiscoveryReport) {
-        self.schedule.borrow_mut().heard(self.now(), report);
+        self.schedule.borrow_mut().peer_reported(self.now(), report);
         self.monitor.note(Change::PeerAnswered(report.version));
     }
 
--- a/dispatcher/src/peers/load_gossip.rs
+++ b/dispatcher/src/peers/load_gossip.rs
@@ -195,12 +195,12 @@
         state.turn = state.turn.wrapping_add(1) & 15;
         let out = state.out.iter().map(|(tag, (_, out))| (*tag, *out)).collect();
         let refused = std::mem::take(&mut state.refused).into_iter().collect();
-        LoadReport { purpose, turn: state.turn, zone, out, refused }
+        LoadReport { purpose, sequence: state.turn, zone, in_flight: out, refused }
     }
 
     /// Tells the aggregators of a zone what is out.
     fn report(&self, zone: Tag) {
-        let report = self.own(Purpose::Tell, zone);
+        let report = self.own(Purpose::Report, zone);
         let receivers = {
             let state = &mut *self.state.borrow_mut();
             state.reported_at = Instant::now();
@@ -208,7 +208,7 @@
         };
         for aggregator in receivers {
             if aggregator == self.own {
-                self.state.borrow_mut().reported.take(aggregator, &report, self.now());
+                self.state.borrow_mut().reported.apply(aggregator, &report, self.now());
             } else {
                 self.send(&report, aggregator);
             }
@@ -232,10 +232,10 @@
             self.take_picture(&picture);
             return false;
         }
-        let report = self.own(Purpose::Ask, zone);
+        let report = self.own(Purpose::Query, zone);
         self.send(&report, aggregator);
         let query = Query {
-            turn: report.turn,
+            turn: report.sequence,
             zone,
             aggregator,
             asked: Instant::now(),
@@ -243,12 +243,12 @@
         };
         self.state.borrow_mut().queries.push(query);
         // Guards against aggregators that are dead.
-        let answer_wait = Duration::from_millis(self.state.borrow().aggregators.answer_wait());
+        let answer_wait = Duration::from_millis(self.state.borrow().aggregators.answer_timeout());
         let me = self.me.clone();
         actix_rt::spawn(async move {
             tokio::time::sleep(answer_wait).await;
             if let Some(gossip) = me.upgrade() {
-                gossip.is_late(report.turn, zone);
+                gossip.is_late(report.sequence, zone);
             }
         });
         true
@@ -260,7 +260,7 @@
             let state = &mut *self.state.borrow_mut();
             let at = state.queries.iter().position(|q| (q.turn, q.zone) == (turn, zone));
             let Some(query) = at.map(|at| state.queries.swap_remove(at)) else { return };
-            state.aggregators.was_silent(query.aggregator, self.now());
+            state.aggregators.timed_out(query.aggregator, self.now());
             query
         };
         debug!(aggregator = query.aggregator, flows = query.flows.len(), "an aggregator is silent");
@@ -272,15 +272,15 @@
         let state = self.state.borrow();
         // A target that the own list does not name is shown to all.
         let of = |tag: Tag| state.targets.get(&tag).is_none_or(|(z, _)| *z == zone);
-        let (out, refused) = state.reported.picture(querier, self.now(), of);
+        let (out, refused) = state.reported.snapshot(querier, self.now(), of);
         let out = out.into_iter().map(|(tag, out)| (tag, out.min(u32::from(u8::MAX)) as u8)).collect();
-        LoadReport { purpose: Purpose::Picture, turn, zone, out, refused }
+        LoadReport { purpose: Purpose::Snapshot, sequence: turn, zone, in_flight: out, refused }
     }
 
     /// Tells the core what is new in a picture.
     fn take_picture(&self, picture: &LoadReport) {
         let refused: FxHashSet<Tag> = picture.refused.iter().copied().collect();
-        let out: FxHashMap<Tag, u8> = picture.out.iter().copied().collect();
+        let out: FxHashMap<Tag, u8> = picture.in_flight.iter().copied().collect();
         let mut news = Vec::new();
         {
             let state = &mut *self.state.borrow_mut();
@@ -322,16 +322,16 @@
     }
 
     fn take(&self, report: &LoadReport, peer: u32) {
-        if report.purpose != Purpose::Picture {
-            self.state.borrow_mut().reported.take(peer, report, self.now());
-            if report.purpose == Purpose::Ask && !ReportedLoad::is_warming_up(self.now()) {
-                self.send(&self.picture(report.zone, peer, report.turn), peer);
+        if report.purpose != Purpose::Snapshot {
+            self.state.borrow_mut().reported.apply(peer, report, self.now());
+            if report.purpose == Purpose::Query && !ReportedLoad::is_warming_up(self.now()) {
+                self.send(&self.picture(report.zone, peer, report.sequence), peer);
             }
             return;
         }
         let query = {
             let state = &mut *self.state.borrow_mut();
-            let asked = |q: &Query| (q.turn, q.zone, q.aggregator) == (report.turn, report.zone, peer);
+            let asked = |q: &Query| (q.turn, q.zone, q.aggregator) == (report.sequence, report.zone, peer);
             // Not asked for, or too late.
             let Some(at) = state.queries.iter().position(asked) else { return };
             let query = state.queries.swap_remove(at);
--- a/dispatcher/src/siblings/mod.rs
+++ b/dispatcher/src/siblings/mod.rs
@@ -187,8 +187,9 @@
             Request::Introduce(other) => {
                 info!(sibling = other.process, "siblings: one has started");
                 self.introduced.borrow_mut().insert(other.process, other);
-                let lines =
-                    process.overrides.with(|table| table.prints().values().map(|r| log_line(r)).collect());
+                let lines = process
+                    .overrides
+                    .with(|table| table.by_fingerprint().values().map(|r| log_line(r)).collect());
                 Answer::Overrides(lines)
             }
             Request::Overrides(lines) => {
--- a/dispatcher/src/store/mod.rs
+++ b/dispatcher/src/store/mod.rs
@@ -258,7 +258,8 @@
     let mut pause = FIRST_PAUSE;
     loop {
         let revision = *revisions.borrow_and_update();
-        let records = || overrides.with(|table| table.prints().values().map(|r| (**r).clone()).collect());
+        let records =
+            || overrides.with(|table| table.by_fingerprint().values().map(|r| (**r).clone()).collect());
         match store.append_missing(records(), revision, progress.clone()).await {
             Ok(()) => {
                 pause = FIRST_PAUSE;
--- a/dispatcher/src/store/snapshot.rs
+++ b/dispatcher/src/store/snapshot.rs
@@ -1,7 +1,7 @@
 //! The snapshot of overrides that releases before the log kept, `overrides.snapshot`: read once at a start, so that what they
 //! held goes on. The first line names the form and the BLAKE3 hash of all that follows; then comes a record a line.
 
-use lineroute_control::overrides::{decode, unhex, Record};
+use lineroute_control::overrides::{decode, decode_hex, Record};
 use std::fs;
 use std::io;
 use std::path::Path;
@@ -40,7 +40,7 @@
     if blake3::hash(body.as_bytes()).to_hex().as_str() != hash {
         return Err("the checksum is wrong: it was cut short or changed".into());
     }
-    let record = |line: &str| decode(&unhex(line)?).ok();
+    let record = |line: &str| decode(&decode_hex(line)?).ok();
     let lines = body.lines();
     lines.map(|line| record(line).ok_or(format!("a line is no record: {line:.20}"))).collect()
 }
--- a/dispatcher/src/store/tests.rs
+++ b/dispatcher/src/store/tests.rs
@@ -2,7 +2,7 @@
 
 use super::log_file::LogFile;
 use super::*;
-use lineroute_control::overrides::{Order, Scope, Slot};
+use lineroute_control::overrides::{OverrideRequest, Scope, Slot};
 use std::fs::{self, OpenOptions};
 use std::io::Write;
 
@@ -18,7 +18,13 @@
     let mut table = Table::new("n1", 3_600_000);
     let set = |number| {
         let slot = Slot { worker: format!("w{number}").as_str().into(), scope: Scope::OutOfService };
-        let order = Order { slot, weight: None, until: now() + 60_000, by: "ama".into(), why: "test".into() };
+        let order = OverrideRequest {
+            slot,
+            weight: None,
+            until: now() + 60_000,
+            by: "ama".into(),
+            why: "test".into(),
+        };
         (*table.set(order, now()).expect("set")).clone()
     };
     (0..count).map(set).collect()
@@ -31,13 +37,13 @@
 }
 
 fn workers_out(table: &Table) -> Vec<String> {
-    table.forces(now()).out.iter().map(|worker| worker.to_string()).collect()
+    table.active(now()).out_of_service.iter().map(|worker| worker.to_string()).collect()
 }
 
 #[test]
 fn what_was_appended_is_read_back() {
     let dir = folder("back");
-    assert!(read_back(&dir).prints().is_empty(), "nothing was written yet");
+    assert!(read_back(&dir).by_fingerprint().is_empty(), "nothing was written yet");
     LogFile::open(&dir).expect("a log").appender().append(&records(2)).expect("appended");
     assert_eq!(workers_out(&read_back(&dir)), ["w0", "w1"]);
     let _ = fs::remove_dir_all(dir);
--- a/dispatcher/src/targets/beanstalkd.rs
+++ b/dispatcher/src/targets/beanstalkd.rs
@@ -256,7 +256,7 @@
         };
         let left = forward.until.saturating_duration_since(Instant::now());
         let permit = self.flows.send_permit(forward, None);
-        if permit.and_then(|permit| permit.is_current(Instant::now())).is_err() {
+        if permit.and_then(|permit| permit.check_age(Instant::now())).is_err() {
             // Drained, over or given up since it was decided: nothing is sent.
             self.flows.ended(ticket, Outcome::Moot, None);
             return false;
--- a/dispatcher/src/targets/gate.rs
+++ b/dispatcher/src/targets/gate.rs
@@ -60,7 +60,7 @@
     fn is_granted(&self, told: Told) -> bool {
         match self {
             Look::Attempt { permit, .. } => {
-                permit(told).and_then(|permit| permit.is_current(Instant::now())).is_ok()
+                permit(told).and_then(|permit| permit.check_age(Instant::now())).is_ok()
             }
             Look::Call(is_wanted) => is_wanted(),
         }
--- a/dispatcher/src/targets/upstream.rs
+++ b/dispatcher/src/targets/upstream.rs
@@ -195,7 +195,7 @@
         // The worker may have begun to drain, or the client have left, since this was decided. Nothing is awaited between
         // the permit and the write.
         let permit = self.0.flows.send_permit(forward, None);
-        if permit.and_then(|permit| permit.is_current(Instant::now())).is_err() {
+        if permit.and_then(|permit| permit.check_age(Instant::now())).is_err() {
             return Ending { blameless: true, ..never() };
         }
         let asked = forward.job.detail.as_ref().and_then(|d| d.downcast_ref::<Asked>());
--- a/dispatcher/tests/load_gossip.rs
+++ b/dispatcher/tests/load_gossip.rs
@@ -41,7 +41,7 @@
                 continue;
             }
             let report = LoadReport::decode(&bytes[..size]).expect("a report");
-            if report.purpose == Purpose::Ask {
+            if report.purpose == Purpose::Query {
                 answer(&socket, from, &report, aggregator);
             }
             if reports.send(report).is_err() {
@@ -59,20 +59,20 @@
 fn answer(socket: &UdpSocket, to: SocketAddr, asked: &LoadReport, aggregator: Aggregator) {
     let refused = |name: &str| vec![Tag::of(name)];
     let picture = |turn, name| LoadReport {
-        purpose: Purpose::Picture,
-        turn,
+        purpose: Purpose::Snapshot,
+        sequence: turn,
         zone: asked.zone,
-        out: Vec::new(),
+        in_flight: Vec::new(),
         refused: refused(name),
     };
     let said = match aggregator {
-        Aggregator::Refused(name) => vec![picture(asked.turn, name).encode()],
+        Aggregator::Refused(name) => vec![picture(asked.sequence, name).encode()],
         Aggregator::Rude => vec![
             vec![],
             vec![7; 5],
             vec![0x20; MAX_DATAGRAM + 3],
-            picture(asked.turn.wrapping_sub(1) & 15, "w0").encode(),
-            picture(asked.turn.wrapping_sub(2) & 15, "w1").encode(),
+            picture(asked.sequence.wrapping_sub(1) & 15, "w0").encode(),
+            picture(asked.sequence.wrapping_sub(2) & 15, "w1").encode(),
         ],
     };
     for bytes in said {
@@ -97,7 +97,7 @@
     }
     let await_report = |out: &[(Tag, u8)]| {
         let wait = Duration::from_secs(20);
-        while heard.recv_timeout(wait).expect("a report").out != out {}
+        while heard.recv_timeout(wait).expect("a report").in_flight != out {}
     };
     await_report(&[(Tag::of("w1"), 1)]);
     await_report(&[]);
@@ -109,7 +109,7 @@
     let (rig, heard) = rig(Aggregator::Rude);
     let at: Vec<usize> = (0..12).map(|i| serve(&rig, &format!("c{i}"))).collect();
     assert!(at.contains(&0) && at.contains(&1), "pictures that nobody asked for count for nothing: {at:?}");
-    assert!(heard.try_iter().any(|h| h.purpose == Purpose::Ask));
+    assert!(heard.try_iter().any(|h| h.purpose == Purpose::Query));
 }
 
 /// A worker that fails fast looks idle to counts alone: the aggregator is sent reports.
--- a/fleet/src/link.rs
+++ b/fleet/src/link.rs
@@ -185,7 +185,7 @@
         self.bytes.extend_from_slice(bytes);
         let Some((welcome, _)) = unframe::<Welcome>(&mut self.bytes)? else { return Ok(None) };
         let keys = &self.passport.keys;
-        if !keys.opens(&transcript(b"called", &self.hello, &welcome), &welcome.proof) {
+        if !keys.verifies(&transcript(b"called", &self.hello, &welcome), &welcome.proof) {
             return Err(Refusal::Key);
         }
         check(welcome.incarnation, self.passport.members)?;
@@ -251,11 +251,11 @@
             return Ok(Step::Say(frame(&welcome)));
         };
         let Some(proof) = self.bytes.first_chunk::<TAG>() else { return Ok(Step::More) };
-        if !keys.opens(talk, proof) {
+        if !keys.verifies(talk, proof) {
             return Err(Refusal::Key);
         }
         // The link's key comes of the key that the caller proved, which while keys are replaced may be the second.
-        let key = keys.either(talk, proof, |one| session(one, talk));
+        let key = keys.with_matching_key(talk, proof, |one| session(one, talk));
         let rest = self.bytes.split_off(TAG);
         Ok(Step::Open(*peer, Opener { key, count: 0, bytes: rest }))
     }
--- a/lab/src/scale/load_gossip.rs
+++ b/lab/src/scale/load_gossip.rs
@@ -109,10 +109,10 @@
         let out =
             (0..MOST_NAMED as usize).map(|_| (worker_tag(dice.u32(0..target::WORKERS as u32)), 1)).collect();
         LoadReport {
-            purpose: Purpose::Ask,
-            turn: turn as u8 & 15,
+            purpose: Purpose::Query,
+            sequence: turn as u8 & 15,
             zone: Tag::of("z00"),
-            out,
+            in_flight: out,
             refused: Vec::new(),
         }
     };
@@ -122,8 +122,8 @@
     let timer = ThreadTimer::start();
     for (at, report) in (0..).zip(&reports) {
         let now = 10_000 + u64::from(at / dispatchers) * 200;
-        aggregated.take(at % dispatchers, report, now);
-        answered += aggregated.picture(at % dispatchers, now, |_| true).0.len();
+        aggregated.apply(at % dispatchers, report, now);
+        answered += aggregated.snapshot(at % dispatchers, now, |_| true).0.len();
     }
     std::hint::black_box(answered);
     timer.seconds() / f64::from(TURNS * dispatchers)
--- a/lab/src/scale/overrides.rs
+++ b/lab/src/scale/overrides.rs
@@ -2,7 +2,7 @@
 
 use super::report::{Mechanism, Options, Role, Row, SizeUnit};
 use super::target;
-use lineroute_control::overrides::{Order, Scope, Slot, Table};
+use lineroute_control::overrides::{OverrideRequest, Scope, Slot, Table};
 use lineroute_control::peers::{Gossip, KeyRing, Outgoing};
 use lineroute_control::Millis;
 use std::collections::BTreeMap;
@@ -155,7 +155,7 @@
 
     fn set_override(&mut self) {
         let (gossip, table) = &mut self.dispatchers[0];
-        let order = Order {
+        let order = OverrideRequest {
             slot: Slot { worker: "w00001".into(), scope: Scope::OutOfService },
             weight: None,
             until: self.now + HOUR / 2,
@@ -168,7 +168,7 @@
     }
 
     fn all_know(&self) -> bool {
-        self.dispatchers.iter().all(|(_, table)| !table.prints().is_empty())
+        self.dispatchers.iter().all(|(_, table)| !table.by_fingerprint().is_empty())
     }
 }
 
--- a/lab/src/scale/watch.rs
+++ b/lab/src/scale/watch.rs
@@ -219,7 +219,8 @@
         let now = self.now;
         let watcher = &self.watchers[dispatcher as usize];
         let wait = watcher.wait;
-        let within = if wait == 0 { watcher.schedule.patience() * MILLISECOND } else { wait + NEWS_WITHIN };
+        let within =
+            if wait == 0 { watcher.schedule.answer_timeout() * MILLISECOND } else { wait + NEWS_WITHIN };
         let version = watcher.version;
         let is_cut = self.cut_of(dispatcher).is_some_and(|cut| (cut.from..cut.to).contains(&now));
         let (at, answer) = match is_cut || self.is_lost() {
@@ -304,7 +305,7 @@
         let watched = std::mem::take(&mut watcher.wait) > 0;
         let failure = if silent { CallFailure::Silent } else { CallFailure::Unreachable };
         let failed = FailedCall { watched, failure, took: (now - asked) / MILLISECOND };
-        let soon = watcher.schedule.call_again_after(failed);
+        let soon = watcher.schedule.retry_delay(failed);
         let next = match soon {
             Some(delay) => now + delay * MILLISECOND,
             None => {
--- a/permit/src/audit.rs
+++ b/permit/src/audit.rs
@@ -41,7 +41,7 @@
     /// The list is valid.
     pub list_valid: bool,
     /// Since when the list has had the worker as draining or gone, and how long sends may go on then.
-    pub unready: Option<(Instant, Duration)>,
+    pub not_ready_since: Option<(Instant, Duration)>,
     /// Since when this process knows that an operator has taken the worker out.
     pub out_of_service: Option<Instant>,
     /// Since when the client is gone.
@@ -53,7 +53,7 @@
     /// The time that the worker was told is left.
     pub passed_on: Option<Duration>,
     /// Attempts of the request that are out, this one included.
-    pub out: usize,
+    pub attempts_in_flight: usize,
 }
 
 impl SendAudit {
@@ -62,7 +62,7 @@
         let late = |since: Instant, slack: Duration| self.now.saturating_duration_since(since) > slack;
         let left = self.deadline.saturating_duration_since(self.now);
         let found = [
-            (self.unready.is_some_and(|(since, grace)| late(since, grace)), Violation::DrainedWorker),
+            (self.not_ready_since.is_some_and(|(since, grace)| late(since, grace)), Violation::DrainedWorker),
             (
                 self.out_of_service.is_some_and(|since| late(since, HELD_UP_SLACK)),
                 Violation::WorkerOutOfService,
@@ -72,7 +72,7 @@
             (late(self.deadline, HELD_UP_SLACK), Violation::DeadlineOver),
             (self.passed_on.is_some_and(|told| told > left + HELD_UP_SLACK), Violation::PassedOnTooMuch),
             (self.repeat_until.is_some_and(|until| late(until, HELD_UP_SLACK)), Violation::RepeatWindowOver),
-            (self.out > 1, Violation::SecondAttempt),
+            (self.attempts_in_flight > 1, Violation::SecondAttempt),
         ];
         found.into_iter().filter(|(broken, _)| *broken).map(|(_, violation)| violation)
     }
--- a/permit/src/close.rs
+++ b/permit/src/close.rs
@@ -7,20 +7,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
     /// Nothing of a request has come since the last answer, or since the start.
-    AtRest,
+    Idle,
     /// A request is coming and not whole.
-    Coming,
+    Receiving,
     /// A request is in hand: its client is owed an answer.
-    Owed,
+    AwaitingResponse,
     /// An answer has begun and not ended.
-    Answering,
+    Responding,
 }
 
 /// Why it would end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// The client has ended it, or it broke.
-    PeerLeft,
+    ClientClosed,
     /// A request was late, too long or malformed; its client is told so.
     BadRequest,
     /// Its slot is needed for another connection.
@@ -28,7 +28,7 @@
     /// The process stops.
     Stopping,
     /// The server is done with it: its last answer said that it ends it, or it was kept for its time.
-    ServerDone,
+    ServerFinished,
 }
 
 /// What is known when the connection would be ended.
@@ -63,9 +63,9 @@
     /// Why it must stay.
     pub fn permit(&self) -> Result<ClosePermit, CloseRefusal> {
         match (self.reason, self.state) {
-            (CloseReason::PeerLeft | CloseReason::BadRequest, _) => Ok(ClosePermit(())),
-            (_, ConnectionState::Owed) => Err(CloseRefusal::AnswerOwed),
-            (CloseReason::SlotNeeded | CloseReason::Stopping, ConnectionState::Answering) => {
+            (CloseReason::ClientClosed | CloseReason::BadRequest, _) => Ok(ClosePermit(())),
+            (_, ConnectionState::AwaitingResponse) => Err(CloseRefusal::AnswerOwed),
+            (CloseReason::SlotNeeded | CloseReason::Stopping, ConnectionState::Responding) => {
                 Err(CloseRefusal::AnswerOnItsWay)
             }
             _ => Ok(ClosePermit(())),
--- a/permit/src/lib.rs
+++ b/permit/src/lib.rs
@@ -9,7 +9,7 @@
 //! | start of a request | [`StartFacts`] | [`StartPermit`] | [`StartRefusal`] |
 //!
 //! A permit has no public constructor, is neither copied nor kept: whoever acts takes it by value. A send permit is short
-//! lived as well ([`SendPermit::is_current`]).
+//! lived as well ([`SendPermit::check_age`]).
 //!
 //! [`audit`] judges what was done by facts taken behind the act, with rules stated anew and not shared with the permits: a
 //! [`Violation`] is a fault of the program, whatever the outside did.
@@ -26,9 +26,9 @@
 
 pub use audit::Violation;
 pub use close::{CloseFacts, ClosePermit, CloseReason, CloseRefusal, ConnectionState};
-pub use retry::{EarlierAttempts, RetryFacts, RetryPermit, RetryRefusal, SideEffect};
+pub use retry::{EarlierAttempts, RepeatSafety, RetryFacts, RetryPermit, RetryRefusal};
 pub use send::{
     AttemptState, ClientState, ListValidity, OperatorState, SendFacts, SendPermit, SendRefusal, WorkerFacts,
-    WorkerStage, HOLD_UP,
+    WorkerStage, STALL_ALLOWANCE,
 };
 pub use start::{ProcessState, StartFacts, StartPermit, StartRefusal};
--- a/permit/src/retry.rs
+++ b/permit/src/retry.rs
@@ -6,13 +6,13 @@
 
 /// What a second run of a request would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SideEffect {
+pub enum RepeatSafety {
     /// Nothing.
-    None,
+    Idempotent,
     /// Nothing, while workers know the key.
-    NoneByKey,
+    IdempotentByKey,
     /// Harm.
-    Harm,
+    NotIdempotent,
 }
 
 /// What became of the attempts before.
@@ -33,11 +33,11 @@
     /// The clock.
     pub now: Instant,
     /// What a second run would do.
-    pub effect: SideEffect,
+    pub effect: RepeatSafety,
     /// The attempts before.
     pub earlier: EarlierAttempts,
     /// Another attempt of the request is out.
-    pub is_out: bool,
+    pub has_attempt_in_flight: bool,
 }
 
 /// Why no further attempt may be made.
@@ -65,13 +65,15 @@
     /// # Errors
     /// Why it must not.
     pub fn permit(&self) -> Result<RetryPermit, RetryRefusal> {
-        if self.is_out {
+        if self.has_attempt_in_flight {
             return Err(RetryRefusal::AnotherIsOut);
         }
         match (self.effect, self.earlier) {
-            (SideEffect::None, _) | (_, EarlierAttempts::NeverRan) => Ok(RetryPermit(())),
-            (SideEffect::Harm, EarlierAttempts::MayHaveRun { .. }) => Err(RetryRefusal::MayHaveRun),
-            (SideEffect::NoneByKey, EarlierAttempts::MayHaveRun { repeat_until }) => {
+            (RepeatSafety::Idempotent, _) | (_, EarlierAttempts::NeverRan) => Ok(RetryPermit(())),
+            (RepeatSafety::NotIdempotent, EarlierAttempts::MayHaveRun { .. }) => {
+                Err(RetryRefusal::MayHaveRun)
+            }
+            (RepeatSafety::IdempotentByKey, EarlierAttempts::MayHaveRun { repeat_until }) => {
                 if repeat_until.is_some_and(|until| self.now < until) {
                     Ok(RetryPermit(()))
                 } else {
--- a/permit/src/send.rs
+++ b/permit/src/send.rs
@@ -6,7 +6,7 @@
 
 /// A process may be held up for so long between its clock and its write: spans that others keep too, of which the end must
 /// not be crossed, end earlier by this.
-pub const HOLD_UP: Duration = Duration::from_millis(150);
+pub const STALL_ALLOWANCE: Duration = Duration::from_millis(150);
 /// The time that a worker is told may be more than what is left by this: hold-ups that show in no clock are less.
 const PASSED_ON_SLACK: Duration = Duration::from_millis(100);
 /// A permit is good for so long: it is made in the step that writes.
@@ -49,18 +49,18 @@
     /// What the list says now; `None`: it never named the worker.
     pub stage: Option<WorkerStage>,
     /// What it said when the attempt was decided.
-    pub decided_at: WorkerStage,
+    pub stage_when_decided: WorkerStage,
     /// What operators say now, to whichever process of the dispatcher.
-    pub operators: OperatorState,
+    pub operator_state: OperatorState,
 }
 
 /// What became of the attempt since it was decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptState {
     /// It is the one attempt of its request that is out.
-    Out,
+    InFlight,
     /// It has been given up, or has ended.
-    Over,
+    Ended,
 }
 
 /// Who waits for the answer.
@@ -144,7 +144,7 @@
     /// # Errors
     /// Why it must not.
     pub fn permit(&self) -> Result<SendPermit, SendRefusal> {
-        if self.attempt == AttemptState::Over {
+        if self.attempt == AttemptState::Ended {
             return Err(SendRefusal::AttemptOver);
         }
         if self.client == ClientState::Gone {
@@ -167,10 +167,10 @@
         }
         match self.worker.stage {
             None => return Err(SendRefusal::WorkerUnknown),
-            Some(stage) if stage != self.worker.decided_at => return Err(SendRefusal::WorkerChanged),
+            Some(stage) if stage != self.worker.stage_when_decided => return Err(SendRefusal::WorkerChanged),
             Some(_) => {}
         }
-        if self.worker.operators == OperatorState::OutOfService {
+        if self.worker.operator_state == OperatorState::OutOfService {
             return Err(SendRefusal::WorkerOutOfService);
         }
         Ok(SendPermit { made: self.now })
@@ -182,7 +182,7 @@
     ///
     /// # Errors
     /// It was kept too long: the facts have to be looked at anew.
-    pub fn is_current(self, now: Instant) -> Result<(), SendRefusal> {
+    pub fn check_age(self, now: Instant) -> Result<(), SendRefusal> {
         if now.saturating_duration_since(self.made) > PERMIT_LIFETIME {
             return Err(SendRefusal::PermitOld);
         }
--- a/permit/tests/permits.rs
+++ b/permit/tests/permits.rs
@@ -14,10 +14,10 @@
         list: ListValidity::Valid,
         worker: WorkerFacts {
             stage: Some(WorkerStage::Ready),
-            decided_at: WorkerStage::Ready,
-            operators: OperatorState::InService,
+            stage_when_decided: WorkerStage::Ready,
+            operator_state: OperatorState::InService,
         },
-        attempt: AttemptState::Out,
+        attempt: AttemptState::InFlight,
         client: ClientState::Waiting,
         deadline: now + SECOND,
         repeat_until: Some(now + SECOND),
@@ -35,7 +35,7 @@
 fn each_fact_alone_refuses_a_first_byte() {
     use SendRefusal::*;
     assert_eq!(refusal(|_| {}), None);
-    assert_eq!(refusal(|f| f.attempt = AttemptState::Over), Some(AttemptOver));
+    assert_eq!(refusal(|f| f.attempt = AttemptState::Ended), Some(AttemptOver));
     assert_eq!(refusal(|f| f.client = ClientState::Gone), Some(ClientGone));
     assert_eq!(refusal(|f| f.deadline = f.now), Some(DeadlineOver));
     assert_eq!(refusal(|f| f.repeat_until = Some(f.now)), Some(RepeatWindowOver));
@@ -45,15 +45,15 @@
     assert_eq!(refusal(|f| f.worker.stage = None), Some(WorkerUnknown));
     assert_eq!(refusal(|f| f.worker.stage = Some(WorkerStage::Draining)), Some(WorkerChanged));
     assert_eq!(refusal(|f| f.worker.stage = Some(WorkerStage::Gone)), Some(WorkerChanged));
-    assert_eq!(refusal(|f| f.worker.operators = OperatorState::OutOfService), Some(WorkerOutOfService));
+    assert_eq!(refusal(|f| f.worker.operator_state = OperatorState::OutOfService), Some(WorkerOutOfService));
 }
 
 #[test]
 fn a_send_permit_is_not_kept() {
     let now = Instant::now();
     let made = || sendable(now).permit().expect("a permit");
-    assert_eq!(made().is_current(now), Ok(()));
-    assert_eq!(made().is_current(now + HOLD_UP), Err(SendRefusal::PermitOld));
+    assert_eq!(made().check_age(now), Ok(()));
+    assert_eq!(made().check_age(now + STALL_ALLOWANCE), Err(SendRefusal::PermitOld));
 }
 
 #[test]
@@ -62,19 +62,27 @@
     let now = Instant::now();
     let (open, over) = (Some(now + SECOND), Some(now));
     let table = [
-        (SideEffect::None, NeverRan, None),
-        (SideEffect::None, MayHaveRun { repeat_until: None }, None),
-        (SideEffect::Harm, NeverRan, None),
-        (SideEffect::Harm, MayHaveRun { repeat_until: None }, Some(RetryRefusal::MayHaveRun)),
-        (SideEffect::NoneByKey, NeverRan, None),
-        (SideEffect::NoneByKey, MayHaveRun { repeat_until: open }, None),
-        (SideEffect::NoneByKey, MayHaveRun { repeat_until: over }, Some(RetryRefusal::RepeatWindowOver)),
-        (SideEffect::NoneByKey, MayHaveRun { repeat_until: None }, Some(RetryRefusal::RepeatWindowOver)),
+        (RepeatSafety::Idempotent, NeverRan, None),
+        (RepeatSafety::Idempotent, MayHaveRun { repeat_until: None }, None),
+        (RepeatSafety::NotIdempotent, NeverRan, None),
+        (RepeatSafety::NotIdempotent, MayHaveRun { repeat_until: None }, Some(RetryRefusal::MayHaveRun)),
+        (RepeatSafety::IdempotentByKey, NeverRan, None),
+        (RepeatSafety::IdempotentByKey, MayHaveRun { repeat_until: open }, None),
+        (
+            RepeatSafety::IdempotentByKey,
+            MayHaveRun { repeat_until: over },
+            Some(RetryRefusal::RepeatWindowOver),
+        ),
+        (
+            RepeatSafety::IdempotentByKey,
+            MayHaveRun { repeat_until: None },
+            Some(RetryRefusal::RepeatWindowOver),
+        ),
     ];
     for (effect, earlier, refusal) in table {
-        let facts = RetryFacts { now, effect, earlier, is_out: false };
+        let facts = RetryFacts { now, effect, earlier, has_attempt_in_flight: false };
         assert_eq!(facts.permit().err(), refusal, "{facts:?}");
-        let facts = RetryFacts { is_out: true, ..facts };
+        let facts = RetryFacts { has_attempt_in_flight: true, ..facts };
         assert_eq!(facts.permit().err(), Some(RetryRefusal::AnotherIsOut));
     }
 }
@@ -83,14 +91,18 @@
 fn a_connection_that_owes_an_answer_ends_only_for_its_client() {
     use CloseReason::*;
     let closes = |state, reason| CloseFacts { state, reason }.permit().is_ok();
-    for reason in [PeerLeft, BadRequest] {
-        assert!(closes(ConnectionState::Owed, reason) && closes(ConnectionState::Answering, reason));
+    for reason in [ClientClosed, BadRequest] {
+        assert!(
+            closes(ConnectionState::AwaitingResponse, reason) && closes(ConnectionState::Responding, reason)
+        );
     }
-    for reason in [SlotNeeded, Stopping, ServerDone] {
-        assert!(!closes(ConnectionState::Owed, reason));
-        assert!(closes(ConnectionState::AtRest, reason) && closes(ConnectionState::Coming, reason));
+    for reason in [SlotNeeded, Stopping, ServerFinished] {
+        assert!(!closes(ConnectionState::AwaitingResponse, reason));
+        assert!(closes(ConnectionState::Idle, reason) && closes(ConnectionState::Receiving, reason));
     }
-    assert!(!closes(ConnectionState::Answering, SlotNeeded) && !closes(ConnectionState::Answering, Stopping));
+    assert!(
+        !closes(ConnectionState::Responding, SlotNeeded) && !closes(ConnectionState::Responding, Stopping)
+    );
 }
 
 #[test]
@@ -108,13 +120,13 @@
     let audit = SendAudit {
         now,
         list_valid: false,
-        unready: Some((now - SECOND, SECOND / 2)),
+        not_ready_since: Some((now - SECOND, SECOND / 2)),
         out_of_service: Some(now - SECOND),
         client_gone: Some(now - SECOND),
         deadline: now - SECOND,
         repeat_until: Some(now - SECOND),
         passed_on: Some(SECOND),
-        out: 2,
+        attempts_in_flight: 2,
     };
     let all = [
         Violation::DrainedWorker,
@@ -147,10 +159,10 @@
             list,
             worker: WorkerFacts {
                 stage: stages[usize::from(stage)],
-                decided_at: WorkerStage::Ready,
-                operators: if in_service { OperatorState::InService } else { OperatorState::OutOfService },
+                stage_when_decided: WorkerStage::Ready,
+                operator_state: if in_service { OperatorState::InService } else { OperatorState::OutOfService },
             },
-            attempt: if out { AttemptState::Out } else { AttemptState::Over },
+            attempt: if out { AttemptState::InFlight } else { AttemptState::Ended },
             client: if waits { ClientState::Waiting } else { ClientState::Gone },
             deadline: at(deadline),
             repeat_until: window.map(at),
@@ -159,13 +171,13 @@
         let audit = SendAudit {
             now,
             list_valid: list == ListValidity::Valid,
-            unready: (stage > 1).then_some((start, SECOND / 2)),
+            not_ready_since: (stage > 1).then_some((start, SECOND / 2)),
             out_of_service: (!in_service).then_some(start),
             client_gone: (!waits).then_some(start),
             deadline: at(deadline),
             repeat_until: window.map(at),
             passed_on: told.map(Duration::from_millis),
-            out: 1,
+            attempts_in_flight: 1,
         };
         if facts.permit().is_ok() {
             prop_assert_eq!(audit.violations().next(), None);
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -10,7 +10,7 @@
 /// The module's settings, and what only a program on sockets needs beside them: names, which the
 /// sockets carry where the simulator's wire has positions, and the limit on connecting.
 #[derive(Clone, Debug)]
-pub struct Site {
+pub struct PlatformSettings {
     pub settings: Settings,
     pub classes: Vec<String>,
     pub tenants: Vec<String>,
@@ -20,11 +20,11 @@
     /// How long sends to a worker that drains may go on once that is told.
     pub drain_grace: Micros,
     /// Dispatchers may send one another datagrams.
-    pub peers: bool,
+    pub peer_messages_allowed: bool,
     /// The dispatcher's number in its tier.
-    pub number: Option<u32>,
+    pub self_index: Option<u32>,
     /// What a full message of 256 bytes a request costs, delivered once, in parts of its worth.
-    pub peer_price: f64,
+    pub peer_message_price: f64,
 }
 
 #[derive(Deserialize)]
@@ -202,7 +202,7 @@
 }
 
 /// Reads and checks the settings; an error names the key.
-pub fn parse(text: &str) -> Result<Site, String> {
+pub fn parse(text: &str) -> Result<PlatformSettings, String> {
     let mut json = serde_json::Deserializer::from_str(text);
     let raw: Raw = serde_path_to_error::deserialize(&mut json).map_err(|e| {
         let path = e.path().to_string();
@@ -288,16 +288,16 @@
     settings.validate().map_err(|e| e.to_string())?;
     let class_names = raw.classes.iter().enumerate().map(|(i, c)| c.name.clone().unwrap_or(i.to_string()));
     let tenant_names = raw.tenants.iter().enumerate().map(|(i, t)| t.name.clone().unwrap_or(i.to_string()));
-    Ok(Site {
+    Ok(PlatformSettings {
         classes: class_names.collect(),
         tenants: tenant_names.collect(),
         zones: raw.azs,
         kinds: raw.skus,
         connect_timeout: micros(raw.allowed.connect_timeout_ms),
         drain_grace: micros(raw.rules.drain_grace_ms),
-        peers: raw.allowed.peers,
-        number: raw.self_index,
-        peer_price: raw.prices.peer,
+        peer_messages_allowed: raw.allowed.peers,
+        self_index: raw.self_index,
+        peer_message_price: raw.prices.peer,
         settings,
     })
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -5,7 +5,7 @@
 use common::{entry, request, settings, Host, MS};
 use lineroute::*;
 use lineroute_control::call_failure::CallFailure;
-use lineroute_control::watch::{FailedCall, WatchSchedule, MAX_RETRY_DELAY, TOLD_AFTER};
+use lineroute_control::watch::{FailedCall, WatchSchedule, MAX_RETRY_DELAY, PROPAGATION_BOUND};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How a call fails that was silent, or that discovery could not be reached for.
@@ -112,7 +112,7 @@
                 self.answered_at = None;
                 let watched = std::mem::take(&mut self.wait) > 0;
                 let took = (failed - now) / MS;
-                let soon = self.schedule.call_again_after(FailedCall {
+                let soon = self.schedule.retry_delay(FailedCall {
                     watched,
                     failure: CallFailure::Unreachable,
                     took,
@@ -192,7 +192,7 @@
             for seed in 0..12 {
                 let day = watch_for_a_day(dispatchers, call_cost, seed);
                 assert!(
-                    day.longest <= TOLD_AFTER * MS,
+                    day.longest <= PROPAGATION_BOUND * MS,
                     "{dispatchers} dispatchers whose watches take {whole_tier} us, seed {seed}: {} us",
                     day.longest
                 );
@@ -221,14 +221,13 @@
             for (watched, silent, took) in
                 [(true, true, 20_000), (false, true, 10_000), (true, false, 5000), (false, false, 2000)]
             {
-                let next =
-                    schedule.call_again_after(FailedCall { watched, failure: failure_of(silent), took });
+                let next = schedule.retry_delay(FailedCall { watched, failure: failure_of(silent), took });
                 assert!(next.unwrap_or(0) <= MAX_RETRY_DELAY);
                 assert!(next.is_some_and(|next| next <= 100) || (watched && !silent), "{next:?}");
             }
             // Turned away at once.
             let refused = FailedCall { watched: false, failure: CallFailure::Unreachable, took: 3 };
-            assert_eq!(schedule.call_again_after(refused), None);
+            assert_eq!(schedule.retry_delay(refused), None);
         }
     }
 }
@@ -240,16 +239,16 @@
     let silent = FailedCall { watched: false, failure: CallFailure::Silent, took: 10_000 };
     let mut last = 0;
     for _ in 0..3 {
-        assert!(schedule.patience() > last.max(TOLD_AFTER));
-        last = schedule.patience();
-        schedule.call_again_after(silent);
+        assert!(schedule.answer_timeout() > last.max(PROPAGATION_BOUND));
+        last = schedule.answer_timeout();
+        schedule.retry_delay(silent);
     }
     for _ in 0..100 {
-        schedule.call_again_after(silent);
+        schedule.retry_delay(silent);
     }
-    assert!(schedule.patience() <= 40_000);
+    assert!(schedule.answer_timeout() <= 40_000);
     schedule.answered();
-    assert_eq!(schedule.patience(), WatchSchedule::new(300, 1).patience());
+    assert_eq!(schedule.answer_timeout(), WatchSchedule::new(300, 1).answer_timeout());
 }
 
 /// The module's wait after a failure does not grow with the tier, nor with the failures, beyond a third of the bound.
@@ -275,7 +274,7 @@
 fn a_small_tier_calls_at_once() {
     let mut schedule = WatchSchedule::new(3, 1);
     let ended = FailedCall { watched: true, failure: CallFailure::Unreachable, took: 500 };
-    assert_eq!((schedule.wait(), schedule.call_again_after(ended)), (1000, None));
+    assert_eq!((schedule.wait(), schedule.retry_delay(ended)), (1000, None));
 }
 
 /// Workers of one size, and a hundred instances that each see little of them. Returns the most jobs of all that met at
@@ -427,7 +426,7 @@
         let mut schedule = WatchSchedule::new(300, seed);
         for watched in [false, true] {
             let failed = FailedCall { watched, failure: CallFailure::NotMade, took: 0 };
-            let delay = schedule.call_again_after(failed);
+            let delay = schedule.retry_delay(failed);
             assert!(delay.is_some_and(|delay| (50..=250).contains(&delay)), "{delay:?}");
         }
     }
