--- a/control/src/admin_console.rs
+++ b/control/src/admin_console.rs
@@ -1,35 +1,35 @@
-//! The protocol of the line-protocol admin console: one command a connection, one line each way. A command is a line of
-//! text; the answer begins with `OK` or `ERR`. This parses commands and knows no sockets or time.
+//! Protocol of the line-based admin console: one command per connection, one line in each direction. A
+//! command is a line of text; the answer begins with `OK` or `ERR`. This module only parses commands.
 //!
-//! Refused are: lines that never end (a bound in bytes), bytes that are not text, arguments beyond those that a command
-//! takes, and names that no override could hold.
+//! Rejected are lines that exceed the size limit, bytes that are not UTF-8 text, surplus arguments, and names
+//! that are too long for an override.
 
 use crate::overrides::MAX_NAME_LEN;
 
-/// A command line holds so many bytes at most, its end of line included.
+/// Maximum length of a command line in bytes, including the line terminator.
 pub const MAX_LINE: usize = 256;
 
-/// A command of an operator.
+/// An operator's command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Whether this process can serve.
+    /// Asks whether this process can serve requests.
     Health,
-    /// Nothing new goes to this worker until it is uncordoned.
+    /// Excludes a worker from new jobs until it is uncordoned.
     Cordon(String),
-    /// The worker may serve again.
+    /// Makes a worker eligible for jobs again.
     Uncordon(String),
 }
 
-/// What the bytes received so far amount to.
+/// Result of parsing the bytes received so far.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Parsed {
-    /// No end of line yet, and there is room for more.
+    /// The line is incomplete and below the size limit.
     Incomplete,
-    /// A whole line, parsed as a command, or the reason why it is none.
+    /// A complete line: the command, or the reason why it is invalid.
     Complete(Result<Command, String>),
 }
 
-/// Parses what has come on a connection so far. Bytes after the first end of line are not looked at.
+/// Parses the bytes received on a connection so far. Bytes after the first line are ignored.
 pub fn parse(bytes: &[u8]) -> Parsed {
     match bytes.iter().position(|b| *b == b'\n') {
         Some(end) => Parsed::Complete(parse_line(&bytes[..end])),
@@ -40,10 +40,11 @@
     }
 }
 
-/// Parses one line, its end of line taken away.
+/// Parses one line without its terminator.
 ///
 /// # Errors
-/// A reason that can follow `ERR`: the line is empty, not text, or no known command.
+///
+/// The reason to send after `ERR`: the line is empty, not text, or not a known command.
 fn parse_line(line: &[u8]) -> Result<Command, String> {
     let line = line.strip_suffix(b"\r").unwrap_or(line);
     let text = std::str::from_utf8(line).map_err(|_| "the line is not UTF-8 text".to_owned())?;
--- a/control/src/call_failure.rs
+++ b/control/src/call_failure.rs
@@ -1,17 +1,19 @@
-//! Why a call for the worker list brought none, as far as the list's validity and the next call depend on it.
+//! Reasons why a request for the worker list failed, as far as the list's validity and the next request
+//! depend on them.
 
-/// How a call for the list came to nothing.
+/// Why a request for the list failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
-    /// No connection came up.
+    /// The connection could not be established.
     Unreachable,
-    /// The connection stood and was reset, or the answer was a status that turns the call away: discovery is down, or too many
-    /// calls wait there.
+    /// The connection was established and then reset, or the response status rejected the request: discovery
+    /// is down or overloaded.
     TurnedAway,
-    /// The connection stood, and nothing came in time: the call may stand in a queue, or its peer has vanished.
+    /// The connection was established, but no response arrived in time: the request may still be queued, or
+    /// the server has vanished.
     Silent,
-    /// What came was no list.
+    /// The response was not a worker list.
     Unreadable,
-    /// This machine could not make the call: discovery may be there, and have something to tell.
+    /// This machine could not issue the request, so the failure says nothing about discovery.
     NotMade,
 }
--- a/control/src/discovery_report.rs
+++ b/control/src/discovery_report.rs
@@ -1,37 +1,40 @@
-//! Reports between the dispatchers of a tier that discovery has answered one of them.
+//! Reports by which a dispatcher tells the others of its tier that discovery has answered it.
 //!
-//! A discovery that refuses calls because too many wait looks to each caller like one that is away. Those that it does answer
-//! tell the others by a [`DiscoveryReport`], and [`crate::list_status`] no longer takes a refusal for an outage where such a
-//! report came just before. A report shortens how long a list is acted on and never lengthens it, and it names no workers: so
-//! one that is lost, late or false can't bring a dispatcher to send by an older list.
+//! To each client, a discovery service that rejects requests because too many are queued looks the same as
+//! one that is down. Dispatchers that do get an answer send a [`DiscoveryReport`] to the others, and shortly
+//! after such a report [`crate::list_status`] no longer takes a rejection for an outage. A report can only
+//! shorten the time for which a list is valid, and it names no workers, so a lost, late or forged report
+//! cannot make a dispatcher send by an older list.
 //!
-//! A report is sent to the whole tier. [`ReportSchedule`] bounds their number by time, not by the size of the tier.
+//! A report goes to the whole tier. [`ReportSchedule`] limits the number of reports by time, independent of
+//! the size of the tier.
 
 use crate::Millis;
 
-/// The first byte of a report: no load report begins so ([`crate::load_gossip`]).
+/// First byte of a report; no load report ([`crate::load_gossip`]) begins with it.
 const KIND: u8 = 0x30;
-/// A report's size in bytes: its kind and the version.
+/// Size of a report in bytes: its kind and the version.
 pub const REPORT_SIZE: usize = 1 + size_of::<u64>();
-/// Between two reports of a tier about one version, about: calls that are refused were held for longer.
+/// Approximate interval between two reports of a tier about one version. Requests that discovery rejects have
+/// been held for longer than this.
 pub const REPORT_GAP: Millis = 250;
 
-/// Discovery has answered the sender.
+/// States that discovery has answered the sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DiscoveryReport {
-    /// The version of the list that discovery had then.
+    /// Version of the list that discovery answered with.
     pub version: u64,
 }
 
 impl DiscoveryReport {
-    /// The report as bytes.
+    /// Encodes the report.
     pub fn encode(self) -> [u8; REPORT_SIZE] {
         let mut bytes = [KIND; REPORT_SIZE];
         bytes[1..].copy_from_slice(&self.version.to_be_bytes());
         bytes
     }
 
-    /// Reads a report; `None`: it is none.
+    /// Decodes a report; `None` if `bytes` is not one.
     pub fn decode(bytes: &[u8]) -> Option<DiscoveryReport> {
         let (kind, version) = bytes.split_first()?;
         let version = u64::from_be_bytes(version.try_into().ok()?);
@@ -39,19 +42,20 @@
     }
 }
 
-/// When one dispatcher reports: where no report of this version, or of a later one, was sent or heard lately.
+/// Decides when one dispatcher sends a report: only if none about this or a later version was sent or
+/// received within [`REPORT_GAP`].
 #[derive(Debug, Default)]
 pub struct ReportSchedule {
     last: Option<(Millis, DiscoveryReport)>,
 }
 
 impl ReportSchedule {
-    /// A peer has sent a report.
+    /// Records a report received from a peer.
     pub fn peer_reported(&mut self, now: Millis, report: DiscoveryReport) {
         self.last = Some((now, report));
     }
 
-    /// Discovery has answered a call that took its turn; whether that has to be reported.
+    /// Records that discovery answered a request that did not wait for changes; returns whether to report it.
     pub fn answered(&mut self, now: Millis, report: DiscoveryReport) -> bool {
         let is_known =
             self.last.is_some_and(|(at, last)| now < at + REPORT_GAP && last.version >= report.version);
--- a/control/src/list_status.rs
+++ b/control/src/list_status.rs
@@ -1,29 +1,31 @@
-//! How far the worker list of one dispatcher can be relied on.
+//! Validity of one dispatcher's worker list.
 //!
-//! A list is a statement about one moment. What discovery has to tell from then on counts as told after a bounded time,
-//! whether it arrived or not, and from there on the list must not be acted on. [`ListStatus`] keeps that time from what
-//! happened to the calls for the list: when each began, how long it may wait, and how it ended.
+//! A list describes one moment. Every later change counts as published after a bounded time, whether or not
+//! it has arrived, and from then on the list must not be acted on. [`ListStatus`] derives that time from the
+//! requests for the list: when each one began, how long it may wait, and how it ended.
 //!
 //! | state | meaning | valid |
 //! | --- | --- | --- |
-//! | [`ListState::Unconfirmed`] | discovery has answered nothing since the start | not at all: the age of the list is not known |
-//! | [`ListState::Confirmed`] | an answer has come, and no watch stands | [`UNCONFIRMED_VALIDITY`] from the answer |
-//! | [`ListState::Watched`] | a watch stands: a change ends its wait | until [`WATCH_SILENCE_GRACE`] after its wait, since it may have fallen silent |
-//! | [`ListState::Unreachable`] | the last call found nobody | [`UNCONFIRMED_VALIDITY`] from the end of each such call |
-//! | [`ListState::TurnedAway`] | the last call was turned away | the same, unless a crowd may have been the reason; a newer list that a peer reports leaves [`NEWER_LIST_VALIDITY`] |
-//! | [`ListState::Expired`] | none of these times is left | not at all |
+//! | [`ListState::Unconfirmed`] | discovery has not answered since the start | never: the age of the list is unknown |
+//! | [`ListState::Confirmed`] | discovery has answered, and no watch is established | for [`UNCONFIRMED_VALIDITY`] from the answer |
+//! | [`ListState::Watched`] | a watch is established; a change ends its wait | until [`WATCH_SILENCE_GRACE`] after its wait, since it may have fallen silent |
+//! | [`ListState::Unreachable`] | the last request could not connect | for [`UNCONFIRMED_VALIDITY`] from the end of each such request |
+//! | [`ListState::TurnedAway`] | the last request was rejected | as above, unless congestion may be the reason; for [`NEWER_LIST_VALIDITY`] once a peer reports a newer list |
+//! | [`ListState::Expired`] | all of these times have passed | never |
 //!
-//! A discovery that turns calls away may be down, or crowded. Where dispatchers of a tier talk, those that it answers report it
-//! ([`ListStatus::peer_answered`]), and calls that are turned away about then say nothing of an outage. Where they don't, and the
-//! whole tier's calls may keep discovery busy for longer than [`UNCONFIRMED_VALIDITY`] ([`ServiceTimeEstimate`]), nothing tells a crowd from an
-//! outage in time: a call that is turned away then confirms nothing, and the list ends [`UNCONFIRMED_VALIDITY`] behind the last answer, or
-//! behind the end of the watch that stood. In an outage that lasts longer such a tier stops. An estimate that is too high stops a
-//! tier that need not stop; one that is too low lets it send by an old list in a crowd.
+//! A discovery service that rejects requests may be down or congested. If the dispatchers of a tier exchange
+//! messages, those that get an answer report it ([`ListStatus::peer_answered`]), and rejections around that
+//! time are no evidence of an outage. If they do not, and the requests of the whole tier may keep discovery
+//! busy for longer than [`UNCONFIRMED_VALIDITY`] ([`ServiceTimeEstimate`]), congestion cannot be told from an
+//! outage in time: a rejection then confirms nothing, and the list expires [`UNCONFIRMED_VALIDITY`] after the
+//! last answer or after the end of the established watch. Such a tier stops sending during a longer outage.
+//! If the estimate is too high, a tier stops unnecessarily; if it is too low, a tier may send by an outdated
+//! list during congestion.
 //!
-//! Where an agent on this machine is asked ([`ListStatus::pushed`]), what it has counts as told at once: the list is valid for the
-//! grace of drains behind each call that was made.
+//! If the list comes from an agent on this machine ([`ListStatus::pushed`]), whatever the agent holds counts
+//! as published immediately: the list is valid for the drain grace after each completed request.
 //!
-//! Times are milliseconds of a monotonic clock that starts anywhere.
+//! Times are milliseconds of a monotonic clock with an arbitrary origin.
 
 use crate::call_failure::CallFailure;
 use crate::service_time::ServiceTimeEstimate;
@@ -31,36 +33,38 @@
 use crate::Millis;
 use std::fmt;
 
-/// What is not heard of for so long is acted against: the platform's time until a change counts as told.
+/// How long a list without confirmation is valid: the platform's time until a change counts as published.
 pub const UNCONFIRMED_VALIDITY: Millis = PROPAGATION_BOUND;
-/// A watch that is this much behind the end of its wait is silent, and what it missed counts as told.
+/// A watch that is this much past the end of its wait has fallen silent, and whatever it missed counts as
+/// published.
 pub const WATCH_SILENCE_GRACE: Millis = 2000;
-/// The next call carries a watch on if it comes so soon behind an answer.
+/// Longest gap between an answer and a request that still continues the watch.
 pub const WATCH_CONTINUES_WITHIN: Millis = 200;
-/// After a move of discovery, what the new one has to tell counts as told this much later.
+/// How long the list stays valid after discovery has moved to another address: by then, changes known to the
+/// new instance count as published.
 pub const VALIDITY_AFTER_MOVE: Millis = 4000;
 
-/// A call that is turned away so soon behind a report that discovery has answered a peer was turned away by a crowd. Calls stand
-/// in its queue for some seconds before they are turned away, and reports follow each other as answers do.
+/// For this long after a peer's report of an answer, a rejection is attributed to congestion. Requests are
+/// queued for some seconds before they are rejected, and reports follow each other as answers do.
 pub const CONGESTION_EVIDENCE_TTL: Millis = 3000;
-/// What a peer was told, and this dispatcher was not, counts as told this much later: the peer's call took its turn too, for
-/// which a third of [`UNCONFIRMED_VALIDITY`] is left.
+/// Time after which a change that a peer has received, and this dispatcher has not, counts as published. The
+/// peer's request was queued too, for which a third of [`UNCONFIRMED_VALIDITY`] is reserved.
 pub const NEWER_LIST_VALIDITY: Millis = UNCONFIRMED_VALIDITY / 3 * 2;
 
-/// How far a list can be relied on.
+/// State of a list, which determines whether it may be acted on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListState {
-    /// Nothing has been heard of discovery since the start.
+    /// Discovery has not answered since the start.
     Unconfirmed,
-    /// Heard of lately; no watch stands.
+    /// Discovery answered recently; no watch is established.
     Confirmed,
-    /// A watch stands.
+    /// A watch is established.
     Watched,
-    /// Discovery can't be reached.
+    /// Discovery cannot be reached.
     Unreachable,
-    /// Discovery turns calls away, and as far as is known those of all.
+    /// Discovery rejects requests, as far as is known those of all dispatchers.
     TurnedAway,
-    /// What is known is too old to be acted on.
+    /// The list is too old to be acted on.
     Expired,
 }
 
@@ -84,36 +88,37 @@
     }
 }
 
-/// The state of one dispatcher's list.
+/// Tracks the state of one dispatcher's list.
 #[derive(Clone, Debug)]
 pub struct ListStatus {
-    /// How long the list may be acted on behind each call that was made, where an agent on this machine is asked: that is
-    /// silent only while there is nothing to hear.
+    /// Validity of the list after each completed request, if an agent on this machine is asked: the agent is
+    /// silent only while there is no change.
     validity_after_call: Option<Millis>,
     /// When discovery last answered.
     confirmed_at: Option<Millis>,
-    /// Until when the list may be acted on, if it was ever confirmed.
+    /// End of the list's validity, if it was ever confirmed.
     valid_until: Millis,
-    /// What was learnt last of discovery.
+    /// State as of the last event.
     last: ListState,
-    /// Nothing but time has come since the last answer.
+    /// No other event has occurred since the last answer.
     answered_last: bool,
-    /// When a peer last reported that discovery had answered it.
+    /// When a peer last reported an answer from discovery.
     peer_answered_at: Option<Millis>,
-    /// What a call's turn costs at discovery.
+    /// Estimated service time of a request at discovery.
     service_time: ServiceTimeEstimate,
-    /// Peers report what discovery answers them: their silence tells an outage from a crowd.
+    /// Peers report answers from discovery, so the absence of reports distinguishes an outage from
+    /// congestion.
     peers_report: bool,
 }
 
 impl ListStatus {
-    /// A list that has to be asked for by one of so many dispatchers. It may have been known at the start: of what age, nobody
-    /// says.
+    /// A list that one of `dispatchers` dispatchers has to request. A list known at the start is of unknown
+    /// age.
     pub fn polled_by_tier(dispatchers: u32) -> Self {
         ListStatus { service_time: ServiceTimeEstimate::for_tier(dispatchers), ..Self::polled() }
     }
 
-    /// The same where nobody else asks.
+    /// A list that has to be requested, for a tier of one dispatcher.
     pub fn polled() -> Self {
         ListStatus {
             validity_after_call: None,
@@ -127,9 +132,10 @@
         }
     }
 
-    /// A list that an agent on this machine is sent: it is silent while discovery is down, and what it is sent then counts
-    /// when it comes. Its first answer is needed all the same. What it has counts as told at once, and sends to a worker that
-    /// drains may go on for `drain_grace`: the list is valid for so long behind each call that was made.
+    /// A list pushed by an agent on this machine. The agent is silent while discovery is down, and what it
+    /// receives in that time counts from when it arrives. Its first answer is still required. What the agent
+    /// holds counts as published immediately, and sends to a draining worker may continue for `drain_grace`,
+    /// so the list is valid for that long after each completed request.
     pub fn pushed(drain_grace: Millis) -> Self {
         ListStatus { validity_after_call: Some(drain_grace), ..Self::polled() }
     }
@@ -149,7 +155,7 @@
         }
     }
 
-    /// Discovery has answered with its list, or with nothing new.
+    /// Discovery has answered with its list, or that nothing has changed.
     pub fn answered(&mut self, now: Millis) {
         self.confirmed_at = Some(now);
         self.last = ListState::Confirmed;
@@ -157,23 +163,23 @@
         self.valid_until = self.after(now, UNCONFIRMED_VALIDITY);
     }
 
-    /// Peers report from now on that discovery has answered them.
+    /// From now on, peers report answers from discovery.
     pub fn expect_peer_reports(&mut self) {
         self.peers_report = true;
     }
 
-    /// The call that discovery has answered did not wait for news, and took so long.
+    /// Records the duration of an answered request that did not wait for changes.
     pub fn record_service_time(&mut self, took: Millis) {
         self.service_time.record(took);
     }
 
-    /// What a call's turn costs at discovery, as far as known.
+    /// Current estimate of the service time of a request at discovery.
     pub fn service_time(&self) -> ServiceTimeEstimate {
         self.service_time
     }
 
-    /// A watch begins that may wait so long. It carries on from an answer only if that came just before; any other one may
-    /// stand in a queue, and confirms nothing.
+    /// A watch has started that may wait for `wait`. It counts as established only if it directly follows an
+    /// answer; any other watch may be queued and confirms nothing.
     pub fn watch_started(&mut self, now: Millis, wait: Millis) {
         let since_answer = now.saturating_sub(self.confirmed_at.unwrap_or(0));
         if !std::mem::take(&mut self.answered_last) || since_answer > WATCH_CONTINUES_WITHIN {
@@ -183,7 +189,8 @@
         self.valid_until = self.valid_until.max(self.after(now, wait + WATCH_SILENCE_GRACE));
     }
 
-    /// A call came to nothing. What has expired stays so until discovery answers, or an agent had nothing to say.
+    /// A request has failed. An expired list stays expired until discovery answers or the agent reports no
+    /// change.
     pub fn failed(&mut self, now: Millis, failure: CallFailure) {
         self.answered_last = false;
         let agent_is_silent = self.validity_after_call.is_some() && failure == CallFailure::Silent;
@@ -195,11 +202,11 @@
         self.last = ListState::Confirmed;
         match failure {
             CallFailure::Unreachable => {
-                // What discovery can tell nobody counts from its return on.
+                // Changes that discovery cannot publish to anyone count from its return.
                 self.last = ListState::Unreachable;
                 self.valid_until = later;
             }
-            // A watch that stood would have told of a change by then.
+            // An established watch would have reported any change up to this point.
             CallFailure::TurnedAway if watched || !self.may_be_congested(now) => {
                 self.last = ListState::TurnedAway;
                 self.valid_until = later;
@@ -213,8 +220,9 @@
         }
     }
 
-    /// A peer reports that discovery has answered it, with a newer list than this one or with none. The report is read now and may
-    /// have stood unread since `came_at`. Whether it leaves the list less time than it had.
+    /// A peer reports an answer from discovery; `has_newer` states that its list is newer than this one. The
+    /// report is being read now and may have been waiting since `came_at`. Returns whether it shortened the
+    /// validity of the list.
     pub fn peer_answered(&mut self, now: Millis, came_at: Millis, has_newer: bool) -> bool {
         self.peer_answered_at = Some(now);
         let until = came_at + NEWER_LIST_VALIDITY;
@@ -225,27 +233,27 @@
         is_behind
     }
 
-    /// Whether a crowd of the whole tier may last longer at discovery than a change takes to count as told, and no peer would tell
-    /// of it.
+    /// Whether congestion caused by the whole tier may last longer than the propagation bound while no peer
+    /// reports answers.
     pub fn congestion_may_exceed_bound(&self) -> bool {
         !self.peers_report
             && self.service_time.full_tier_time().is_some_and(|span| span > UNCONFIRMED_VALIDITY)
     }
 
-    /// Whether discovery may turn calls away only because too many wait.
+    /// Whether discovery may be rejecting requests only because of congestion.
     fn may_be_congested(&self, now: Millis) -> bool {
         let answers_peers = self.peer_answered_at.is_some_and(|at| now < at + CONGESTION_EVIDENCE_TTL);
         answers_peers || self.congestion_may_exceed_bound()
     }
 
-    /// Discovery has moved: what the new one has to tell is not known yet.
+    /// Discovery has moved; which changes the new instance will publish is not known yet.
     pub fn moved(&mut self, now: Millis) {
         self.answered_last = false;
         self.last = ListState::Confirmed;
         self.valid_until = self.valid_until.min(now + VALIDITY_AFTER_MOVE);
     }
 
-    /// The state at a time.
+    /// State of the list at `now`.
     pub fn at(&self, now: Millis) -> ListState {
         match self.confirmed_at {
             None => ListState::Unconfirmed,
@@ -254,7 +262,7 @@
         }
     }
 
-    /// When the list stops being valid, if nothing more is heard; `None` where it is not valid, or never stops.
+    /// When the list expires unless another event occurs; `None` if it was never confirmed or never expires.
     pub fn expires(&self) -> Option<Millis> {
         self.confirmed_at.map(|_| self.valid_until).filter(|until| *until < Millis::MAX)
     }
--- a/control/src/load_gossip.rs
+++ b/control/src/load_gossip.rs
@@ -1,84 +1,88 @@
-//! Load gossip between the dispatchers of a large tier: how many jobs each has out at which worker. Where traffic is thin
-//! each of them alone sees next to nothing of any worker.
+//! Load gossip between the dispatchers of a large tier: how many jobs each has in flight at each worker. With
+//! little traffic, a single dispatcher observes next to nothing of any worker.
 //!
-//! The jobs at the workers of one zone are counted by its *zone aggregator*, one of the dispatchers. Each sends it a load
-//! report whenever what it has out changes, and queries it for the picture of the zone before it decides. So what a
-//! request costs in datagrams does not grow with the tier. All find the same aggregator without agreeing on it
-//! ([`ZoneAggregators`]); the next candidate gets the reports too, and is queried when the first is silent.
+//! One of the dispatchers, the *zone aggregator*, sums up the jobs at the workers of a zone. Every dispatcher
+//! sends it a load report whenever its own jobs in flight change, and queries it for a snapshot of the zone
+//! before deciding, so the number of datagrams per request does not grow with the tier. All dispatchers
+//! determine the same aggregator without coordination ([`ZoneAggregators`]). The next candidate receives the
+//! reports too and is queried when the first one does not answer.
 //!
-//! A report states all that its sender has out, so one that comes twice changes nothing, one that is lost is made good by
-//! the next, and it expires by itself. Reports are neither kept secret nor signed: whoever believes a false one may rank
-//! a worker last for a while, and does nothing else.
+//! A report states everything that its sender has in flight, so a duplicate has no effect, a lost report is
+//! superseded by the next one, and a report expires by itself. Reports are neither encrypted nor
+//! authenticated: the worst effect of a forged one is that a worker is ranked last for a while.
 
 use crate::{fingerprint, Millis};
 use rustc_hash::FxHashMap;
 
-/// How long a load report is believed when nothing newer comes. Guards against peers that die with jobs out.
+/// How long a load report counts if no newer one arrives. Guards against peers that die with jobs in flight.
 pub const REPORT_TTL: Millis = 4000;
-/// The longest datagram in bytes, and the workers that it may name.
+/// Size limit of a datagram in bytes, which limits the number of workers that it can name.
 pub const MAX_DATAGRAM: usize = HEAD + MAX_NAMED * ENTRY;
 const HEAD: usize = 3;
 const ENTRY: usize = 3;
 const MAX_NAMED: usize = 80;
-/// What is sent reports instead of a count when a worker has just refused a job or could not be reached.
+/// Value in place of a count: the worker has just refused a job or could not be reached.
 const REFUSED: u8 = 255;
-/// How long an aggregator remembers that a worker refused or failed a job, and passes it on once a second peer says so too:
-/// one alone may be wrong, or its job.
+/// How long an aggregator remembers that a worker refused or failed a job: after a report by one peer, and
+/// after reports by two. It passes a refusal on only once a second peer has reported it, since a single peer
+/// or its job may be at fault.
 const REFUSAL_TTL: (Millis, Millis) = (1000, 4000);
-/// Refusals that are remembered at a time, about.
+/// Approximate number of refusals remembered at a time.
 const MAX_REFUSALS: usize = 4096;
-/// A load report with an earlier turn that comes within this time was overtaken on its way.
+/// Within this time, a load report with an earlier sequence number was reordered by the network.
 const REORDER_WINDOW: Millis = 100;
-/// One that has just started has not received enough reports to answer.
+/// A newly started aggregator has not received enough reports to answer queries until this time.
 const WARM_UP: Millis = 1500;
-/// An aggregator that did not answer is left alone for this long.
+/// How long an aggregator that did not answer is skipped.
 const SILENT_FOR: Millis = 1000;
-/// How long an answer of an aggregator is waited for: at first, at least, and at most.
+/// Timeout of a query to an aggregator: initial, minimum and maximum value.
 const ANSWER_WAIT: (Millis, Millis, Millis) = (50, 10, 100);
-/// Candidates of a zone that get reports: the first, and one to take over.
+/// Number of candidates per zone that receive reports: the first one and its fallback.
 const REPORTED_TO: usize = 2;
-/// ZoneAggregators that are tried in turn.
+/// Number of candidate aggregators per zone.
 const CANDIDATES: usize = 4;
 
-/// A worker, or a zone, as load reports name it. Two of them may share one: each then seems as busy as both.
+/// Short hash of the name of a worker or zone, as used in load reports. On a collision, each of the two
+/// appears to have the load of both.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Tag(u16);
 
 impl Tag {
-    /// The tag of that name, the same at every dispatcher.
+    /// The tag of `name`; the same at every dispatcher.
     pub fn of(name: &str) -> Self {
         Tag((fingerprint(name.as_bytes()) & 0xffff) as u16)
     }
 }
 
-/// What a datagram is for.
+/// Purpose of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// States what the sender has out.
+    /// States the sender's jobs in flight.
     Report,
-    /// The same, and asks for the picture of a zone.
+    /// Like `Report`, and requests a snapshot of a zone.
     Query,
-    /// What all others have out in a zone. Workers that are not named have nothing.
+    /// Answers a query: the jobs of all other dispatchers in a zone. Workers that are not named have none.
     Snapshot,
 }
 
-/// One datagram.
+/// A load datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// What it is for.
+    /// Purpose of the datagram.
     pub purpose: Purpose,
-    /// Grows with each load report of a sender, modulo 16. A picture has that of the question.
+    /// Sequence number of the sender's load reports, modulo 16. A snapshot carries that of its query.
     pub sequence: u8,
-    /// The zone that is asked for or shown.
+    /// The zone that is queried or described.
     pub zone: Tag,
-    /// Workers that hold jobs, and how many.
+    /// Workers with jobs in flight, and the number of jobs.
     pub in_flight: Vec<(Tag, u8)>,
-    /// Workers that have just refused or failed one, or were not reached.
+    /// Workers that have just refused or failed a job, or could not be reached.
     pub refused: Vec<Tag>,
 }
 
 impl LoadReport {
-    /// The datagram. Workers beyond what it can name are left out: those with the least jobs.
+    /// Encodes the datagram. If there are more workers than it can name, those with the fewest jobs are left
+    /// out.
     pub fn encode(&self) -> Vec<u8> {
         let mut out = self.in_flight.clone();
         out.sort_unstable_by_key(|(tag, out)| (std::cmp::Reverse(*out), *tag));
@@ -98,7 +102,7 @@
         bytes
     }
 
-    /// Reads a datagram; `None`: it is no load report.
+    /// Decodes a datagram; `None` if it is not a load report.
     pub fn decode(bytes: &[u8]) -> Option<LoadReport> {
         let (head, rest) = bytes.split_at_checked(HEAD)?;
         if rest.len() % ENTRY != 0 || bytes.len() > MAX_DATAGRAM {
@@ -131,7 +135,8 @@
     out: Vec<(Tag, u8)>,
 }
 
-/// Who said last that a worker refused or failed a job, until when that counts, and whether another did before.
+/// The last peer that reported a refused or failed job at a worker, when that report expires, and whether two
+/// peers have reported it.
 #[derive(Clone, Copy, Debug)]
 struct Refused {
     by: u32,
@@ -139,7 +144,8 @@
     known: bool,
 }
 
-/// The load that an aggregator was sent reports of, as far as they have not expired. Its size is bounded by the peers and the longest load report.
+/// Load reported to an aggregator that has not expired. Its size is bounded by the number of peers and the
+/// size of a load report.
 #[derive(Debug, Default)]
 pub struct ReportedLoad {
     peers: FxHashMap<u32, Peer>,
@@ -149,13 +155,13 @@
 }
 
 impl ReportedLoad {
-    /// Takes in what a peer has out. One that was overtaken changes nothing.
+    /// Applies a peer's report. A reordered report is ignored.
     pub fn apply(&mut self, number: u32, report: &LoadReport, now: Millis) {
         if now >= self.swept + REPORT_TTL / 4 {
             self.sweep(now);
         }
         let peer = self.peers.entry(number).or_default();
-        // Turns go round after 16: a load report is an old one if it comes soon after a newer one.
+        // Sequence numbers wrap at 16: an earlier one shortly after a newer one was reordered.
         let ahead = report.sequence.wrapping_sub(peer.turn) & 15;
         if now.saturating_sub(peer.at) < REORDER_WINDOW && peer.at > 0 && (ahead > 8 || ahead == 0) {
             return;
@@ -176,7 +182,7 @@
         }
     }
 
-    /// Forgets what has stood too long.
+    /// Removes expired reports and refusals.
     fn sweep(&mut self, now: Millis) {
         self.swept = now;
         self.refused.retain(|_, r| now < r.until);
@@ -196,7 +202,8 @@
         }
     }
 
-    /// Jobs at those of the workers that hold any, beside those of the peer that asks, and which have just refused one.
+    /// Jobs per worker, excluding those of the querier, and the workers that have just refused a job; limited
+    /// to workers for which `of` returns true.
     pub fn snapshot(
         &self,
         querier: u32,
@@ -214,25 +221,26 @@
         (others.collect(), refused.map(|(tag, _)| *tag).collect())
     }
 
-    /// Whether one that started at zero has not received enough reports to answer yet.
+    /// Whether an aggregator that started at time zero has not received enough reports to answer queries.
     pub fn is_warming_up(now: Millis) -> bool {
         now < WARM_UP
     }
 }
 
-/// Which dispatcher aggregates the load of which zone, as seen by one of them. All numbers are positions in the list of the tier.
+/// Maps each zone to the dispatcher that aggregates its load, as one dispatcher sees it. Dispatchers are
+/// identified by their position in the tier's list.
 #[derive(Debug)]
 pub struct ZoneAggregators {
     tier: u32,
     candidates: FxHashMap<Tag, Vec<u32>>,
-    /// Until when an aggregator that did not answer is passed over.
+    /// Aggregators that did not answer, and until when they are skipped.
     silent: FxHashMap<u32, Millis>,
-    /// How long to wait for an answer, by those that came.
+    /// Query timeout, adapted to observed answer times.
     answer_timeout: Millis,
 }
 
 impl ZoneAggregators {
-    /// For a tier of so many dispatchers.
+    /// Creates the map for a tier of `tier` dispatchers.
     pub fn new(tier: u32) -> Self {
         ZoneAggregators {
             tier,
@@ -242,7 +250,8 @@
         }
     }
 
-    /// Those in line for a zone, the same at every dispatcher: zones are spread over the tier by their names.
+    /// Candidates for a zone in order of preference, the same at every dispatcher: rendezvous hashing spreads
+    /// the zones over the tier.
     fn candidates(&mut self, zone: Tag) -> &[u32] {
         let tier = self.tier;
         self.candidates.entry(zone).or_insert_with(|| {
@@ -259,14 +268,14 @@
         })
     }
 
-    /// Who is to be queried: the first candidate that was not silent lately.
+    /// The aggregator to query: the first candidate that has not timed out recently.
     pub fn query(&mut self, zone: Tag, now: Millis) -> Option<u32> {
         let line = self.candidates(zone).to_vec();
         let is_silent = |number: &u32| self.silent.get(number).is_some_and(|until| now < *until);
         line.iter().copied().find(|number| !is_silent(number)).or(line.first().copied())
     }
 
-    /// Who is to be sent reports: the first candidates, and who is queried.
+    /// The dispatchers to send reports to: the first candidates, and the one that is queried.
     pub fn report_to(&mut self, zone: Tag, now: Millis) -> Vec<u32> {
         let asked = self.query(zone, now);
         let mut receivers: Vec<u32> = self.candidates(zone).iter().copied().take(REPORTED_TO).collect();
@@ -274,18 +283,19 @@
         receivers
     }
 
-    /// How long to wait for an answer: well over what the last ones took.
+    /// Timeout of the next query: about twice the recent answer times.
     pub fn answer_timeout(&self) -> Millis {
         self.answer_timeout
     }
 
-    /// An aggregator was asked, and has not answered in time. It may be dead, or datagrams take longer than they did.
+    /// Records that an aggregator did not answer in time. It may be dead, or datagrams are taking longer than
+    /// before.
     pub fn timed_out(&mut self, number: u32, now: Millis) {
         self.silent.insert(number, now + SILENT_FOR);
         self.answer_timeout = (self.answer_timeout * 5 / 4).min(ANSWER_WAIT.2);
     }
 
-    /// An aggregator has answered after so long.
+    /// Records that an aggregator answered after `took`.
     pub fn answered(&mut self, number: u32, took: Millis) {
         self.silent.remove(&number);
         let enough = (took * 2 + 5).clamp(ANSWER_WAIT.1, ANSWER_WAIT.2);
--- a/control/src/overrides/clock.rs
+++ b/control/src/overrides/clock.rs
@@ -1,15 +1,16 @@
-//! A hybrid logical clock: wall time where that moves on, a count where it does not.
+//! Hybrid logical clock: wall-clock time, plus a counter while the wall clock does not advance.
 
 use super::record::Name;
 use crate::Millis;
 use std::fmt;
 
-/// When and where something was written. No two writes have the same; the order is the same everywhere.
+/// Timestamp of a write. Timestamps are unique to a writer's clock, and their order is the same on every
+/// dispatcher.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Stamp {
-    /// Wall time of the writer, or of what it had seen before if that was later.
+    /// Wall-clock time of the writer, or the latest it had observed if that was later.
     pub wall: Millis,
-    /// Tells writes at the same `wall` apart.
+    /// Distinguishes writes with the same `wall`.
     pub count: u16,
     /// The dispatcher that wrote.
     pub origin: Name,
@@ -23,18 +24,18 @@
 }
 
 impl Stamp {
-    /// Reads an id back; `None` where it is none.
+    /// Parses an id; `None` if it is malformed.
     pub fn parse(id: &str) -> Option<Stamp> {
         let (origin, time) = id.rsplit_once('-')?;
         let (wall, count) = time.split_once('.')?;
         let wall = Millis::from_str_radix(wall, 16).ok()?;
         let stamp = Stamp { wall, count: count.parse().ok()?, origin: origin.into() };
-        // Guards against second spellings of one id (+1, capitals, leading zeros).
+        // Rejects alternative spellings of an id (`+1`, capitals, leading zeros).
         (!origin.is_empty() && stamp.to_string() == id).then_some(stamp)
     }
 }
 
-/// Gives stamps that only grow, on this dispatcher and after whatever it has seen of others.
+/// Issues strictly increasing stamps, later than every stamp observed from other dispatchers.
 #[derive(Clone, Debug)]
 pub struct Clock {
     origin: Name,
@@ -42,17 +43,17 @@
 }
 
 impl Clock {
-    /// A clock of the dispatcher of that name.
+    /// Creates the clock of the dispatcher named `origin`.
     pub fn new(origin: Name) -> Clock {
         Clock { origin, last: (0, 0) }
     }
 
-    /// The dispatcher whose clock this is.
+    /// Name of the dispatcher that owns this clock.
     pub fn origin(&self) -> &Name {
         &self.origin
     }
 
-    /// A stamp later than all given and seen before.
+    /// Issues a stamp later than all that were issued or observed before.
     pub fn next(&mut self, now: Millis) -> Stamp {
         self.last = match self.last {
             (wall, _) if now > wall => (now, 0),
@@ -62,7 +63,7 @@
         Stamp { wall: self.last.0, count: self.last.1, origin: self.origin.clone() }
     }
 
-    /// Takes note of a stamp from elsewhere.
+    /// Observes a stamp of another dispatcher.
     pub fn seen(&mut self, stamp: &Stamp) {
         self.last = self.last.max((stamp.wall, stamp.count));
     }
--- a/control/src/overrides/codec.rs
+++ b/control/src/overrides/codec.rs
@@ -1,25 +1,26 @@
-//! A record as bytes: the same on every dispatcher, so that digests of it can be compared.
+//! Binary encoding of a record. It is the same on every dispatcher, so that digests can be compared.
 //!
-//! `scope` u8 (0 weight, 1 out of service, 2 pinned class, 3 pinned class and tenant; +128: cleared),
-//! `wall` u48, `count` u16, `until` u48, then for a set weight its thousandths as u32, then texts, each one
-//! byte of length and UTF-8: origin, worker, class, tenant (as the scope has them), by, why. Big endian.
+//! `scope` u8 (0 weight, 1 out of service, 2 pinned class, 3 pinned class and tenant; +128: cleared), `wall`
+//! u48, `count` u16, `until` u48, then for a set weight its thousandths as u32, then strings, each one byte
+//! of length and UTF-8: origin, worker, class and tenant (as the scope requires), by, why. Big endian.
 
 use super::clock::Stamp;
 use super::record::{Effect, Name, Record, Scope, Slot, Weight, MAX_NAME_LEN};
 use crate::Millis;
 use thiserror::Error;
 
-/// A record's longest form: what a datagram has room for.
+/// Maximum size of an encoded record: the payload of a datagram.
 pub const MAX_RECORD: usize = crate::peers::MAX_PAYLOAD;
 const CLEARED: u8 = 128;
 const MAX_TIME: Millis = (1 << 48) - 1;
 
-/// Bytes that are no record.
+/// The bytes are not a valid record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("not a record: {0}")]
 pub struct Malformed(pub &'static str);
 
-/// A record's bytes. Longer than [`MAX_RECORD`] they can't be sent: whoever writes a record checks that.
+/// Encodes a record. An encoding longer than [`MAX_RECORD`] cannot be sent; the writer of a record checks the
+/// size.
 pub fn encode(record: &Record) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(96);
     let scope = match &record.slot.scope {
@@ -41,7 +42,7 @@
     };
     let texts = [Some(&record.stamp.origin), Some(&record.slot.worker), class, tenant];
     for text in texts.into_iter().flatten().chain([&record.by, &record.why]) {
-        // A longer text is cut here and refused by `MAX_RECORD`; nothing written by `Table` is that long.
+        // A longer string is truncated here and then rejected by `MAX_RECORD`; `Table` writes none that long.
         let length = text.len().min(255);
         bytes.push(length as u8);
         bytes.extend_from_slice(&text.as_bytes()[..length]);
@@ -49,7 +50,7 @@
     bytes
 }
 
-/// Reads a record. Only bytes that `encode` gives for it are taken.
+/// Decodes a record. Only the canonical encoding is accepted.
 pub fn decode(bytes: &[u8]) -> Result<Record, Malformed> {
     if bytes.len() > MAX_RECORD {
         return Err(Malformed("too long"));
@@ -98,7 +99,7 @@
     fn text(&mut self, field: &'static str) -> Result<Name, Malformed> {
         let length = self.number(1)? as usize;
         let text = std::str::from_utf8(self.bytes(length)?).map_err(|_| Malformed(field))?;
-        // Guards the log and the console of whoever reads it.
+        // Control characters could corrupt logs and the terminals of their readers.
         match text.chars().any(char::is_control) {
             true => Err(Malformed(field)),
             false => Ok(text.into()),
--- a/control/src/overrides/log.rs
+++ b/control/src/overrides/log.rs
@@ -1,19 +1,19 @@
-//! The log of override records as text: what several processes append to and each of them reads.
+//! Text log of override records, appended to and read by several processes.
 //!
-//! A record is a line: its bytes in hexadecimal, a space, and a checksum. Each append begins with an end of line, so that a line
-//! which was cut short (by a kill, or a full disk) spoils no other one; empty lines mean nothing. Records may come in any
-//! order and more than once: [`super::Table`] merges them.
+//! Each record is one line: its encoding in hexadecimal, a space, and a checksum. Each append starts with a
+//! newline, so that a line truncated by a kill or a full disk does not corrupt the next one; empty lines are
+//! ignored. Records may occur in any order and more than once: [`super::Table`] merges them.
 
 use super::codec::{decode, encode, MAX_RECORD};
 use super::record::Record;
 use crate::fingerprint;
 
-/// Hexadecimal digits of a checksum.
+/// Number of hexadecimal digits of a checksum.
 const CHECKSUM_DIGITS: usize = 16;
-/// The longest line, without its end.
+/// Maximum length of a line without its terminator.
 const MAX_LINE: usize = 2 * MAX_RECORD + 1 + CHECKSUM_DIGITS;
 
-/// A record as it is appended.
+/// Formats a record as it is appended to the log.
 pub fn log_line(record: &Record) -> String {
     let bytes = encode(record);
     let checksum = fingerprint(&bytes);
@@ -26,18 +26,18 @@
     line
 }
 
-/// Reads a log from its beginning, as much at a time as there is.
+/// Incremental reader of a log.
 #[derive(Debug, Default)]
 pub struct LogReader {
-    /// The line that has not ended yet.
+    /// The current, unterminated line.
     line: Vec<u8>,
-    /// That line is too long to be one.
+    /// The current line exceeds the maximum length.
     is_overlong: bool,
     malformed: u64,
 }
 
 impl LogReader {
-    /// Takes in what follows, and gives the records that are whole by now.
+    /// Reads the next bytes and returns the records completed by them.
     pub fn feed(&mut self, bytes: &[u8]) -> Vec<Record> {
         let mut records = Vec::new();
         for byte in bytes {
@@ -50,7 +50,7 @@
         records
     }
 
-    /// Lines that were no records: cut short, or changed.
+    /// Number of invalid lines so far: truncated or corrupted.
     pub fn malformed(&self) -> u64 {
         self.malformed
     }
@@ -75,7 +75,7 @@
     decode(&bytes).ok().filter(|_| is_whole)
 }
 
-/// Bytes from their hexadecimal digits; `None` where they are none.
+/// Decodes hexadecimal digits; `None` if the text is malformed.
 pub fn decode_hex(digits: &str) -> Option<Vec<u8>> {
     let pairs = digits.as_bytes().chunks(2).map(|pair| {
         let text = std::str::from_utf8(pair).ok().filter(|text| text.len() == 2)?;
--- a/control/src/overrides/mod.rs
+++ b/control/src/overrides/mod.rs
@@ -1,7 +1,7 @@
-//! Overrides: what an operator sets beside the list of workers, for a stated time.
+//! Overrides: settings that an operator applies to workers, beside the worker list, for a limited time.
 //!
-//! [`Table`] holds them, merges what other dispatchers hold, and says what is in force. [`Record`] is one
-//! of them (or the clearing of one), with its bounded form on the wire.
+//! [`Table`] holds the overrides, merges those of other dispatchers, and determines which are in force. A
+//! [`Record`] is one override, or the clearing of one, and has an encoding of bounded size.
 
 mod clock;
 mod codec;
--- a/control/src/overrides/record.rs
+++ b/control/src/overrides/record.rs
@@ -1,64 +1,64 @@
-//! One override, or the clearing of one.
+//! A write to an override: setting or clearing it.
 
 use super::clock::Stamp;
 use crate::Millis;
 use std::fmt;
 use std::sync::Arc;
 
-/// A name or a text that an operator gave. Cheap to copy.
+/// A name or text given by an operator. Cheap to clone.
 pub type Name = Arc<str>;
 
-/// Names of workers, dispatchers, classes, tenants and operators hold so many bytes at most.
+/// Maximum length in bytes of the names of workers, dispatchers, classes, tenants and operators.
 pub const MAX_NAME_LEN: usize = 64;
 
-/// A multiplier of a worker's share, in thousandths: the same number on every dispatcher.
+/// Multiplier of a worker's share, in thousandths, so that it is exactly the same on every dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Weight(u32);
 
 impl Weight {
-    /// The least and the largest, in thousandths.
+    /// Permitted range, in thousandths.
     pub const RANGE: std::ops::RangeInclusive<u32> = 10..=100_000;
 
-    /// From a factor of 0.01 to 100, rounded to a thousandth; `None` outside.
+    /// From a factor between 0.01 and 100, rounded to a thousandth; `None` if out of range.
     pub fn new(factor: f64) -> Option<Weight> {
         let in_range = (0.01..=100.0).contains(&factor);
         in_range.then(|| Weight((factor * 1000.0).round() as u32))
     }
 
-    /// From thousandths; `None` outside the range.
+    /// From thousandths; `None` if out of range.
     pub fn from_thousandths(thousandths: u32) -> Option<Weight> {
         Self::RANGE.contains(&thousandths).then_some(Weight(thousandths))
     }
 
-    /// In thousandths.
+    /// The multiplier in thousandths.
     pub fn thousandths(self) -> u32 {
         self.0
     }
 
-    /// The factor.
+    /// The multiplier as a factor.
     pub fn factor(self) -> f64 {
         f64::from(self.0) / 1000.0
     }
 }
 
-/// What of a worker an override is about. With the worker it names the slot that later writes replace.
+/// The property of a worker that an override affects. Together with the worker it identifies the slot.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Scope {
     /// The worker's share.
     Weight,
-    /// Whether anything new goes there.
+    /// Whether the worker receives new jobs.
     OutOfService,
-    /// Where a class's flows go, or those of one tenant of it.
+    /// The worker to which the flows of a class, or of one of its tenants, are pinned.
     Pinned {
-        /// The class, by its name.
+        /// Name of the class.
         class: Name,
-        /// The tenant; `None`: all that have no pin of their own.
+        /// Name of the tenant; `None` for all tenants without a pin of their own.
         tenant: Option<Name>,
     },
 }
 
 impl Scope {
-    /// The word for it: `weight`, `out-of-service` or `pinned`.
+    /// Name of the scope: `weight`, `out-of-service` or `pinned`.
     pub fn word(&self) -> &'static str {
         match self {
             Scope::Weight => "weight",
@@ -68,43 +68,43 @@
     }
 }
 
-/// Holds one value at a time: the last written.
+/// A last-write-wins register, identified by worker and scope.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Slot {
-    /// The worker, by its name in the list; it need not be listed.
+    /// Name of the worker; it need not be in the worker list.
     pub worker: Name,
-    /// What of it.
+    /// The property of the worker.
     pub scope: Scope,
 }
 
-/// What a record does to its slot.
+/// Effect of a record on its slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Effect {
-    /// Sets it; the weight, where the slot is one of a weight.
+    /// Sets the slot; with a weight if the scope is [`Scope::Weight`].
     Set(Option<Weight>),
-    /// Ends what was written before.
+    /// Clears all earlier writes.
     Clear,
 }
 
-/// A write to a slot. It never changes once written.
+/// An immutable write to a slot.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Record {
-    /// When and where it was written: its id, and its place among the writes to the slot.
+    /// Time and origin of the write: the id of the record and its position in the order of writes.
     pub stamp: Stamp,
-    /// What it writes to.
+    /// The slot that is written.
     pub slot: Slot,
-    /// What it writes.
+    /// The effect of the write.
     pub effect: Effect,
-    /// When it ends. Of a clearing: when the cleared one would have ended.
+    /// End of the override. For a clear: the end of the override that it clears.
     pub until: Millis,
-    /// Who set it.
+    /// Name of the operator.
     pub by: Name,
-    /// Why.
+    /// Reason given by the operator.
     pub why: Name,
 }
 
 impl Record {
-    /// Whether it sets something that has not ended by itself.
+    /// Whether the record sets an override that has not expired at `now`.
     pub fn is_live(&self, now: Millis) -> bool {
         self.effect != Effect::Clear && now < self.until
     }
--- a/control/src/overrides/table.rs
+++ b/control/src/overrides/table.rs
@@ -1,11 +1,11 @@
-//! All overrides that a dispatcher knows of, and their merge with what others know.
+//! All overrides known to a dispatcher, and their merge with those of other dispatchers.
 //!
-//! The table is a function of the set of records that have reached it, so dispatchers that have seen the same
-//! hold the same, in whatever order and however often it came: in each slot the records from the latest
-//! clearing on, of these the latest [`MAX_IN_SLOT`], by stamp. The latest alone is in force. It stays for
-//! [`RETENTION`] after it was written, its end notwithstanding: until then something that it replaced might still
-//! arrive, and must find itself replaced. Records leave in the order of their stamps, so no older one can take
-//! the place of a newer one that has left.
+//! The table is a function of the set of records received, regardless of their order and of duplicates, so
+//! dispatchers that received the same records hold the same table. Each slot keeps the records from the
+//! latest clear on, limited to the latest [`MAX_IN_SLOT`] by stamp; only the latest is in force. A record is
+//! kept for [`RETENTION`] after it was written, even if the override has expired: until then, a record that
+//! it replaced may still arrive and must be superseded. Records are dropped in the order of their stamps, so
+//! an older record cannot take the place of a newer one that was dropped.
 
 use super::clock::{Clock, Stamp};
 use super::codec::{encode, MAX_RECORD};
@@ -15,25 +15,25 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// No override may last longer, whatever is configured: 72 hours, a week-end.
+/// Upper limit of the duration of an override, whatever is configured: 72 hours, to cover a weekend.
 pub const MAX_OVERRIDE_DURATION: Millis = 72 * 3_600_000;
-/// A record written so far in the future is not taken: the clock of its writer is wrong, and nothing that is
-/// written here could replace it.
+/// A record further in the future than this is rejected: the clock of its writer is wrong, and no local write
+/// could replace the record.
 pub const MAX_FUTURE_SKEW: Millis = 60_000;
-/// How long after its writing a record is kept: nothing written before it can be in force any more.
+/// How long a record is kept after it was written. After that, no earlier record can be in force.
 pub const RETENTION: Millis = MAX_OVERRIDE_DURATION + 2 * MAX_FUTURE_SKEW;
-/// Slots that are remembered. More are refused.
+/// Maximum number of slots; writes to further slots are rejected.
 pub const MAX_SLOTS: usize = 2048;
-/// Records of a slot that are remembered: the one in force and those it has beaten.
+/// Maximum number of records per slot: the one in force and those it superseded.
 pub const MAX_IN_SLOT: usize = 4;
 
-/// An order that can't be followed: which field of it, and why.
+/// A request that cannot be carried out: the offending field and the reason.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{field}: {reason}")]
 pub struct InvalidRequest {
-    /// The field, as the command line and the admin listener name it.
+    /// The field, as named by the command line and the admin listener.
     pub field: &'static str,
-    /// What is wrong with it and what would be right.
+    /// What is wrong with the field, and what is accepted.
     pub reason: String,
 }
 
@@ -41,104 +41,104 @@
     Err(InvalidRequest { field, reason: reason.into() })
 }
 
-/// What an operator wants set.
+/// An operator's request to set an override.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OverrideRequest {
-    /// Where.
+    /// The slot to set.
     pub slot: Slot,
-    /// To what, where the slot is one of a weight.
+    /// The weight, if the scope of the slot is [`Scope::Weight`].
     pub weight: Option<f64>,
-    /// When it ends.
+    /// End of the override.
     pub until: Millis,
-    /// Who wants it.
+    /// Name of the operator.
     pub by: String,
-    /// Why.
+    /// Reason for the override.
     pub why: String,
 }
 
-/// What became of a record that came from elsewhere.
+/// Result of merging a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Merged {
-    /// It was unknown and is kept.
+    /// The record was unknown and has been stored.
     New,
-    /// It was known, or what is known has made it void.
+    /// The record is already known, or superseded by a known one.
     Known,
-    /// It is past being kept, or lasts longer than anything may.
+    /// The record is older than [`RETENTION`], or lasts longer than any override may.
     Stale,
-    /// It was written in the future: a clock is wrong.
+    /// The record's timestamp is in the future: a clock is wrong.
     Future,
-    /// Too many slots are known already.
+    /// The maximum number of slots is reached.
     Full,
 }
 
-/// Where a pin sends flows.
+/// Assignment of flows to a worker.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Pin {
-    /// Flows of this class.
+    /// Class of the flows.
     pub class: Name,
-    /// Of this tenant, or of all that have no pin of their own.
+    /// Tenant of the flows; `None` for all tenants without a pin of their own.
     pub tenant: Option<Name>,
-    /// Go to this worker.
+    /// The worker that receives the flows.
     pub worker: Name,
 }
 
-/// What is in force: all that decisions need to know.
+/// The overrides in force, as needed for decisions.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ActiveOverrides {
-    /// Workers whose share is multiplied.
+    /// Workers whose share is multiplied, and by what.
     pub weights: Vec<(Name, f64)>,
-    /// Workers that get nothing new.
+    /// Workers that receive no new jobs.
     pub out_of_service: Vec<Name>,
-    /// Pins, one for each class and tenant.
+    /// Pins, at most one per class and tenant.
     pub pins: Vec<Pin>,
 }
 
-/// How an override stands.
+/// State of an override.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It decides.
+    /// The override is in force.
     InForce,
-    /// It would, but the list has no such worker; a pin falls back to the ordinary path.
+    /// The worker is not in the worker list; a pin falls back to the normal choice.
     UnknownWorker,
-    /// A pin to a worker that another override keeps out of service: it falls back to the ordinary path.
+    /// The worker of a pin is out of service by another override; the pin falls back to the normal choice.
     WorkerOutOfService,
-    /// A later one has replaced it, for good.
+    /// A later override has permanently replaced this one.
     Superseded {
-        /// The id of that one.
+        /// Id of the later override.
         id: String,
-        /// Who set that.
+        /// Operator who set the later override.
         by: Name,
-        /// When.
+        /// Time at which the later override was set.
         at: Millis,
     },
 }
 
-/// An override as it is shown.
+/// An override and its state, as shown to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OverrideEntry {
-    /// What was set.
+    /// The record of the override.
     pub record: Arc<Record>,
-    /// How it stands.
+    /// State of the override.
     pub standing: Standing,
 }
 
-/// The overrides that this dispatcher knows of.
+/// The overrides known to one dispatcher.
 #[derive(Clone, Debug)]
 pub struct Table {
     clock: Clock,
     longest: Millis,
-    /// Latest first; never empty.
+    /// Records per slot, latest first; never empty.
     slots: BTreeMap<Slot, Vec<Arc<Record>>>,
-    /// All of them by fingerprint, for digests.
+    /// All records by fingerprint, for digests.
     by_fingerprint: BTreeMap<u64, Arc<Record>>,
-    /// Nothing that is remembered was written before.
+    /// Lower bound of the timestamps of all records.
     oldest: Millis,
     revision: u64,
 }
 
 impl Table {
-    /// An empty table of the dispatcher of that name. `longest` bounds what is set here; it is cut to
-    /// [`MAX_OVERRIDE_DURATION`].
+    /// Creates an empty table for the dispatcher named `origin`. `longest` limits the duration of overrides
+    /// set here; it is capped at [`MAX_OVERRIDE_DURATION`].
     pub fn new(origin: &str, longest: Millis) -> Table {
         Table {
             clock: Clock::new(origin.into()),
@@ -150,22 +150,22 @@
         }
     }
 
-    /// Grows with every change of what is remembered.
+    /// Increases with every change to the stored records.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The dispatcher whose table this is.
+    /// Name of the dispatcher that owns this table.
     pub fn origin(&self) -> &Name {
         self.clock.origin()
     }
 
-    /// The latest record of a slot, a clearing or one that has ended included.
+    /// The latest record of a slot, including a clear or an expired override.
     pub fn latest(&self, slot: &Slot) -> Option<Arc<Record>> {
         self.slots.get(slot).and_then(|held| held.first()).cloned()
     }
 
-    /// Everything that is remembered, by fingerprint.
+    /// All stored records by fingerprint.
     pub fn by_fingerprint(&self) -> &BTreeMap<u64, Arc<Record>> {
         &self.by_fingerprint
     }
@@ -173,7 +173,8 @@
     /// Sets an override.
     ///
     /// # Errors
-    /// Names the field that can't be used; the table is as it was.
+    ///
+    /// Names the invalid field; the table is unchanged.
     pub fn set(&mut self, order: OverrideRequest, now: Millis) -> Result<Arc<Record>, InvalidRequest> {
         self.purge(now);
         let OverrideRequest { slot, weight, until, by, why } = order;
@@ -205,10 +206,11 @@
         self.write(slot, effect, until, by.into(), why.into(), now)
     }
 
-    /// Ends an override before its time, wherever it was set.
+    /// Clears an override before it expires, whichever dispatcher set it.
     ///
     /// # Errors
-    /// There is no such override in force; the table is as it was.
+    ///
+    /// No such override is in force; the table is unchanged.
     pub fn clear(
         &mut self,
         id: &str,
@@ -226,7 +228,7 @@
         let record = match found.as_slice() {
             [] => return faulty("id", format!("no override {id} is known here; it may have ended")),
             [record] => record.clone(),
-            // Two processes of one dispatcher may write in one millisecond.
+            // Two processes of one dispatcher may write in the same millisecond.
             [first, ..] => {
                 let worker = &first.slot.worker;
                 return faulty(
@@ -245,10 +247,11 @@
         self.write(record.slot.clone(), Effect::Clear, record.until, by.into(), why.into(), now)
     }
 
-    /// Ends whatever is in force in a slot, wherever it was set; nothing where nothing is.
+    /// Clears the override in force in a slot, whichever dispatcher set it; `None` if there is none.
     ///
     /// # Errors
-    /// Names the field that can't be used; the table is as it was.
+    ///
+    /// Names the invalid field; the table is unchanged.
     pub fn clear_slot(
         &mut self,
         slot: &Slot,
@@ -291,7 +294,7 @@
         Ok(record)
     }
 
-    /// Takes in a record from another dispatcher.
+    /// Merges a record from another dispatcher.
     pub fn merge(&mut self, record: Record, now: Millis) -> Merged {
         if record.stamp.wall > now + MAX_FUTURE_SKEW {
             return Merged::Future;
@@ -299,8 +302,8 @@
         self.restore(record, now)
     }
 
-    /// Takes in a record of this dispatcher's own: from before a restart, or from another process of it. It is on this machine
-    /// that it was written, so one that seems to come from the future says that the clock was set back since.
+    /// Merges a record of this dispatcher, from before a restart or from another of its processes. It was
+    /// written on this machine, so a timestamp in the future means that the clock has been set back.
     pub fn restore(&mut self, record: Record, now: Millis) -> Merged {
         self.purge(now);
         let wall = record.stamp.wall;
@@ -321,7 +324,7 @@
 
     fn insert(&mut self, record: Arc<Record>) -> bool {
         let held = self.slots.entry(record.slot.clone()).or_default();
-        // By the whole record: a clock set back before a restart may have given a stamp twice.
+        // Compares whole records: a clock set back before a restart may have issued a stamp twice.
         let at = held.partition_point(|r| **r > *record);
         let known = held.get(at).is_some_and(|r| *r == record);
         let void = held[..at].iter().any(|r| r.effect == Effect::Clear);
@@ -339,7 +342,7 @@
         true
     }
 
-    /// Forgets what was written so long ago that nothing it has replaced can still be in force.
+    /// Drops records so old that nothing they replaced can still be in force.
     pub fn purge(&mut self, now: Millis) {
         if self.oldest.saturating_add(RETENTION) > now {
             return;
@@ -358,7 +361,7 @@
         self.slots.values().filter_map(|held| held.first()).filter(move |r| r.is_live(now))
     }
 
-    /// The pin that decides for its class and tenant: the latest, whatever its worker.
+    /// The pin in force for each class and tenant: the latest, whichever worker it names.
     fn pins(&self, now: Millis) -> BTreeMap<(&Name, Option<&Name>), &Arc<Record>> {
         let mut pins: BTreeMap<_, &Arc<Record>> = BTreeMap::new();
         for record in self.tops(now) {
@@ -370,7 +373,7 @@
         pins
     }
 
-    /// What is in force at this moment.
+    /// The overrides in force at `now`.
     pub fn active(&self, now: Millis) -> ActiveOverrides {
         let mut forces = ActiveOverrides::default();
         for record in self.tops(now) {
@@ -391,13 +394,13 @@
         forces
     }
 
-    /// When what is in force changes by itself next, if it does.
+    /// When the next override in force expires, if any.
     pub fn next_expiry(&self, now: Millis) -> Option<Millis> {
         self.tops(now).map(|r| r.until).min()
     }
 
-    /// All overrides that have not ended or been cleared, beaten ones included, and how they stand. `listed`
-    /// tells whether the list has a worker.
+    /// All overrides that have neither expired nor been cleared, including superseded ones, with their state.
+    /// `listed` tells whether a worker is in the worker list.
     pub fn entries(&self, now: Millis, listed: impl Fn(&str) -> bool) -> Vec<OverrideEntry> {
         let pins = self.pins(now);
         let out = |worker: &Name| {
@@ -429,7 +432,7 @@
     }
 }
 
-/// The digest of a record by which [`Table::by_fingerprint`] has it.
+/// Fingerprint of a record, the key of [`Table::by_fingerprint`].
 pub fn record_fingerprint(record: &Record) -> u64 {
     fingerprint(&encode(record))
 }
@@ -441,7 +444,7 @@
     }
 }
 
-/// A span in words, to the minute or, under one, to the second.
+/// Formats a duration, to the minute or, below one minute, to the second.
 fn span(millis: Millis) -> String {
     let (hours, minutes, seconds) = (millis / 3_600_000, millis / 60_000 % 60, millis / 1000 % 60);
     match (hours, minutes) {
--- a/control/src/peers/datagram.rs
+++ b/control/src/peers/datagram.rs
@@ -1,55 +1,56 @@
-//! A datagram between dispatchers. Big endian:
+//! Datagrams between dispatchers. Big endian:
 //!
-//! | bytes | holds |
+//! | bytes | content |
 //! | --- | --- |
 //! | 0 | `L` |
 //! | 1 | 1, the version |
-//! | 2 | what the payload is |
-//! | 3–10 | session: drawn at the sender's start |
-//! | 11–18 | echo: the token that the receiver last demanded of the sender; 0: none is known |
-//! | 19–26 | demand: the token that the sender wants echoed |
-//! | 27–30 | number: from 1, one up with each datagram of the session to this receiver |
+//! | 2 | kind of the payload |
+//! | 3–10 | session: random, chosen when the sender starts |
+//! | 11–18 | echo: the last token that the receiver demanded from the sender; 0 if none is known |
+//! | 19–26 | demand: the token that the receiver has to echo |
+//! | 27–30 | number: from 1, incremented with each datagram of the session to this receiver |
 //! | 31– | payload |
-//! | last 16 | tag: keyed BLAKE3 of all before it, cut to 16 bytes |
+//! | last 16 | tag: keyed BLAKE3 of everything before it, truncated to 16 bytes |
 
 use super::keys::KeyRing;
 
-/// A datagram holds so many bytes at most, by the platform's word.
+/// Maximum size of a datagram in bytes, as specified by the platform.
 pub const MAX_DATAGRAM: usize = 256;
 const HEAD: usize = 31;
 const TAG: usize = 16;
-/// What is left for the payload.
+/// Maximum size of the payload.
 pub const MAX_PAYLOAD: usize = MAX_DATAGRAM - HEAD - TAG;
 const MAGIC: [u8; 2] = [b'L', 1];
 
-/// A datagram, opened or about to be sealed.
+/// The content of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
-    /// What the payload is.
+    /// Kind of the payload.
     pub kind: u8,
-    /// The sender's session.
+    /// Session of the sender.
     pub session: u64,
-    /// What the sender was last told to echo.
+    /// The last token that the receiver demanded.
     pub echo: u64,
-    /// What the receiver is to echo.
+    /// The token that the receiver has to echo.
     pub demand: u64,
-    /// Tells repeats.
+    /// Sequence number, to detect replays.
     pub number: u32,
-    /// What it carries.
+    /// The payload.
     pub payload: Vec<u8>,
 }
 
-/// Why bytes are no datagram of ours.
+/// Why bytes were not accepted as a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OpenError {
-    /// Too short, too long, or of another form or version.
+    /// Wrong size, format or version.
     Malformed,
-    /// The tag is wrong: another key, or somebody changed it.
+    /// The authentication tag does not match: another key, or a modified datagram.
     Unauthentic,
 }
 
 impl Datagram {
-    /// The bytes to send. A payload over [`MAX_PAYLOAD`] is the caller's fault and is cut.
+    /// Encodes and authenticates the datagram. The caller must keep the payload within [`MAX_PAYLOAD`]; a
+    /// longer one is truncated.
     pub fn seal(&self, keys: &KeyRing) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(MAX_DATAGRAM);
         bytes.extend_from_slice(&MAGIC);
@@ -64,7 +65,7 @@
         bytes
     }
 
-    /// Reads bytes that came, if they are authentic.
+    /// Decodes received bytes if they are authentic.
     pub fn open(bytes: &[u8], keys: &KeyRing) -> Result<Datagram, OpenError> {
         if !(HEAD + TAG..=MAX_DATAGRAM).contains(&bytes.len()) || bytes[..2] != MAGIC {
             return Err(OpenError::Malformed);
--- a/control/src/peers/gossip.rs
+++ b/control/src/peers/gossip.rs
@@ -1,15 +1,16 @@
-//! The talk itself: who is told what, and what is believed.
+//! The gossip protocol: which peers receive what, and which datagrams are accepted.
 //!
-//! What is new is sent to a few peers at once and again in the next rounds. Beside that, each round a few
-//! peers are sent a digest of all that is remembered: 16 sums of fingerprints, by their first four bits. A
-//! peer that differs in one of them sends what it has there, if that is little, and asks for the rest; else
-//! the 16 sums of the next four bits. So a dispatcher that was cut off or restarted catches up, whatever was
-//! lost.
+//! A new record is sent to a few peers immediately and again in the following rounds. In addition, each round
+//! sends a few peers a digest of all stored records: 16 XOR sums of fingerprints, grouped by their first four
+//! bits. A peer that differs in a group sends its records of that group if there are few and requests the
+//! others; otherwise it sends the 16 sums by the next four bits. A dispatcher that was partitioned or
+//! restarted thus catches up, whatever was lost.
 //!
-//! A datagram is believed if its tag is right, it echoes the token that this dispatcher last demanded of the
-//! peer, and its number has not come in the sender's session. The token is drawn anew at each start and with
-//! each new session of the peer, so nothing that was recorded before can be believed again. What is not
-//! believed changes nothing; an authentic one is answered with a greeting that tells the token, seldom.
+//! A datagram is accepted if its authentication tag is valid, it echoes the token that this dispatcher last
+//! demanded from the peer, and its number is new in the sender's session. The token is drawn anew at each
+//! start and with each new session of the peer, so recorded datagrams cannot be replayed. A datagram that is
+//! not accepted changes nothing; if it is authentic, it is answered with a greeting that carries the token,
+//! at a limited rate.
 
 use super::datagram::{Datagram, OpenError, MAX_PAYLOAD};
 use super::keys::KeyRing;
@@ -28,55 +29,56 @@
 const DIGEST: u8 = 1;
 const WANTED: u8 = 2;
 const RECORD: u8 = 3;
-/// Discovery has answered the sender: a [`DiscoveryReport`].
+/// States that discovery has answered the sender; the payload is a [`DiscoveryReport`].
 const DISCOVERY_ANSWERED: u8 = 4;
 
-/// Peers that are told of something new at once, and in each round that follows.
+/// Number of peers that receive a new record immediately and in each following round.
 const FANOUT: usize = 6;
-/// Peers that are sent a digest in a round.
+/// Number of peers that receive a digest per round.
 const DIGESTS: usize = 3;
-/// Rounds in which something new is sent again: at 30% loss one in 400 peers hears it from none of them.
+/// Number of rounds in which a new record is sent again: at 30% loss, one peer in 400 receives none of the
+/// copies.
 const ROUNDS: u8 = 4;
-/// Something new that is sent again, at most; the digests bring what is over.
+/// Maximum number of new records that are sent again; digests cover the rest.
 const MAX_HOT: usize = 64;
-/// Datagrams that one which came may cause.
+/// Maximum number of datagrams sent in response to one.
 const MAX_REPLIES: usize = 24;
-/// Records of a bucket that are sent without looking deeper.
+/// Maximum number of records of a bucket that are sent without descending further.
 const FEW: usize = 4;
-/// Levels of digests below which all is sent.
+/// Depth of the digest tree, below which all records are sent.
 const DEEPEST: u8 = 5;
-/// Reports of peers that are kept until they are taken, at most.
+/// Maximum number of peer reports that are kept until they are taken.
 const MAX_REPORTS: usize = 16;
-/// A greeting goes to a peer this often at most.
+/// Minimum interval between greetings to one peer.
 const GREETING_GAP: Millis = 50;
 
-/// A datagram to send, and where to.
+/// A datagram to send, and its destination.
 pub type Outgoing = (SocketAddr, Vec<u8>);
 
-/// What has come and gone since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Datagrams sent.
     pub sent: u64,
-    /// Datagrams believed.
+    /// Datagrams accepted.
     pub taken: u64,
-    /// Records that were new.
+    /// New records received.
     pub learnt: u64,
-    /// Of a wrong form or size, or holding what can't be read.
+    /// Datagrams with an invalid format, size or payload.
     pub malformed: u64,
-    /// With a wrong tag.
+    /// Datagrams with an invalid authentication tag.
     pub unauthentic: u64,
-    /// Come before, or not for this session.
+    /// Datagrams that are duplicates, or that were not sent to this session.
     pub replayed: u64,
-    /// From an address that is no peer's.
+    /// Datagrams from an address that belongs to no peer.
     pub strangers: u64,
-    /// Records not taken: from the future, too old, or too many.
+    /// Records rejected as too old or too far in the future, or because the table is full.
     pub refused: u64,
 }
 
 struct Peer {
     addr: SocketAddr,
-    /// What the peer must echo; what it wants echoed.
+    /// The tokens that the peer has to echo, and that the peer wants echoed.
     demand: u64,
     echo: u64,
     session: Option<u64>,
@@ -85,7 +87,7 @@
     greeted: Option<Millis>,
 }
 
-/// One dispatcher's side of the talk.
+/// Gossip state of one dispatcher.
 pub struct Gossip {
     session: u64,
     rng: StdRng,
@@ -93,12 +95,12 @@
     peers: Vec<Peer>,
     places: FxHashMap<SocketAddr, usize>,
     hot: Vec<(Arc<Record>, u8)>,
-    /// What peers have reported of discovery and nobody has taken yet.
+    /// Reports received from peers that have not been taken yet.
     reports: Vec<DiscoveryReport>,
     counts: Counts,
 }
 
-/// Bits of a fingerprint that a bucket stands for: the first `4 * depth`.
+/// A group of fingerprints: those that share their first `4 * depth` bits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Bucket {
     depth: u8,
@@ -137,7 +139,7 @@
 }
 
 impl Gossip {
-    /// A dispatcher's side at its start. The seed must be new with each start and not to be guessed.
+    /// Creates the state at the start of a dispatcher. The seed must be new at each start and unpredictable.
     pub fn new(peers: &[SocketAddr], keys: KeyRing, seed: [u8; 32]) -> Gossip {
         let mut rng = StdRng::from_seed(seed);
         let mut gossip = Gossip {
@@ -161,17 +163,17 @@
         gossip
     }
 
-    /// What has come and gone.
+    /// Counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Goes over to other keys, as when one is replaced.
+    /// Replaces the keys, for key rotation.
     pub fn rekey(&mut self, keys: KeyRing) {
         self.keys = keys;
     }
 
-    /// Tells peers of a record that is new here.
+    /// Sends a new record to peers.
     pub fn announce(&mut self, record: &Arc<Record>) -> Vec<Outgoing> {
         if self.hot.len() < MAX_HOT {
             self.hot.push((record.clone(), ROUNDS));
@@ -180,17 +182,17 @@
         self.draw(FANOUT).into_iter().map(|at| self.seal(at, RECORD, payload.clone())).collect()
     }
 
-    /// Tells all peers that discovery has answered.
+    /// Reports an answer from discovery to all peers.
     pub fn report(&mut self, report: DiscoveryReport) -> Vec<Outgoing> {
         (0..self.peers.len()).map(|at| self.seal(at, DISCOVERY_ANSWERED, report.encode().to_vec())).collect()
     }
 
-    /// Takes what peers have reported of discovery since the last time.
+    /// Returns the reports received from peers since the last call.
     pub fn take_reports(&mut self) -> Vec<DiscoveryReport> {
         std::mem::take(&mut self.reports)
     }
 
-    /// A round: a few peers are sent what is new again, and a digest.
+    /// Runs a round: sends recent records and a digest to a few peers.
     pub fn tick(&mut self, table: &Table) -> Vec<Outgoing> {
         let mut out = Vec::new();
         let hot = std::mem::take(&mut self.hot);
@@ -209,7 +211,8 @@
         out
     }
 
-    /// Takes in a datagram. What comes back is to be sent; whether the table has changed shows in its revision.
+    /// Processes a received datagram and returns the responses to send. A change of the table shows in its
+    /// revision.
     pub fn receive(
         &mut self,
         now: Millis,
@@ -233,13 +236,13 @@
             }
         };
         if datagram.session == self.session {
-            // One of ours, thrown back.
+            // A reflected datagram of this dispatcher.
             self.counts.replayed += 1;
             return Vec::new();
         }
         let peer = &mut self.peers[at];
         if datagram.echo != peer.demand {
-            // It may be old. A greeting tells the peer what to echo, and costs little if it is.
+            // Possibly a replay. A greeting tells the peer which token to echo, and is cheap if it is one.
             self.counts.replayed += u64::from(datagram.echo != 0);
             if peer.greeted.is_some_and(|g| now < g + GREETING_GAP && g <= now) {
                 return Vec::new();
@@ -251,7 +254,7 @@
             return vec![greeting];
         }
         if peer.session != Some(datagram.session) {
-            // A new session; what the one before it has sent must not be believed again.
+            // A new session of the peer: datagrams of earlier sessions must no longer be accepted.
             let fresh = self.rng.random_range(1..=u64::MAX);
             (peer.session, peer.window, peer.demand) = (Some(datagram.session), Window::default(), fresh);
         }
@@ -269,7 +272,7 @@
         replies
     }
 
-    /// Does what a believed datagram asks for; `None` if it can't be read.
+    /// Handles an accepted datagram; `None` if its payload is invalid.
     fn act(
         &mut self,
         now: Millis,
@@ -329,7 +332,7 @@
                 out.push(self.digest(at, child, table));
             }
         }
-        // What is cut off below must not always be the same.
+        // Responses beyond the limit are dropped; the rotation varies which ones.
         if out.len() > MAX_REPLIES {
             let first = self.rng.random_range(0..out.len());
             out.rotate_left(first);
--- a/control/src/peers/keys.rs
+++ b/control/src/peers/keys.rs
@@ -1,43 +1,44 @@
-//! The keys that datagrams are authenticated with.
+//! Keys for the authentication of datagrams.
 
 use thiserror::Error;
 
-/// A key file that can't be used.
+/// Error in a key file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum KeyFileError {
-    /// A line is no key.
+    /// A line is not a valid key.
     #[error("line {0} is not a key: 64 hexadecimal digits are one")]
     Line(usize),
-    /// There is none.
+    /// The file contains no key.
     #[error(
         "holds no key: it must hold one line of 64 hexadecimal digits, or two while a key is being replaced"
     )]
     None,
-    /// There are three or more.
+    /// The file contains more than two keys.
     #[error("holds {0} keys: two at most, while one is being replaced")]
     TooMany(usize),
-    /// Two are the same.
+    /// Both keys are the same.
     #[error("holds the same key twice")]
     Twice,
 }
 
-/// One or two keys. The first seals; each of them opens.
+/// One or two keys. The first one authenticates outgoing datagrams; either one is accepted in incoming ones.
 #[derive(Clone)]
 pub struct KeyRing(Vec<[u8; 32]>);
 
 impl std::fmt::Debug for KeyRing {
-    /// Never shows the keys.
+    /// Does not reveal the keys.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "KeyRing({} keys)", self.0.len())
     }
 }
 
 impl KeyRing {
-    /// Reads a key file: a key a line, in hexadecimal; empty lines and those that begin with # count for
-    /// nothing.
+    /// Parses a key file: one hexadecimal key per line; empty lines and lines that start with `#` are
+    /// ignored.
     ///
     /// # Errors
-    /// Says which line can't be used, never what it holds.
+    ///
+    /// Names the invalid line, never its content.
     pub fn parse(text: &str) -> Result<KeyRing, KeyFileError> {
         let mut keys = Vec::new();
         for (at, line) in text.lines().enumerate() {
@@ -55,25 +56,25 @@
         }
     }
 
-    /// The tag of bytes under the key that seals.
+    /// Computes the authentication tag under the first key.
     pub fn seal(&self, bytes: &[u8]) -> [u8; 16] {
         tag(&self.0[0], bytes)
     }
 
-    /// What `act` makes of the one key under which a tag is that of the bytes; of the first, where it is none's.
+    /// Calls `act` with the key under which `sent` is the tag of `bytes`, or with all keys if there is none.
     pub fn with_matching_key<T>(&self, bytes: &[u8], sent: &[u8; 16], act: impl Fn(&KeyRing) -> T) -> T {
         let mut alone = self.0.iter().map(|key| KeyRing(vec![*key]));
         act(&alone.find(|one| one.verifies(bytes, sent)).unwrap_or_else(|| self.clone()))
     }
 
-    /// Whether a tag is that of the bytes under any key. Takes as long for a wrong tag as for a right one.
+    /// Whether `sent` is the tag of `bytes` under any key, in time independent of the result.
     pub fn verifies(&self, bytes: &[u8], sent: &[u8; 16]) -> bool {
         let widened = |tag: [u8; 16]| {
             let mut hash = [0; 32];
             hash[..16].copy_from_slice(&tag);
             blake3::Hash::from_bytes(hash)
         };
-        // The comparison of hashes is constant in time.
+        // The comparison of hashes takes constant time.
         self.0.iter().fold(false, |opened, key| opened | (widened(tag(key, bytes)) == widened(*sent)))
     }
 }
--- a/control/src/peers/mod.rs
+++ b/control/src/peers/mod.rs
@@ -1,7 +1,7 @@
-//! Talk between dispatchers: how those of a tier come to hold the same overrides over a network that loses,
-//! doubles, delays and reorders, and that others may write to.
+//! Communication between dispatchers: how those of a tier come to hold the same overrides over a network that
+//! loses, duplicates, delays and reorders datagrams, and to which others may write.
 //!
-//! [`Gossip`] is the whole of it: datagrams and ticks in, datagrams out.
+//! [`Gossip`] implements the protocol: datagrams and ticks in, datagrams out.
 
 mod datagram;
 mod gossip;
--- a/control/src/peers/replay.rs
+++ b/control/src/peers/replay.rs
@@ -1,15 +1,15 @@
-//! Which numbers of a sender's session have come.
+//! Replay detection for the datagrams of a session.
 
-/// Remembers the last 64 numbers. What is older than those counts as come.
+/// Remembers the last 64 sequence numbers. Older ones count as already received.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Window {
     highest: u32,
-    /// Bit i: `highest - i` has come.
+    /// Bit i: `highest - i` has been received.
     seen: u64,
 }
 
 impl Window {
-    /// Takes a number in: false if it has come before, or is too old to tell.
+    /// Records a number; false if it was received before, or is too old to tell.
     pub fn take(&mut self, number: u32) -> bool {
         if number > self.highest {
             let ahead = number - self.highest;
--- a/control/src/service_time.rs
+++ b/control/src/service_time.rs
@@ -1,15 +1,18 @@
-//! What a call's turn costs at a discovery that handles the calls of a whole tier one by one, as far as one dispatcher can tell.
+//! Estimates the service time of a request at a discovery service that handles the requests of a whole tier
+//! one at a time, as far as one dispatcher can observe it.
 //!
-//! A call that does not wait for news takes its turn and what stands before it, so the shortest of them is what a turn costs at
-//! most. That times the size of the tier is how long discovery needs, at most, to answer all of it once: the time that a crowd
-//! lasts, as it comes about where the whole tier has lost its watches.
+//! A request that does not wait for changes takes its queueing time plus its service time, so the shortest
+//! such request is an upper bound on the service time. Multiplied by the size of the tier, it bounds the time
+//! that discovery needs to answer every dispatcher once, which is how long congestion lasts after the whole
+//! tier has lost its watches.
 //!
-//! The estimate errs upwards alone, as long as discovery gets no slower: one that has seen no call but those in a crowd takes
-//! their waits for cost. One that discovery answers slower than before is too low.
+//! As long as discovery does not get slower, the estimate can only be too high: a dispatcher that has
+//! measured requests only during congestion counts their queueing time as service time. If discovery gets
+//! slower, the estimate is too low.
 
 use crate::Millis;
 
-/// What one dispatcher knows of the cost of a turn.
+/// One dispatcher's estimate of the service time of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceTimeEstimate {
     dispatchers: u32,
@@ -17,22 +20,23 @@
 }
 
 impl ServiceTimeEstimate {
-    /// Nothing is known yet of a discovery that so many dispatchers share.
+    /// An estimate without measurements, for a discovery service shared by `dispatchers` dispatchers.
     pub fn for_tier(dispatchers: u32) -> Self {
         ServiceTimeEstimate { dispatchers, shortest_call: None }
     }
 
-    /// A call that did not wait for news was answered after so long.
+    /// Records the duration of an answered request that did not wait for changes.
     pub fn record(&mut self, took: Millis) {
         self.shortest_call = Some(self.shortest_call.map_or(took, |shortest| shortest.min(took)));
     }
 
-    /// The shortest call so far that did not wait for news.
+    /// The shortest answered request so far that did not wait for changes.
     pub fn shortest_call(&self) -> Option<Millis> {
         self.shortest_call
     }
 
-    /// How long discovery needs at most to answer the whole tier once; `None`: nothing is known.
+    /// Upper bound on the time that discovery needs to answer the whole tier once; `None` before the first
+    /// measurement.
     pub fn full_tier_time(&self) -> Option<Millis> {
         self.shortest_call.map(|turn| turn.saturating_mul(self.dispatchers.into()))
     }
--- a/permit/src/audit.rs
+++ b/permit/src/audit.rs
@@ -1,63 +1,65 @@
-//! What was done, judged behind the act. The rules are stated here on their own, with the slack that the platform allows,
-//! and share nothing with the permits: a fault of a permit shows here.
+//! Checks an action after it was performed. The rules are stated here independently, with the tolerances that
+//! the platform allows, and share no code with the permits, so a faulty permit is detected here.
 
 use enum_map::Enum;
 use std::time::{Duration, Instant};
 
-/// How long after a client's end an attempt may still begin.
+/// How long after the client has disconnected an attempt may still begin.
 const CLIENT_GONE_SLACK: Duration = Duration::from_millis(100);
 
-/// A process may be held up for so long between its clock and its write.
+/// How long the process may stall between reading its clock and writing.
 const HELD_UP_SLACK: Duration = Duration::from_millis(150);
 
-/// A rule that the program broke.
+/// A rule that the program has violated.
 #[derive(Clone, Copy, Debug, Enum, PartialEq, Eq)]
 pub enum Violation {
-    /// A first byte to a worker that this process had long known to drain or to be gone.
+    /// The first byte was sent to a worker that this process had known to be draining or gone for longer than
+    /// allowed.
     DrainedWorker,
-    /// A first byte to a worker that an operator had taken out before.
+    /// The first byte was sent to a worker that an operator had taken out of service.
     WorkerOutOfService,
-    /// A first byte by a list that was not valid.
+    /// The first byte was sent while the worker list was not valid.
     InvalidList,
-    /// A first byte for a client that had gone.
+    /// The first byte was sent after the client had disconnected.
     ClientGone,
-    /// A first byte behind the deadline.
+    /// The first byte was sent after the deadline.
     DeadlineOver,
-    /// A worker was told more time than its client had left.
+    /// The worker was told of more time than its client had left.
     PassedOnTooMuch,
-    /// A first byte of a repeat that workers no longer know as one.
+    /// The first byte of a repeat was sent after the workers had forgotten the idempotency key.
     RepeatWindowOver,
-    /// A second attempt beside one that is out.
+    /// A second attempt was started while another was in flight.
     SecondAttempt,
-    /// A connection was ended that owed its client an answer.
+    /// A connection was closed although its client was owed an answer.
     AnswerOwed,
 }
 
-/// What is known right behind the write of a first byte.
+/// Facts known directly after the first byte was written.
 #[derive(Clone, Copy, Debug)]
 pub struct SendAudit {
-    /// The clock, read behind the write.
+    /// Time read after the write.
     pub now: Instant,
-    /// The list is valid.
+    /// Whether the worker list is valid.
     pub list_valid: bool,
-    /// Since when the list has had the worker as draining or gone, and how long sends may go on then.
+    /// Since when the list has had the worker as draining or gone, and how long sends may continue after
+    /// that.
     pub not_ready_since: Option<(Instant, Duration)>,
-    /// Since when this process knows that an operator has taken the worker out.
+    /// Since when this process has known that an operator took the worker out of service.
     pub out_of_service: Option<Instant>,
-    /// Since when the client is gone.
+    /// Since when the client has been disconnected.
     pub client_gone: Option<Instant>,
-    /// When the dispatcher stops waiting.
+    /// When the dispatcher stops waiting for the answer.
     pub deadline: Instant,
     /// When repeats have to end.
     pub repeat_until: Option<Instant>,
-    /// The time that the worker was told is left.
+    /// The remaining time that the worker was told of.
     pub passed_on: Option<Duration>,
-    /// Attempts of the request that are out, this one included.
+    /// Attempts of the request in flight, including this one.
     pub attempts_in_flight: usize,
 }
 
 impl SendAudit {
-    /// The rules that this write broke.
+    /// The rules violated by this write.
     pub fn violations(&self) -> impl Iterator<Item = Violation> {
         let late = |since: Instant, slack: Duration| self.now.saturating_duration_since(since) > slack;
         let left = self.deadline.saturating_duration_since(self.now);
--- a/permit/src/close.rs
+++ b/permit/src/close.rs
@@ -1,66 +1,67 @@
-//! The end of a client's connection by this side.
+//! Closing of a client's connection by this side.
 
 use enum_map::Enum;
 use thiserror::Error;
 
-/// What a client's connection is at.
+/// State of a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// Nothing of a request has come since the last answer, or since the start.
+    /// No byte of a request has arrived since the connection began or the last answer ended.
     Idle,
-    /// A request is coming and not whole.
+    /// A request has arrived in part.
     Receiving,
-    /// A request is in hand: its client is owed an answer.
+    /// A request is being processed; its client is owed an answer.
     AwaitingResponse,
     /// An answer has begun and not ended.
     Responding,
 }
 
-/// Why it would end.
+/// Why the connection would be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The client has ended it, or it broke.
+    /// The client has closed the connection, or it failed.
     ClientClosed,
-    /// A request was late, too long or malformed; its client is told so.
+    /// A request was late, too long or malformed; the client is told so.
     BadRequest,
     /// Its slot is needed for another connection.
     SlotNeeded,
-    /// The process stops.
+    /// The process is stopping.
     Stopping,
-    /// The server is done with it: its last answer said that it ends it, or it was kept for its time.
+    /// The server has finished with it: the last answer announced the close, or the keep-alive time is over.
     ServerFinished,
 }
 
-/// What is known when the connection would be ended.
+/// Facts known when the connection would be closed.
 #[derive(Clone, Copy, Debug)]
 pub struct CloseFacts {
-    /// What it is at.
+    /// State of the connection.
     pub state: ConnectionState,
-    /// Why it would end.
+    /// Why the connection would be closed.
     pub reason: CloseReason,
 }
 
-/// Why it must stay open.
+/// Why the connection must stay open.
 #[derive(Clone, Copy, Debug, Enum, Error, PartialEq, Eq)]
 pub enum CloseRefusal {
-    /// A client that is there is owed an answer.
+    /// A connected client is owed an answer.
     #[error("an answer is owed on it")]
     AnswerOwed,
-    /// An answer would be cut short.
+    /// An answer would be truncated.
     #[error("an answer is on its way")]
     AnswerOnItsWay,
 }
 
-/// Leave to end one connection.
+/// Permission to close one connection.
 #[derive(Debug)]
 #[must_use = "a permit is for one connection"]
 pub struct ClosePermit(());
 
 impl CloseFacts {
-    /// Decides whether the connection may be ended.
+    /// Decides whether the connection may be closed.
     ///
     /// # Errors
-    /// Why it must stay.
+    ///
+    /// Why the connection must stay open.
     pub fn permit(&self) -> Result<ClosePermit, CloseRefusal> {
         match (self.reason, self.state) {
             (CloseReason::ClientClosed | CloseReason::BadRequest, _) => Ok(ClosePermit(())),
--- a/permit/src/lib.rs
+++ b/permit/src/lib.rs
@@ -1,20 +1,21 @@
-//! What a dispatcher may do now. The first byte of an attempt, a further attempt, the end of a client's connection and the
-//! start of a request each need a permit, and only this crate makes them, each from one snapshot of facts:
+//! Decides which actions a dispatcher may take. Sending the first byte of an attempt, making a further
+//! attempt, closing a client's connection and starting a request each require a permit. Only this crate
+//! issues permits, each from one snapshot of facts:
 //!
-//! | act | facts | permit | refusal |
+//! | action | facts | permit | refusal |
 //! | --- | --- | --- | --- |
 //! | first byte to a worker | [`SendFacts`] | [`SendPermit`] | [`SendRefusal`] |
 //! | further attempt of a request | [`RetryFacts`] | [`RetryPermit`] | [`RetryRefusal`] |
 //! | end of a client's connection | [`CloseFacts`] | [`ClosePermit`] | [`CloseRefusal`] |
 //! | start of a request | [`StartFacts`] | [`StartPermit`] | [`StartRefusal`] |
 //!
-//! A permit has no public constructor, is neither copied nor kept: whoever acts takes it by value. A send permit is short
-//! lived as well ([`SendPermit::check_age`]).
+//! A permit has no public constructor and is neither copied nor stored: the code that acts takes it by value.
+//! A send permit also expires ([`SendPermit::check_age`]).
 //!
-//! [`audit`] judges what was done by facts taken behind the act, with rules stated anew and not shared with the permits: a
-//! [`Violation`] is a fault of the program, whatever the outside did.
+//! [`audit`] checks actions by facts taken afterwards, with rules that are stated independently of the
+//! permits: a [`Violation`] is a bug in the program, whatever its environment did.
 //!
-//! Nothing here does I/O or reads a clock: instants are arguments.
+//! This crate performs no I/O and reads no clock: instants are arguments.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/permit/src/retry.rs
+++ b/permit/src/retry.rs
@@ -1,60 +1,60 @@
-//! A further attempt of a request.
+//! Further attempts of a request.
 
 use enum_map::Enum;
 use std::time::Instant;
 use thiserror::Error;
 
-/// What a second run of a request would do.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepeatSafety {
-    /// Nothing.
+    /// A second run has no effect.
     Idempotent,
-    /// Nothing, while workers know the key.
+    /// A second run has no effect while workers remember the idempotency key.
     IdempotentByKey,
-    /// Harm.
+    /// A second run does harm.
     NotIdempotent,
 }
 
-/// What became of the attempts before.
+/// Outcome of the earlier attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EarlierAttempts {
-    /// There were none, or each of them surely never ran.
+    /// There were none, or each of them certainly never ran.
     NeverRan,
-    /// One may have run. `repeat_until`: how long workers know its key, where the class has one.
+    /// One may have run.
     MayHaveRun {
-        /// When the workers' memory of it ends.
+        /// When the workers forget its idempotency key; `None` if the class has none.
         repeat_until: Option<Instant>,
     },
 }
 
-/// What is known when an attempt is about to be made.
+/// Facts known when an attempt is about to be made.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryFacts {
-    /// The clock.
+    /// Current time.
     pub now: Instant,
-    /// What a second run would do.
+    /// Whether the request may run more than once.
     pub effect: RepeatSafety,
-    /// The attempts before.
+    /// Outcome of the earlier attempts.
     pub earlier: EarlierAttempts,
-    /// Another attempt of the request is out.
+    /// Whether another attempt of the request is in flight.
     pub has_attempt_in_flight: bool,
 }
 
 /// Why no further attempt may be made.
 #[derive(Clone, Copy, Debug, Enum, Error, PartialEq, Eq)]
 pub enum RetryRefusal {
-    /// Two attempts are never out.
+    /// At most one attempt may be in flight.
     #[error("another attempt is out")]
     AnotherIsOut,
-    /// It may have run, and must not run twice.
+    /// An earlier attempt may have run, and the request must not run twice.
     #[error("an attempt may have run, and the class must not run twice")]
     MayHaveRun,
-    /// It may have run, and workers would not know the repeat.
+    /// An earlier attempt may have run, and workers may have forgotten the idempotency key.
     #[error("the time for repeats is over")]
     RepeatWindowOver,
 }
 
-/// Leave to make one attempt.
+/// Permission to make one attempt.
 #[derive(Debug)]
 #[must_use = "a permit is for one attempt"]
 pub struct RetryPermit(());
@@ -63,7 +63,8 @@
     /// Decides whether an attempt may be made.
     ///
     /// # Errors
-    /// Why it must not.
+    ///
+    /// Why the attempt must not be made.
     pub fn permit(&self) -> Result<RetryPermit, RetryRefusal> {
         if self.has_attempt_in_flight {
             return Err(RetryRefusal::AnotherIsOut);
--- a/permit/src/send.rs
+++ b/permit/src/send.rs
@@ -1,137 +1,137 @@
-//! The first byte of an attempt.
+//! Sending of the first byte of an attempt.
 
 use enum_map::Enum;
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// A process may be held up for so long between its clock and its write: spans that others keep too, of which the end must
-/// not be crossed, end earlier by this.
+/// How long the process may stall between reading its clock and writing. Time limits that others enforce too,
+/// and that must not be exceeded, end earlier by this much.
 pub const STALL_ALLOWANCE: Duration = Duration::from_millis(150);
-/// The time that a worker is told may be more than what is left by this: hold-ups that show in no clock are less.
+/// How much more time than is left a worker may be told of. Stalls that no clock reading shows are shorter.
 const PASSED_ON_SLACK: Duration = Duration::from_millis(100);
-/// A permit is good for so long: it is made in the step that writes.
+/// Lifetime of a permit, which is issued in the same step as the write.
 const PERMIT_LIFETIME: Duration = Duration::from_millis(10);
 
 /// Whether the worker list may be acted on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListValidity {
-    /// It was confirmed lately enough.
+    /// The list was confirmed recently enough.
     Valid,
-    /// Nothing has confirmed it since the start: its age is not known.
+    /// Nothing has confirmed the list since the start: its age is unknown.
     Unconfirmed,
-    /// It was confirmed too long ago: what it lacks counts as told.
+    /// The list was confirmed too long ago: changes that it lacks count as published.
     Expired,
 }
 
-/// Whether a worker takes work, as the list has it.
+/// State of a worker in the worker list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerStage {
-    /// It takes work.
+    /// The worker accepts jobs.
     Ready,
-    /// It finishes what it has.
+    /// The worker finishes its jobs and accepts no new ones.
     Draining,
-    /// It has left.
+    /// The worker has left.
     Gone,
 }
 
-/// Whether operators let a worker serve.
+/// Whether operators allow a worker to serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorState {
-    /// They do.
+    /// The worker may serve.
     InService,
-    /// One has taken it out of service.
+    /// An operator has taken the worker out of service.
     OutOfService,
 }
 
-/// What the list and operators say of a worker.
+/// What the worker list and operators state about a worker.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerFacts {
-    /// What the list says now; `None`: it never named the worker.
+    /// Current state in the list; `None` if the list never named the worker.
     pub stage: Option<WorkerStage>,
-    /// What it said when the attempt was decided.
+    /// State in the list when the attempt was decided.
     pub stage_when_decided: WorkerStage,
-    /// What operators say now, to whichever process of the dispatcher.
+    /// Current decision of the operators, received by any process of this dispatcher.
     pub operator_state: OperatorState,
 }
 
-/// What became of the attempt since it was decided.
+/// State of the attempt since it was decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptState {
-    /// It is the one attempt of its request that is out.
+    /// It is the one attempt of its request in flight.
     InFlight,
-    /// It has been given up, or has ended.
+    /// It was abandoned, or has ended.
     Ended,
 }
 
-/// Who waits for the answer.
+/// State of the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientState {
-    /// The client waits.
+    /// The client waits for the answer.
     Waiting,
-    /// It has left, or has its answer.
+    /// The client has disconnected, or has received its answer.
     Gone,
 }
 
-/// What is known in the step that would write the first byte.
+/// Facts known in the step that would write the first byte.
 #[derive(Clone, Copy, Debug)]
 pub struct SendFacts {
-    /// The clock, read in this step.
+    /// Current time, read in this step.
     pub now: Instant,
     /// Whether the worker list may be acted on.
     pub list: ListValidity,
-    /// The worker by that list.
+    /// The worker, according to that list.
     pub worker: WorkerFacts,
-    /// The attempt.
+    /// State of the attempt.
     pub attempt: AttemptState,
-    /// The client.
+    /// State of the client.
     pub client: ClientState,
-    /// When the dispatcher stops waiting.
+    /// When the dispatcher stops waiting for the answer.
     pub deadline: Instant,
-    /// When the workers' memory of an earlier attempt that may have run ends, if there is one.
+    /// When workers forget the idempotency key of an earlier attempt that may have run, if there is one.
     pub repeat_until: Option<Instant>,
-    /// The time that the bytes tell the worker is left, where they tell of any.
+    /// The remaining time that the message tells the worker of, if it does.
     pub passed_on: Option<Duration>,
 }
 
-/// Why the first byte must not go out.
+/// Why the first byte must not be sent.
 #[derive(Clone, Copy, Debug, Enum, Error, PartialEq, Eq)]
 pub enum SendRefusal {
-    /// The list is of unknown age.
+    /// The age of the list is unknown.
     #[error("nothing has confirmed the worker list since the start")]
     ListUnconfirmed,
-    /// What the list lacks counts as told.
+    /// Changes that the list lacks count as published.
     #[error("the worker list was confirmed too long ago")]
     ListExpired,
-    /// No list that names the worker.
+    /// The list has never named the worker.
     #[error("the worker is not listed")]
     WorkerUnknown,
-    /// An operator has taken the worker out, perhaps since the attempt was decided.
+    /// An operator has taken the worker out of service, possibly since the attempt was decided.
     #[error("an operator has taken the worker out of service")]
     WorkerOutOfService,
-    /// The list says something else of the worker than it did when the attempt was decided.
+    /// The worker's state in the list has changed since the attempt was decided.
     #[error("the list says something else of the worker by now")]
     WorkerChanged,
-    /// The attempt was given up meanwhile, or has ended.
+    /// The attempt was abandoned, or has ended.
     #[error("the attempt is over")]
     AttemptOver,
-    /// Nobody waits any more.
+    /// No client waits for the answer.
     #[error("the client has gone")]
     ClientGone,
-    /// The time is over.
+    /// The deadline has passed.
     #[error("the deadline is over")]
     DeadlineOver,
-    /// An earlier attempt may have run, and workers will not know a repeat as one much longer.
+    /// An earlier attempt may have run, and workers will soon have forgotten its idempotency key.
     #[error("the time for repeats is over")]
     RepeatWindowOver,
-    /// The worker would be told more time than is left: the words were made too long ago.
+    /// The worker would be told of more time than is left: the message was composed too long ago.
     #[error("the time that it would be told is no longer left")]
     PassedOnTooMuch,
-    /// The permit was kept too long.
+    /// The permit has expired.
     #[error("the permit is old")]
     PermitOld,
 }
 
-/// Leave to write the first byte, now.
+/// Permission to write the first byte now.
 #[derive(Debug)]
 #[must_use = "a permit is for one write, in the same step"]
 pub struct SendPermit {
@@ -139,10 +139,11 @@
 }
 
 impl SendFacts {
-    /// Decides whether the first byte may go out.
+    /// Decides whether the first byte may be sent.
     ///
     /// # Errors
-    /// Why it must not.
+    ///
+    /// Why it must not be sent.
     pub fn permit(&self) -> Result<SendPermit, SendRefusal> {
         if self.attempt == AttemptState::Ended {
             return Err(SendRefusal::AttemptOver);
@@ -178,10 +179,11 @@
 }
 
 impl SendPermit {
-    /// Uses the permit up.
+    /// Consumes the permit.
     ///
     /// # Errors
-    /// It was kept too long: the facts have to be looked at anew.
+    ///
+    /// The permit has expired: the facts have to be checked again.
     pub fn check_age(self, now: Instant) -> Result<(), SendRefusal> {
         if now.saturating_duration_since(self.made) > PERMIT_LIFETIME {
             return Err(SendRefusal::PermitOld);
--- a/permit/src/start.rs
+++ b/permit/src/start.rs
@@ -1,49 +1,50 @@
-//! The start of a request that was read.
+//! Starting of a request that has been read.
 
 use enum_map::Enum;
 use thiserror::Error;
 
-/// What the process is at.
+/// State of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessState {
-    /// It takes requests.
+    /// The process accepts requests.
     Serving,
-    /// SIGTERM has come, and requests are still taken.
+    /// The process has received SIGTERM and still accepts requests.
     Draining,
-    /// It finishes what it has.
+    /// The process only finishes the requests that it has.
     Stopping,
 }
 
-/// What is known when a request is about to be taken.
+/// Facts known when a request is about to be started.
 #[derive(Clone, Copy, Debug)]
 pub struct StartFacts {
-    /// The process.
+    /// State of the process.
     pub process: ProcessState,
-    /// The client that sent it has gone.
+    /// Whether the client that sent the request has disconnected.
     pub client_gone: bool,
 }
 
-/// Why a request is not taken.
+/// Why a request is not started.
 #[derive(Clone, Copy, Debug, Enum, Error, PartialEq, Eq)]
 pub enum StartRefusal {
-    /// The process ends before it could be answered.
+    /// The process would end before the request could be answered.
     #[error("the process stops")]
     Stopping,
-    /// Nobody waits for its answer.
+    /// No client waits for the answer.
     #[error("the client has gone")]
     ClientGone,
 }
 
-/// Leave to take one request.
+/// Permission to start one request.
 #[derive(Debug)]
 #[must_use = "a permit is for one request"]
 pub struct StartPermit(());
 
 impl StartFacts {
-    /// Decides whether the request may be taken.
+    /// Decides whether the request may be started.
     ///
     /// # Errors
-    /// Why it must not.
+    ///
+    /// Why it must not be started.
     pub fn permit(&self) -> Result<StartPermit, StartRefusal> {
         if self.client_gone {
             return Err(StartRefusal::ClientGone);
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! The wire's settings object, turned into the module's [`Settings`]. Unknown keys are skipped; absent
-//! ones get the defaults given here.
+//! Parses the platform's settings object into the module's [`Settings`]. Unknown keys are ignored; missing
+//! ones get the defaults defined here.
 
 use lineroute::{
     Allowed, Class, Discovery, Effect, Group, KindId, Micros, Prices, ReportSource, Rules, Settings, Tenant,
@@ -7,8 +7,8 @@
 };
 use serde::Deserialize;
 
-/// The module's settings, and what only a program on sockets needs beside them: names, which the
-/// sockets carry where the simulator's wire has positions, and the limit on connecting.
+/// The module's settings, and what only a program with real sockets needs: the names, which protocols use
+/// where the simulator's protocol has indices, and the connect timeout.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
     pub settings: Settings,
@@ -17,13 +17,14 @@
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
     pub connect_timeout: Micros,
-    /// How long sends to a worker that drains may go on once that is told.
+    /// How long sends to a draining worker may continue after the drain was announced.
     pub drain_grace: Micros,
-    /// Dispatchers may send one another datagrams.
+    /// Whether dispatchers may send datagrams to each other.
     pub peer_messages_allowed: bool,
-    /// The dispatcher's number in its tier.
+    /// Index of this dispatcher in its tier.
     pub self_index: Option<u32>,
-    /// What a full message of 256 bytes a request costs, delivered once, in parts of its worth.
+    /// Price of a full message of 256 bytes per request, delivered once, as a fraction of the request's
+    /// worth.
     pub peer_message_price: f64,
 }
 
@@ -111,7 +112,7 @@
 struct RawReport {
     #[serde(default)]
     source: Option<String>,
-    /// The names of the figures; absent: all that there are.
+    /// Names of the reported figures; `None` for all of them.
     #[serde(default)]
     fields: Option<Vec<String>>,
 }
@@ -133,7 +134,7 @@
 
 impl Default for RawAllowed {
     fn default() -> Self {
-        // What is not granted is not done.
+        // What is not granted is not allowed.
         RawAllowed {
             cancel: false,
             may_probe: false,
@@ -186,7 +187,7 @@
     tells_start: bool,
 }
 
-/// Figures of a report that count jobs, by the names of the settings and of the protocol.
+/// Report fields that count jobs, as named by the settings and by the protocol.
 const COUNTS: [&str; 4] = ["concurrent", "depth", "inflight", "queue"];
 
 fn one() -> u32 {
@@ -201,7 +202,7 @@
     (ms * 1000.0).round() as Micros
 }
 
-/// Reads and checks the settings; an error names the key.
+/// Parses and validates the settings; an error names the key.
 pub fn parse(text: &str) -> Result<PlatformSettings, String> {
     let mut json = serde_json::Deserializer::from_str(text);
     let raw: Raw = serde_path_to_error::deserialize(&mut json).map_err(|e| {
