--- a/control/src/admin_console.rs
+++ b/control/src/admin_console.rs
@@ -52,10 +52,10 @@
         return Err("the line holds control characters".into());
     }
     let words: Vec<&str> = text.split_whitespace().collect();
-    let worker = |call: &str| match words.as_slice() {
+    let worker = |command: &str| match words.as_slice() {
         [_, id] if id.len() <= MAX_NAME_LEN => Ok(id.to_string()),
-        [_, _] => Err(format!("{call} ID: the id is longer than {MAX_NAME_LEN} bytes")),
-        _ => Err(format!("{call} takes one worker id: {call} ID")),
+        [_, _] => Err(format!("{command} ID: the id is longer than {MAX_NAME_LEN} bytes")),
+        _ => Err(format!("{command} takes one worker id: {command} ID")),
     };
     match words.first().map(|w| w.to_ascii_lowercase()).as_deref() {
         None => Err("the line is empty; calls are health, cordon ID, uncordon ID".into()),
@@ -80,7 +80,7 @@
     }
 
     #[test]
-    fn bad_lines_are_refused_with_a_reason() {
+    fn invalid_lines_are_rejected_with_a_reason() {
         for line in
             [&b"\n"[..], b"  \r\n", b"dance\n", b"cordon\n", b"cordon a b\n", b"health x\n", b"\xff\xfe\n"]
         {
--- a/control/src/list_status.rs
+++ b/control/src/list_status.rs
@@ -23,7 +23,7 @@
 //! list during congestion.
 //!
 //! If the list comes from an agent on this machine ([`ListStatus::pushed`]), whatever the agent holds counts
-//! as published immediately: the list is valid for the drain grace after each completed request.
+//! as published immediately: the list is valid for the drain grace after each request that could be issued.
 //!
 //! Times are milliseconds of a monotonic clock with an arbitrary origin.
 
@@ -91,7 +91,7 @@
 /// Tracks the state of one dispatcher's list.
 #[derive(Clone, Debug)]
 pub struct ListStatus {
-    /// Validity of the list after each completed request, if an agent on this machine is asked: the agent is
+    /// Validity of the list after each request that could be issued, if an agent on this machine is asked: the agent is
     /// silent only while there is no change.
     validity_after_call: Option<Millis>,
     /// When discovery last answered.
@@ -101,7 +101,7 @@
     /// State as of the last event.
     last: ListState,
     /// No other event has occurred since the last answer.
-    answered_last: bool,
+    last_event_was_answer: bool,
     /// When a peer last reported an answer from discovery.
     peer_answered_at: Option<Millis>,
     /// Estimated service time of a request at discovery.
@@ -125,7 +125,7 @@
             confirmed_at: None,
             valid_until: 0,
             last: ListState::Unconfirmed,
-            answered_last: false,
+            last_event_was_answer: false,
             peer_answered_at: None,
             service_time: ServiceTimeEstimate::for_tier(1),
             peers_report: false,
@@ -135,7 +135,7 @@
     /// A list pushed by an agent on this machine. The agent is silent while discovery is down, and what it
     /// receives in that time counts from when it arrives. Its first answer is still required. What the agent
     /// holds counts as published immediately, and sends to a draining worker may continue for `drain_grace`,
-    /// so the list is valid for that long after each completed request.
+    /// so the list is valid for that long after each request that could be issued.
     pub fn pushed(drain_grace: Millis) -> Self {
         ListStatus { validity_after_call: Some(drain_grace), ..Self::polled() }
     }
@@ -148,7 +148,7 @@
             confirmed_at: Some(0),
             valid_until: Millis::MAX,
             last,
-            answered_last: false,
+            last_event_was_answer: false,
             peer_answered_at: None,
             service_time: ServiceTimeEstimate::for_tier(1),
             peers_report: false,
@@ -159,8 +159,8 @@
     pub fn answered(&mut self, now: Millis) {
         self.confirmed_at = Some(now);
         self.last = ListState::Confirmed;
-        self.answered_last = true;
-        self.valid_until = self.after(now, UNCONFIRMED_VALIDITY);
+        self.last_event_was_answer = true;
+        self.valid_until = self.valid_until_after(now, UNCONFIRMED_VALIDITY);
     }
 
     /// From now on, peers report answers from discovery.
@@ -182,23 +182,23 @@
     /// answer; any other watch may be queued and confirms nothing.
     pub fn watch_started(&mut self, now: Millis, wait: Millis) {
         let since_answer = now.saturating_sub(self.confirmed_at.unwrap_or(0));
-        if !std::mem::take(&mut self.answered_last) || since_answer > WATCH_CONTINUES_WITHIN {
+        if !std::mem::take(&mut self.last_event_was_answer) || since_answer > WATCH_CONTINUES_WITHIN {
             return;
         }
         self.last = ListState::Watched;
-        self.valid_until = self.valid_until.max(self.after(now, wait + WATCH_SILENCE_GRACE));
+        self.valid_until = self.valid_until.max(self.valid_until_after(now, wait + WATCH_SILENCE_GRACE));
     }
 
     /// A request has failed. An expired list stays expired until discovery answers or the agent reports no
     /// change.
     pub fn failed(&mut self, now: Millis, failure: CallFailure) {
-        self.answered_last = false;
+        self.last_event_was_answer = false;
         let agent_is_silent = self.validity_after_call.is_some() && failure == CallFailure::Silent;
         if now >= self.valid_until && !agent_is_silent {
             return;
         }
         let watched = self.last == ListState::Watched;
-        let later = self.after(now, UNCONFIRMED_VALIDITY);
+        let later = self.valid_until_after(now, UNCONFIRMED_VALIDITY);
         self.last = ListState::Confirmed;
         match failure {
             CallFailure::Unreachable => {
@@ -223,14 +223,14 @@
     /// A peer reports an answer from discovery; `has_newer` states that its list is newer than this one. The
     /// report is being read now and may have been waiting since `came_at`. Returns whether it shortened the
     /// validity of the list.
-    pub fn peer_answered(&mut self, now: Millis, came_at: Millis, has_newer: bool) -> bool {
+    pub fn peer_answered(&mut self, now: Millis, received_at: Millis, has_newer: bool) -> bool {
         self.peer_answered_at = Some(now);
-        let until = came_at + NEWER_LIST_VALIDITY;
-        let is_behind = has_newer && self.last == ListState::TurnedAway && until < self.valid_until;
-        if is_behind {
+        let until = received_at + NEWER_LIST_VALIDITY;
+        let is_shortened = has_newer && self.last == ListState::TurnedAway && until < self.valid_until;
+        if is_shortened {
             self.valid_until = until;
         }
-        is_behind
+        is_shortened
     }
 
     /// Whether congestion caused by the whole tier may last longer than the propagation bound while no peer
@@ -248,7 +248,7 @@
 
     /// Discovery has moved; which changes the new instance will publish is not known yet.
     pub fn moved(&mut self, now: Millis) {
-        self.answered_last = false;
+        self.last_event_was_answer = false;
         self.last = ListState::Confirmed;
         self.valid_until = self.valid_until.min(now + VALIDITY_AFTER_MOVE);
     }
@@ -272,7 +272,7 @@
         self.confirmed_at
     }
 
-    fn after(&self, now: Millis, span: Millis) -> Millis {
+    fn valid_until_after(&self, now: Millis, span: Millis) -> Millis {
         now.saturating_add(self.validity_after_call.unwrap_or(span))
     }
 }
--- a/control/src/load_gossip.rs
+++ b/control/src/load_gossip.rs
@@ -17,10 +17,10 @@
 /// How long a load report counts if no newer one arrives. Guards against peers that die with jobs in flight.
 pub const REPORT_TTL: Millis = 4000;
 /// Size limit of a datagram in bytes, which limits the number of workers that it can name.
-pub const MAX_DATAGRAM: usize = HEAD + MAX_NAMED * ENTRY;
-const HEAD: usize = 3;
-const ENTRY: usize = 3;
-const MAX_NAMED: usize = 80;
+pub const MAX_DATAGRAM: usize = HEADER_SIZE + MAX_ENTRIES * ENTRY_SIZE;
+const HEADER_SIZE: usize = 3;
+const ENTRY_SIZE: usize = 3;
+const MAX_ENTRIES: usize = 80;
 /// Value in place of a count: the worker has just refused a job or could not be reached.
 const REFUSED: u8 = 255;
 /// How long an aggregator remembers that a worker refused or failed a job: after a report by one peer, and
@@ -34,13 +34,13 @@
 /// A newly started aggregator has not received enough reports to answer queries until this time.
 const WARM_UP: Millis = 1500;
 /// How long an aggregator that did not answer is skipped.
-const SILENT_FOR: Millis = 1000;
+const SKIP_AFTER_TIMEOUT: Millis = 1000;
 /// Timeout of a query to an aggregator: initial, minimum and maximum value.
-const ANSWER_WAIT: (Millis, Millis, Millis) = (50, 10, 100);
+const ANSWER_TIMEOUT: (Millis, Millis, Millis) = (50, 10, 100);
 /// Number of candidates per zone that receive reports: the first one and its fallback.
-const REPORTED_TO: usize = 2;
+const REPORT_RECEIVERS: usize = 2;
 /// Number of candidate aggregators per zone.
-const CANDIDATES: usize = 4;
+const MAX_CANDIDATES: usize = 4;
 
 /// Short hash of the name of a worker or zone, as used in load reports. On a collision, each of the two
 /// appears to have the load of both.
@@ -95,17 +95,17 @@
         };
         let mut bytes = vec![purpose << 4 | self.sequence & 15];
         bytes.extend(self.zone.0.to_be_bytes());
-        for (Tag(tag), said) in refused.chain(out).take(MAX_NAMED) {
+        for (Tag(tag), value) in refused.chain(out).take(MAX_ENTRIES) {
             bytes.extend(tag.to_be_bytes());
-            bytes.push(said);
+            bytes.push(value);
         }
         bytes
     }
 
     /// Decodes a datagram; `None` if it is not a load report.
     pub fn decode(bytes: &[u8]) -> Option<LoadReport> {
-        let (head, rest) = bytes.split_at_checked(HEAD)?;
-        if rest.len() % ENTRY != 0 || bytes.len() > MAX_DATAGRAM {
+        let (head, rest) = bytes.split_at_checked(HEADER_SIZE)?;
+        if rest.len() % ENTRY_SIZE != 0 || bytes.len() > MAX_DATAGRAM {
             return None;
         }
         let purpose = match head[0] >> 4 {
@@ -117,7 +117,7 @@
         let zone = Tag(u16::from_be_bytes([head[1], head[2]]));
         let mut report =
             LoadReport { purpose, sequence: head[0] & 15, zone, in_flight: Vec::new(), refused: Vec::new() };
-        for entry in rest.chunks_exact(ENTRY) {
+        for entry in rest.chunks_exact(ENTRY_SIZE) {
             let tag = Tag(u16::from_be_bytes([entry[0], entry[1]]));
             match entry[2] {
                 REFUSED => report.refused.push(tag),
@@ -130,7 +130,7 @@
 
 #[derive(Debug, Default)]
 struct Peer {
-    turn: u8,
+    sequence: u8,
     at: Millis,
     out: Vec<(Tag, u8)>,
 }
@@ -138,10 +138,10 @@
 /// The last peer that reported a refused or failed job at a worker, when that report expires, and whether two
 /// peers have reported it.
 #[derive(Clone, Copy, Debug)]
-struct Refused {
-    by: u32,
-    until: Millis,
-    known: bool,
+struct Refusal {
+    reporter: u32,
+    expires_at: Millis,
+    confirmed: bool,
 }
 
 /// Load reported to an aggregator that has not expired. Its size is bounded by the number of peers and the
@@ -150,45 +150,45 @@
 pub struct ReportedLoad {
     peers: FxHashMap<u32, Peer>,
     sums: FxHashMap<Tag, u32>,
-    refused: FxHashMap<Tag, Refused>,
-    swept: Millis,
+    refused: FxHashMap<Tag, Refusal>,
+    last_sweep: Millis,
 }
 
 impl ReportedLoad {
     /// Applies a peer's report. A reordered report is ignored.
     pub fn apply(&mut self, number: u32, report: &LoadReport, now: Millis) {
-        if now >= self.swept + REPORT_TTL / 4 {
+        if now >= self.last_sweep + REPORT_TTL / 4 {
             self.sweep(now);
         }
         let peer = self.peers.entry(number).or_default();
         // Sequence numbers wrap at 16: an earlier one shortly after a newer one was reordered.
-        let ahead = report.sequence.wrapping_sub(peer.turn) & 15;
+        let ahead = report.sequence.wrapping_sub(peer.sequence) & 15;
         if now.saturating_sub(peer.at) < REORDER_WINDOW && peer.at > 0 && (ahead > 8 || ahead == 0) {
             return;
         }
         let before = std::mem::replace(&mut peer.out, report.in_flight.clone());
-        (peer.turn, peer.at) = (report.sequence, now.max(1));
+        (peer.sequence, peer.at) = (report.sequence, now.max(1));
         self.subtract(&before);
         for (tag, out) in &report.in_flight {
             *self.sums.entry(*tag).or_default() += u32::from(*out);
         }
         for tag in &report.refused {
-            let before = self.refused.get(tag).copied().filter(|r| now < r.until);
-            let known = before.is_some_and(|r| r.known || r.by != number);
-            let until = now + if known { REFUSAL_TTL.1 } else { REFUSAL_TTL.0 };
+            let before = self.refused.get(tag).copied().filter(|r| now < r.expires_at);
+            let confirmed = before.is_some_and(|r| r.confirmed || r.reporter != number);
+            let expires_at = now + if confirmed { REFUSAL_TTL.1 } else { REFUSAL_TTL.0 };
             if before.is_some() || self.refused.len() < MAX_REFUSALS {
-                self.refused.insert(*tag, Refused { by: number, until, known });
+                self.refused.insert(*tag, Refusal { reporter: number, expires_at, confirmed });
             }
         }
     }
 
     /// Removes expired reports and refusals.
     fn sweep(&mut self, now: Millis) {
-        self.swept = now;
-        self.refused.retain(|_, r| now < r.until);
-        let old = self.peers.values_mut().filter(|p| now >= p.at + REPORT_TTL && !p.out.is_empty());
-        let ended: Vec<(Tag, u8)> = old.flat_map(|p| std::mem::take(&mut p.out)).collect();
-        self.subtract(&ended);
+        self.last_sweep = now;
+        self.refused.retain(|_, r| now < r.expires_at);
+        let expired_peers = self.peers.values_mut().filter(|p| now >= p.at + REPORT_TTL && !p.out.is_empty());
+        let expired: Vec<(Tag, u8)> = expired_peers.flat_map(|p| std::mem::take(&mut p.out)).collect();
+        self.subtract(&expired);
     }
 
     fn subtract(&mut self, out: &[(Tag, u8)]) {
@@ -203,21 +203,22 @@
     }
 
     /// Jobs per worker, excluding those of the querier, and the workers that have just refused a job; limited
-    /// to workers for which `of` returns true.
+    /// to workers for which `includes` returns true.
     pub fn snapshot(
         &self,
         querier: u32,
         now: Millis,
-        of: impl Fn(Tag) -> bool,
+        includes: impl Fn(Tag) -> bool,
     ) -> (Vec<(Tag, u32)>, Vec<Tag>) {
         let own = self.peers.get(&querier);
         let own = |tag: Tag| -> u32 {
             let own = own.iter().flat_map(|p| &p.out).filter(|(t, _)| *t == tag);
             own.map(|(_, out)| u32::from(*out)).sum()
         };
-        let sums = self.sums.iter().filter(|(tag, _)| of(**tag));
+        let sums = self.sums.iter().filter(|(tag, _)| includes(**tag));
         let others = sums.map(|(tag, sum)| (*tag, sum.saturating_sub(own(*tag)))).filter(|(_, out)| *out > 0);
-        let refused = self.refused.iter().filter(|(tag, r)| r.known && now < r.until && of(**tag));
+        let refused =
+            self.refused.iter().filter(|(tag, r)| r.confirmed && now < r.expires_at && includes(**tag));
         (others.collect(), refused.map(|(tag, _)| *tag).collect())
     }
 
@@ -234,7 +235,7 @@
     tier: u32,
     candidates: FxHashMap<Tag, Vec<u32>>,
     /// Aggregators that did not answer, and until when they are skipped.
-    silent: FxHashMap<u32, Millis>,
+    skipped_until: FxHashMap<u32, Millis>,
     /// Query timeout, adapted to observed answer times.
     answer_timeout: Millis,
 }
@@ -245,8 +246,8 @@
         ZoneAggregators {
             tier,
             candidates: FxHashMap::default(),
-            silent: FxHashMap::default(),
-            answer_timeout: ANSWER_WAIT.0,
+            skipped_until: FxHashMap::default(),
+            answer_timeout: ANSWER_TIMEOUT.0,
         }
     }
 
@@ -263,23 +264,24 @@
             };
             let mut all: Vec<u32> = (0..tier).collect();
             all.sort_by_cached_key(rank);
-            all.truncate(CANDIDATES);
+            all.truncate(MAX_CANDIDATES);
             all
         })
     }
 
     /// The aggregator to query: the first candidate that has not timed out recently.
     pub fn query(&mut self, zone: Tag, now: Millis) -> Option<u32> {
-        let line = self.candidates(zone).to_vec();
-        let is_silent = |number: &u32| self.silent.get(number).is_some_and(|until| now < *until);
-        line.iter().copied().find(|number| !is_silent(number)).or(line.first().copied())
+        let candidates = self.candidates(zone).to_vec();
+        let is_skipped =
+            |number: &u32| self.skipped_until.get(number).is_some_and(|expires_at| now < *expires_at);
+        candidates.iter().copied().find(|number| !is_skipped(number)).or(candidates.first().copied())
     }
 
     /// The dispatchers to send reports to: the first candidates, and the one that is queried.
     pub fn report_to(&mut self, zone: Tag, now: Millis) -> Vec<u32> {
-        let asked = self.query(zone, now);
-        let mut receivers: Vec<u32> = self.candidates(zone).iter().copied().take(REPORTED_TO).collect();
-        receivers.extend(asked.filter(|number| !receivers.contains(number)));
+        let queried = self.query(zone, now);
+        let mut receivers: Vec<u32> = self.candidates(zone).iter().copied().take(REPORT_RECEIVERS).collect();
+        receivers.extend(queried.filter(|number| !receivers.contains(number)));
         receivers
     }
 
@@ -291,14 +293,14 @@
     /// Records that an aggregator did not answer in time. It may be dead, or datagrams are taking longer than
     /// before.
     pub fn timed_out(&mut self, number: u32, now: Millis) {
-        self.silent.insert(number, now + SILENT_FOR);
-        self.answer_timeout = (self.answer_timeout * 5 / 4).min(ANSWER_WAIT.2);
+        self.skipped_until.insert(number, now + SKIP_AFTER_TIMEOUT);
+        self.answer_timeout = (self.answer_timeout * 5 / 4).min(ANSWER_TIMEOUT.2);
     }
 
     /// Records that an aggregator answered after `took`.
     pub fn answered(&mut self, number: u32, took: Millis) {
-        self.silent.remove(&number);
-        let enough = (took * 2 + 5).clamp(ANSWER_WAIT.1, ANSWER_WAIT.2);
-        self.answer_timeout = (self.answer_timeout * 7 + enough).div_ceil(8);
+        self.skipped_until.remove(&number);
+        let target = (took * 2 + 5).clamp(ANSWER_TIMEOUT.1, ANSWER_TIMEOUT.2);
+        self.answer_timeout = (self.answer_timeout * 7 + target).div_ceil(8);
     }
 }
--- a/control/src/overrides/clock.rs
+++ b/control/src/overrides/clock.rs
@@ -4,7 +4,7 @@
 use crate::Millis;
 use std::fmt;
 
-/// Timestamp of a write. Timestamps are unique to a writer's clock, and their order is the same on every
+/// Timestamp of a write. A clock issues no timestamp twice, and the order of timestamps is the same on every
 /// dispatcher.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Stamp {
@@ -64,7 +64,7 @@
     }
 
     /// Observes a stamp of another dispatcher.
-    pub fn seen(&mut self, stamp: &Stamp) {
+    pub fn observe(&mut self, stamp: &Stamp) {
         self.last = self.last.max((stamp.wall, stamp.count));
     }
 }
@@ -74,10 +74,10 @@
     use super::*;
 
     #[test]
-    fn stamps_grow_whatever_the_wall_clock_does() {
+    fn stamps_increase_whatever_the_wall_clock_does() {
         let mut clock = Clock::new("n1".into());
         let mut last = clock.next(1000);
-        clock.seen(&Stamp { wall: 1400, count: u16::MAX, origin: "n2".into() });
+        clock.observe(&Stamp { wall: 1400, count: u16::MAX, origin: "n2".into() });
         for now in [1000, 900, 1500, 1500, 1200] {
             let next = clock.next(now);
             assert!(next > last, "{next} after {last}");
@@ -86,7 +86,7 @@
     }
 
     #[test]
-    fn an_id_is_read_back_and_has_one_spelling() {
+    fn an_id_round_trips_and_has_one_spelling() {
         let stamp = Stamp { wall: 0x19ad, count: 7, origin: "gh-n1".into() };
         assert_eq!(stamp.to_string(), "gh-n1-19ad.7");
         assert_eq!(Stamp::parse("gh-n1-19ad.7"), Some(stamp));
--- a/control/src/overrides/codec.rs
+++ b/control/src/overrides/codec.rs
@@ -77,7 +77,7 @@
     };
     let (by, why) = (rest.name("by")?, rest.text("why")?);
     if !rest.0.is_empty() {
-        return Err(Malformed("something follows"));
+        return Err(Malformed("trailing bytes"));
     }
     let (stamp, slot) = (Stamp { wall, count, origin }, Slot { worker, scope });
     Ok(Record { stamp, slot, effect, until, by, why })
@@ -87,7 +87,7 @@
 
 impl<'a> Reader<'a> {
     fn bytes(&mut self, count: usize) -> Result<&'a [u8], Malformed> {
-        let (taken, rest) = self.0.split_at_checked(count).ok_or(Malformed("cut short"))?;
+        let (taken, rest) = self.0.split_at_checked(count).ok_or(Malformed("truncated"))?;
         self.0 = rest;
         Ok(taken)
     }
@@ -139,7 +139,7 @@
     }
 
     #[test]
-    fn every_kind_is_read_back_and_nothing_shorter_or_longer_is() {
+    fn every_kind_round_trips_and_other_lengths_are_rejected() {
         for record in records() {
             let bytes = encode(&record);
             assert_eq!(decode(&bytes), Ok(record));
@@ -147,12 +147,12 @@
                 assert!(decode(&bytes[..cut]).is_err(), "cut at {cut}");
             }
             let longer = [&bytes[..], &[0]].concat();
-            assert_eq!(decode(&longer), Err(Malformed("something follows")));
+            assert_eq!(decode(&longer), Err(Malformed("trailing bytes")));
         }
     }
 
     #[test]
-    fn values_out_of_range_and_texts_that_would_spoil_a_log_are_refused() {
+    fn out_of_range_values_and_control_characters_are_rejected() {
         let mut record = records().remove(0);
         let mut bytes = encode(&record);
         bytes[15..19].copy_from_slice(&9u32.to_be_bytes());
--- a/control/src/overrides/log.rs
+++ b/control/src/overrides/log.rs
@@ -70,9 +70,9 @@
 fn parse(line: &[u8]) -> Option<Record> {
     let (digits, checksum) = std::str::from_utf8(line).ok()?.split_once(' ')?;
     let bytes = decode_hex(digits)?;
-    let is_whole = checksum.len() == CHECKSUM_DIGITS
+    let is_intact = checksum.len() == CHECKSUM_DIGITS
         && u64::from_str_radix(checksum, 16).is_ok_and(|sum| sum == fingerprint(&bytes));
-    decode(&bytes).ok().filter(|_| is_whole)
+    decode(&bytes).ok().filter(|_| is_intact)
 }
 
 /// Decodes hexadecimal digits; `None` if the text is malformed.
--- a/control/src/overrides/table.rs
+++ b/control/src/overrides/table.rs
@@ -37,7 +37,7 @@
     pub reason: String,
 }
 
-fn faulty<T>(field: &'static str, reason: impl Into<String>) -> Result<T, InvalidRequest> {
+fn invalid<T>(field: &'static str, reason: impl Into<String>) -> Result<T, InvalidRequest> {
     Err(InvalidRequest { field, reason: reason.into() })
 }
 
@@ -162,7 +162,7 @@
 
     /// The latest record of a slot, including a clear or an expired override.
     pub fn latest(&self, slot: &Slot) -> Option<Arc<Record>> {
-        self.slots.get(slot).and_then(|held| held.first()).cloned()
+        self.slots.get(slot).and_then(|records| records.first()).cloned()
     }
 
     /// All stored records by fingerprint.
@@ -175,9 +175,9 @@
     /// # Errors
     ///
     /// Names the invalid field; the table is unchanged.
-    pub fn set(&mut self, order: OverrideRequest, now: Millis) -> Result<Arc<Record>, InvalidRequest> {
+    pub fn set(&mut self, request: OverrideRequest, now: Millis) -> Result<Arc<Record>, InvalidRequest> {
         self.purge(now);
-        let OverrideRequest { slot, weight, until, by, why } = order;
+        let OverrideRequest { slot, weight, until, by, why } = request;
         check_name("worker", &slot.worker)?;
         if let Scope::Pinned { class, tenant } = &slot.scope {
             check_name("pin", class)?;
@@ -186,22 +186,22 @@
         let effect = match (&slot.scope, weight) {
             (Scope::Weight, Some(factor)) => match Weight::new(factor) {
                 Some(weight) => Effect::Set(Some(weight)),
-                None => return faulty("weight", format!("{factor} is not between 0.01 and 100")),
+                None => return invalid("weight", format!("{factor} is not between 0.01 and 100")),
             },
-            (Scope::Weight, None) => return faulty("weight", "is missing"),
-            (_, Some(_)) => return faulty("weight", format!("does not go with {}", slot.scope.word())),
+            (Scope::Weight, None) => return invalid("weight", "is missing"),
+            (_, Some(_)) => return invalid("weight", format!("does not go with {}", slot.scope.word())),
             (_, None) => Effect::Set(None),
         };
         check_name("by", &by)?;
         if why.trim().is_empty() || why.chars().any(char::is_control) {
-            return faulty("why", "must be a line of text");
+            return invalid("why", "must be a line of text");
         }
         if until <= now {
-            return faulty("until", "lies in the past; an override must end later than now");
+            return invalid("until", "lies in the past; an override must end later than now");
         }
         if until - now > self.longest {
-            let (asked, most) = (span(until - now), span(self.longest));
-            return faulty("until", format!("is {asked} away; the longest that is allowed is {most}"));
+            let (asked, most) = (format_duration(until - now), format_duration(self.longest));
+            return invalid("until", format!("is {asked} away; the longest that is allowed is {most}"));
         }
         self.write(slot, effect, until, by.into(), why.into(), now)
     }
@@ -221,27 +221,27 @@
         self.purge(now);
         check_name("by", by)?;
         let Some(stamp) = Stamp::parse(id) else {
-            return faulty("id", format!("{id:?} is not the id of an override"));
+            return invalid("id", format!("{id:?} is not the id of an override"));
         };
-        let lasting = self.by_fingerprint.values().filter(|r| r.stamp == stamp && r.is_live(now));
-        let found: Vec<Arc<Record>> = lasting.cloned().collect();
-        let record = match found.as_slice() {
-            [] => return faulty("id", format!("no override {id} is known here; it may have ended")),
+        let live = self.by_fingerprint.values().filter(|r| r.stamp == stamp && r.is_live(now));
+        let matching: Vec<Arc<Record>> = live.cloned().collect();
+        let record = match matching.as_slice() {
+            [] => return invalid("id", format!("no override {id} is known here; it may have ended")),
             [record] => record.clone(),
             // Two processes of one dispatcher may write in the same millisecond.
             [first, ..] => {
                 let worker = &first.slot.worker;
-                return faulty(
+                return invalid(
                     "id",
                     format!("{id} is the id of several, one on {worker}; set it anew and clear that"),
                 );
             }
         };
-        let top = &self.slots[&record.slot][0];
-        if *top != record {
-            return faulty(
+        let latest_record = &self.slots[&record.slot][0];
+        if *latest_record != record {
+            return invalid(
                 "id",
-                format!("{id} is beaten already, by {}; that one can be cleared", top.stamp),
+                format!("{id} is beaten already, by {}; that one can be cleared", latest_record.stamp),
             );
         }
         self.write(record.slot.clone(), Effect::Clear, record.until, by.into(), why.into(), now)
@@ -261,8 +261,9 @@
     ) -> Result<Option<Arc<Record>>, InvalidRequest> {
         self.purge(now);
         check_name("by", by)?;
-        let top = self.slots.get(slot).and_then(|held| held.first()).filter(|r| r.is_live(now));
-        let Some(until) = top.map(|record| record.until) else { return Ok(None) };
+        let latest_record =
+            self.slots.get(slot).and_then(|records| records.first()).filter(|r| r.is_live(now));
+        let Some(until) = latest_record.map(|record| record.until) else { return Ok(None) };
         self.write(slot.clone(), Effect::Clear, until, by.into(), why.into(), now).map(Some)
     }
 
@@ -276,7 +277,7 @@
         now: Millis,
     ) -> Result<Arc<Record>, InvalidRequest> {
         if self.slots.len() >= MAX_SLOTS && !self.slots.contains_key(&slot) {
-            return faulty(
+            return invalid(
                 "worker",
                 format!("{MAX_SLOTS} slots are in use, ended ones included; none is free"),
             );
@@ -286,7 +287,7 @@
         let size = encode(&record).len();
         if size > MAX_RECORD {
             let over = size - MAX_RECORD;
-            return faulty("why", format!("is too long: all texts together hold {over} bytes too many"));
+            return invalid("why", format!("is too long: all texts together hold {over} bytes too many"));
         }
         self.clock.next(now);
         let record = Arc::new(record);
@@ -315,7 +316,7 @@
         if self.slots.len() >= MAX_SLOTS && !self.slots.contains_key(&record.slot) {
             return Merged::Full;
         }
-        self.clock.seen(&record.stamp);
+        self.clock.observe(&record.stamp);
         match self.insert(Arc::new(record)) {
             true => Merged::New,
             false => Merged::Known,
@@ -323,18 +324,18 @@
     }
 
     fn insert(&mut self, record: Arc<Record>) -> bool {
-        let held = self.slots.entry(record.slot.clone()).or_default();
+        let records = self.slots.entry(record.slot.clone()).or_default();
         // Compares whole records: a clock set back before a restart may have issued a stamp twice.
-        let at = held.partition_point(|r| **r > *record);
-        let known = held.get(at).is_some_and(|r| *r == record);
-        let void = held[..at].iter().any(|r| r.effect == Effect::Clear);
-        if known || void || at >= MAX_IN_SLOT {
+        let at = records.partition_point(|r| **r > *record);
+        let known = records.get(at).is_some_and(|r| *r == record);
+        let cleared_later = records[..at].iter().any(|r| r.effect == Effect::Clear);
+        if known || cleared_later || at >= MAX_IN_SLOT {
             return false;
         }
-        held.insert(at, record.clone());
-        let cleared = held.iter().position(|r| r.effect == Effect::Clear).map_or(usize::MAX, |at| at + 1);
-        for gone in held.split_off(cleared.min(MAX_IN_SLOT).min(held.len())) {
-            self.by_fingerprint.remove(&record_fingerprint(&gone));
+        records.insert(at, record.clone());
+        let cleared = records.iter().position(|r| r.effect == Effect::Clear).map_or(usize::MAX, |at| at + 1);
+        for dropped in records.split_off(cleared.min(MAX_IN_SLOT).min(records.len())) {
+            self.by_fingerprint.remove(&record_fingerprint(&dropped));
         }
         self.oldest = self.oldest.min(record.stamp.wall);
         self.by_fingerprint.insert(record_fingerprint(&record), record);
@@ -347,24 +348,24 @@
         if self.oldest.saturating_add(RETENTION) > now {
             return;
         }
-        let old = |r: &Arc<Record>| r.stamp.wall + RETENTION <= now;
-        self.by_fingerprint.retain(|_, r| !old(r));
-        self.slots.retain(|_, held| {
-            held.retain(|r| !old(r));
-            !held.is_empty()
+        let is_old = |r: &Arc<Record>| r.stamp.wall + RETENTION <= now;
+        self.by_fingerprint.retain(|_, r| !is_old(r));
+        self.slots.retain(|_, records| {
+            records.retain(|r| !is_old(r));
+            !records.is_empty()
         });
         self.oldest = self.by_fingerprint.values().map(|r| r.stamp.wall).min().unwrap_or(Millis::MAX);
         self.revision += 1;
     }
 
-    fn tops(&self, now: Millis) -> impl Iterator<Item = &Arc<Record>> {
-        self.slots.values().filter_map(|held| held.first()).filter(move |r| r.is_live(now))
+    fn live_latest(&self, now: Millis) -> impl Iterator<Item = &Arc<Record>> {
+        self.slots.values().filter_map(|records| records.first()).filter(move |r| r.is_live(now))
     }
 
     /// The pin in force for each class and tenant: the latest, whichever worker it names.
     fn pins(&self, now: Millis) -> BTreeMap<(&Name, Option<&Name>), &Arc<Record>> {
         let mut pins: BTreeMap<_, &Arc<Record>> = BTreeMap::new();
-        for record in self.tops(now) {
+        for record in self.live_latest(now) {
             if let Scope::Pinned { class, tenant } = &record.slot.scope {
                 let pin = pins.entry((class, tenant.as_ref())).or_insert(record);
                 *pin = (*pin).max(record);
@@ -375,60 +376,62 @@
 
     /// The overrides in force at `now`.
     pub fn active(&self, now: Millis) -> ActiveOverrides {
-        let mut forces = ActiveOverrides::default();
-        for record in self.tops(now) {
+        let mut active = ActiveOverrides::default();
+        for record in self.live_latest(now) {
             let worker = record.slot.worker.clone();
             match (&record.slot.scope, record.effect) {
-                (Scope::Weight, Effect::Set(Some(weight))) => forces.weights.push((worker, weight.factor())),
-                (Scope::OutOfService, _) => forces.out_of_service.push(worker),
+                (Scope::Weight, Effect::Set(Some(weight))) => active.weights.push((worker, weight.factor())),
+                (Scope::OutOfService, _) => active.out_of_service.push(worker),
                 _ => {}
             }
         }
-        forces.pins = (self.pins(now).into_iter())
+        active.pins = (self.pins(now).into_iter())
             .map(|((class, tenant), record)| Pin {
                 class: class.clone(),
                 tenant: tenant.cloned(),
                 worker: record.slot.worker.clone(),
             })
             .collect();
-        forces
+        active
     }
 
     /// When the next override in force expires, if any.
     pub fn next_expiry(&self, now: Millis) -> Option<Millis> {
-        self.tops(now).map(|r| r.until).min()
+        self.live_latest(now).map(|r| r.until).min()
     }
 
     /// All overrides that have neither expired nor been cleared, including superseded ones, with their state.
     /// `listed` tells whether a worker is in the worker list.
     pub fn entries(&self, now: Millis, listed: impl Fn(&str) -> bool) -> Vec<OverrideEntry> {
         let pins = self.pins(now);
-        let out = |worker: &Name| {
+        let is_out_of_service = |worker: &Name| {
             let slot = Slot { worker: worker.clone(), scope: Scope::OutOfService };
-            self.slots.get(&slot).is_some_and(|held| held[0].is_live(now))
+            self.slots.get(&slot).is_some_and(|records| records[0].is_live(now))
         };
-        let beaten = |top: &Record| Standing::Superseded {
-            id: top.stamp.to_string(),
-            by: top.by.clone(),
-            at: top.stamp.wall,
+        let superseded = |latest_record: &Record| Standing::Superseded {
+            id: latest_record.stamp.to_string(),
+            by: latest_record.by.clone(),
+            at: latest_record.stamp.wall,
         };
-        let mut lines = Vec::new();
-        for held in self.slots.values() {
-            let top = &held[0];
-            for record in held.iter().filter(|r| r.is_live(now)) {
+        let mut entries = Vec::new();
+        for records in self.slots.values() {
+            let latest_record = &records[0];
+            for record in records.iter().filter(|r| r.is_live(now)) {
                 let standing = match &record.slot.scope {
-                    _ if record != top => beaten(top),
+                    _ if record != latest_record => superseded(latest_record),
                     Scope::Pinned { class, tenant } if pins[&(class, tenant.as_ref())] != record => {
-                        beaten(pins[&(class, tenant.as_ref())])
+                        superseded(pins[&(class, tenant.as_ref())])
                     }
                     _ if !listed(&record.slot.worker) => Standing::UnknownWorker,
-                    Scope::Pinned { .. } if out(&record.slot.worker) => Standing::WorkerOutOfService,
+                    Scope::Pinned { .. } if is_out_of_service(&record.slot.worker) => {
+                        Standing::WorkerOutOfService
+                    }
                     _ => Standing::InForce,
                 };
-                lines.push(OverrideEntry { record: record.clone(), standing });
+                entries.push(OverrideEntry { record: record.clone(), standing });
             }
         }
-        lines
+        entries
     }
 }
 
@@ -440,12 +443,12 @@
 fn check_name(field: &'static str, name: &str) -> Result<(), InvalidRequest> {
     match (1..=MAX_NAME_LEN).contains(&name.len()) && !name.chars().any(char::is_control) {
         true => Ok(()),
-        false => faulty(field, format!("{name:?} is not a name of 1 to {MAX_NAME_LEN} bytes")),
+        false => invalid(field, format!("{name:?} is not a name of 1 to {MAX_NAME_LEN} bytes")),
     }
 }
 
 /// Formats a duration, to the minute or, below one minute, to the second.
-fn span(millis: Millis) -> String {
+fn format_duration(millis: Millis) -> String {
     let (hours, minutes, seconds) = (millis / 3_600_000, millis / 60_000 % 60, millis / 1000 % 60);
     match (hours, minutes) {
         (0, 0) => format!("{seconds} s"),
--- a/control/src/peers/datagram.rs
+++ b/control/src/peers/datagram.rs
@@ -16,10 +16,10 @@
 
 /// Maximum size of a datagram in bytes, as specified by the platform.
 pub const MAX_DATAGRAM: usize = 256;
-const HEAD: usize = 31;
-const TAG: usize = 16;
+const HEADER_SIZE: usize = 31;
+const TAG_SIZE: usize = 16;
 /// Maximum size of the payload.
-pub const MAX_PAYLOAD: usize = MAX_DATAGRAM - HEAD - TAG;
+pub const MAX_PAYLOAD: usize = MAX_DATAGRAM - HEADER_SIZE - TAG_SIZE;
 const MAGIC: [u8; 2] = [b'L', 1];
 
 /// The content of a datagram.
@@ -67,22 +67,23 @@
 
     /// Decodes received bytes if they are authentic.
     pub fn open(bytes: &[u8], keys: &KeyRing) -> Result<Datagram, OpenError> {
-        if !(HEAD + TAG..=MAX_DATAGRAM).contains(&bytes.len()) || bytes[..2] != MAGIC {
+        if !(HEADER_SIZE + TAG_SIZE..=MAX_DATAGRAM).contains(&bytes.len()) || bytes[..2] != MAGIC {
             return Err(OpenError::Malformed);
         }
-        let (said, tag) = bytes.split_at(bytes.len() - TAG);
-        if !keys.verifies(said, tag.try_into().unwrap_or(&[0; TAG])) {
+        let (authenticated, tag) = bytes.split_at(bytes.len() - TAG_SIZE);
+        if !keys.verifies(authenticated, tag.try_into().unwrap_or(&[0; TAG_SIZE])) {
             return Err(OpenError::Unauthentic);
         }
-        let number =
-            |at: usize, length: usize| said[at..at + length].iter().fold(0, |n, b| n << 8 | u64::from(*b));
+        let number = |at: usize, length: usize| {
+            authenticated[at..at + length].iter().fold(0, |n, b| n << 8 | u64::from(*b))
+        };
         Ok(Datagram {
-            kind: said[2],
+            kind: authenticated[2],
             session: number(3, 8),
             echo: number(11, 8),
             demand: number(19, 8),
             number: number(27, 4) as u32,
-            payload: said[HEAD..].to_vec(),
+            payload: authenticated[HEADER_SIZE..].to_vec(),
         })
     }
 }
--- a/control/src/peers/gossip.rs
+++ b/control/src/peers/gossip.rs
@@ -27,7 +27,7 @@
 
 const GREETING: u8 = 0;
 const DIGEST: u8 = 1;
-const WANTED: u8 = 2;
+const REQUEST: u8 = 2;
 const RECORD: u8 = 3;
 /// States that discovery has answered the sender; the payload is a [`DiscoveryReport`].
 const DISCOVERY_ANSWERED: u8 = 4;
@@ -35,22 +35,22 @@
 /// Number of peers that receive a new record immediately and in each following round.
 const FANOUT: usize = 6;
 /// Number of peers that receive a digest per round.
-const DIGESTS: usize = 3;
+const DIGEST_FANOUT: usize = 3;
 /// Number of rounds in which a new record is sent again: at 30% loss, one peer in 400 receives none of the
 /// copies.
-const ROUNDS: u8 = 4;
+const RESEND_ROUNDS: u8 = 4;
 /// Maximum number of new records that are sent again; digests cover the rest.
-const MAX_HOT: usize = 64;
+const MAX_RECENT: usize = 64;
 /// Maximum number of datagrams sent in response to one.
 const MAX_REPLIES: usize = 24;
 /// Maximum number of records of a bucket that are sent without descending further.
-const FEW: usize = 4;
+const MAX_DIRECT_RECORDS: usize = 4;
 /// Depth of the digest tree, below which all records are sent.
-const DEEPEST: u8 = 5;
+const MAX_DEPTH: u8 = 5;
 /// Maximum number of peer reports that are kept until they are taken.
 const MAX_REPORTS: usize = 16;
 /// Minimum interval between greetings to one peer.
-const GREETING_GAP: Millis = 50;
+const MIN_GREETING_INTERVAL: Millis = 50;
 
 /// A datagram to send, and its destination.
 pub type Outgoing = (SocketAddr, Vec<u8>);
@@ -84,7 +84,7 @@
     session: Option<u64>,
     window: Window,
     sent: u32,
-    greeted: Option<Millis>,
+    greeted_at: Option<Millis>,
 }
 
 /// Gossip state of one dispatcher.
@@ -93,8 +93,8 @@
     rng: StdRng,
     keys: KeyRing,
     peers: Vec<Peer>,
-    places: FxHashMap<SocketAddr, usize>,
-    hot: Vec<(Arc<Record>, u8)>,
+    peer_indices: FxHashMap<SocketAddr, usize>,
+    recent: Vec<(Arc<Record>, u8)>,
     /// Reports received from peers that have not been taken yet.
     reports: Vec<DiscoveryReport>,
     counts: Counts,
@@ -121,7 +121,7 @@
     }
 
     fn sum(self, table: &Table) -> u64 {
-        table.by_fingerprint().range(self.range()).fold(0, |sum, (print, _)| sum ^ print)
+        table.by_fingerprint().range(self.range()).fold(0, |sum, (key, _)| sum ^ key)
     }
 
     fn encode(self) -> Vec<u8> {
@@ -133,8 +133,9 @@
     fn decode(bytes: &[u8]) -> Option<(Bucket, &[u8])> {
         let (head, rest) = bytes.split_at_checked(9)?;
         let bucket = Bucket { depth: head[0], prefix: u64::from_be_bytes(head[1..].try_into().ok()?) };
-        let plain = bucket.depth <= DEEPEST && bucket.prefix & (bucket.range().end() ^ bucket.prefix) == 0;
-        plain.then_some((bucket, rest))
+        let is_canonical =
+            bucket.depth <= MAX_DEPTH && bucket.prefix & (bucket.range().end() ^ bucket.prefix) == 0;
+        is_canonical.then_some((bucket, rest))
     }
 }
 
@@ -146,17 +147,17 @@
             session: rng.random(),
             keys,
             peers: Vec::new(),
-            places: FxHashMap::default(),
-            hot: Vec::new(),
+            peer_indices: FxHashMap::default(),
+            recent: Vec::new(),
             reports: Vec::new(),
             counts: Counts::default(),
             rng,
         };
         for &addr in peers {
-            if gossip.places.insert(addr, gossip.peers.len()).is_none() {
+            if gossip.peer_indices.insert(addr, gossip.peers.len()).is_none() {
                 let demand = gossip.rng.random_range(1..=u64::MAX);
                 let window = Window::default();
-                let peer = Peer { addr, demand, echo: 0, session: None, window, sent: 0, greeted: None };
+                let peer = Peer { addr, demand, echo: 0, session: None, window, sent: 0, greeted_at: None };
                 gossip.peers.push(peer);
             }
         }
@@ -175,16 +176,18 @@
 
     /// Sends a new record to peers.
     pub fn announce(&mut self, record: &Arc<Record>) -> Vec<Outgoing> {
-        if self.hot.len() < MAX_HOT {
-            self.hot.push((record.clone(), ROUNDS));
+        if self.recent.len() < MAX_RECENT {
+            self.recent.push((record.clone(), RESEND_ROUNDS));
         }
         let payload = encode(record);
-        self.draw(FANOUT).into_iter().map(|at| self.seal(at, RECORD, payload.clone())).collect()
+        self.sample_peers(FANOUT).into_iter().map(|index| self.seal(index, RECORD, payload.clone())).collect()
     }
 
     /// Reports an answer from discovery to all peers.
     pub fn report(&mut self, report: DiscoveryReport) -> Vec<Outgoing> {
-        (0..self.peers.len()).map(|at| self.seal(at, DISCOVERY_ANSWERED, report.encode().to_vec())).collect()
+        (0..self.peers.len())
+            .map(|index| self.seal(index, DISCOVERY_ANSWERED, report.encode().to_vec()))
+            .collect()
     }
 
     /// Returns the reports received from peers since the last call.
@@ -195,18 +198,18 @@
     /// Runs a round: sends recent records and a digest to a few peers.
     pub fn tick(&mut self, table: &Table) -> Vec<Outgoing> {
         let mut out = Vec::new();
-        let hot = std::mem::take(&mut self.hot);
-        for (record, rounds) in hot {
+        let recent = std::mem::take(&mut self.recent);
+        for (record, rounds) in recent {
             let payload = encode(&record);
-            for at in self.draw(FANOUT) {
-                out.push(self.seal(at, RECORD, payload.clone()));
+            for index in self.sample_peers(FANOUT) {
+                out.push(self.seal(index, RECORD, payload.clone()));
             }
             if rounds > 1 {
-                self.hot.push((record, rounds - 1));
+                self.recent.push((record, rounds - 1));
             }
         }
-        for at in self.draw(DIGESTS) {
-            out.push(self.digest(at, Bucket::ALL, table));
+        for index in self.sample_peers(DIGEST_FANOUT) {
+            out.push(self.digest(index, Bucket::ALL, table));
         }
         out
     }
@@ -220,7 +223,7 @@
         bytes: &[u8],
         table: &mut Table,
     ) -> Vec<Outgoing> {
-        let Some(&at) = self.places.get(&from) else {
+        let Some(&index) = self.peer_indices.get(&from) else {
             self.counts.strangers += 1;
             return Vec::new();
         };
@@ -240,31 +243,32 @@
             self.counts.replayed += 1;
             return Vec::new();
         }
-        let peer = &mut self.peers[at];
+        let peer = &mut self.peers[index];
         if datagram.echo != peer.demand {
             // Possibly a replay. A greeting tells the peer which token to echo, and is cheap if it is one.
             self.counts.replayed += u64::from(datagram.echo != 0);
-            if peer.greeted.is_some_and(|g| now < g + GREETING_GAP && g <= now) {
+            if peer.greeted_at.is_some_and(|g| now < g + MIN_GREETING_INTERVAL && g <= now) {
                 return Vec::new();
             }
-            peer.greeted = Some(now);
-            let known = std::mem::replace(&mut peer.echo, datagram.demand);
-            let greeting = self.seal(at, GREETING, Vec::new());
-            self.peers[at].echo = known;
+            peer.greeted_at = Some(now);
+            let previous_echo = std::mem::replace(&mut peer.echo, datagram.demand);
+            let greeting = self.seal(index, GREETING, Vec::new());
+            self.peers[index].echo = previous_echo;
             return vec![greeting];
         }
         if peer.session != Some(datagram.session) {
             // A new session of the peer: datagrams of earlier sessions must no longer be accepted.
-            let fresh = self.rng.random_range(1..=u64::MAX);
-            (peer.session, peer.window, peer.demand) = (Some(datagram.session), Window::default(), fresh);
+            let new_demand = self.rng.random_range(1..=u64::MAX);
+            (peer.session, peer.window, peer.demand) =
+                (Some(datagram.session), Window::default(), new_demand);
         }
-        if !peer.window.take(datagram.number) {
+        if !peer.window.accept(datagram.number) {
             self.counts.replayed += 1;
             return Vec::new();
         }
         peer.echo = datagram.demand;
         self.counts.taken += 1;
-        let Some(mut replies) = self.act(now, at, &datagram, table) else {
+        let Some(mut replies) = self.handle(now, index, &datagram, table) else {
             self.counts.malformed += 1;
             return Vec::new();
         };
@@ -273,15 +277,15 @@
     }
 
     /// Handles an accepted datagram; `None` if its payload is invalid.
-    fn act(
+    fn handle(
         &mut self,
         now: Millis,
-        at: usize,
+        index: usize,
         datagram: &Datagram,
         table: &mut Table,
     ) -> Option<Vec<Outgoing>> {
         match datagram.kind {
-            GREETING => Some(vec![self.digest(at, Bucket::ALL, table)]),
+            GREETING => Some(vec![self.digest(index, Bucket::ALL, table)]),
             RECORD => {
                 let record = decode(&datagram.payload).ok()?;
                 match table.merge(record.clone(), now) {
@@ -301,19 +305,20 @@
                 }
                 Some(Vec::new())
             }
-            WANTED => {
+            REQUEST => {
                 let (bucket, rest) = Bucket::decode(&datagram.payload)?;
-                rest.is_empty().then(|| self.records(at, bucket, table))
+                rest.is_empty().then(|| self.records(index, bucket, table))
             }
             DIGEST => {
                 let (bucket, sums) = Bucket::decode(&datagram.payload)?;
-                (sums.len() == 128 && bucket.depth < DEEPEST).then(|| self.compare(at, bucket, sums, table))
+                (sums.len() == 128 && bucket.depth < MAX_DEPTH)
+                    .then(|| self.compare(index, bucket, sums, table))
             }
             _ => None,
         }
     }
 
-    fn compare(&mut self, at: usize, bucket: Bucket, sums: &[u8], table: &Table) -> Vec<Outgoing> {
+    fn compare(&mut self, index: usize, bucket: Bucket, sums: &[u8], table: &Table) -> Vec<Outgoing> {
         let mut out = Vec::new();
         for (nibble, sum) in sums.chunks_exact(8).enumerate() {
             let (child, theirs) =
@@ -322,14 +327,14 @@
             if ours == theirs {
                 continue;
             }
-            let count = table.by_fingerprint().range(child.range()).take(FEW + 1).count();
-            if count <= FEW || child.depth == DEEPEST {
-                out.extend(self.records(at, child, table));
+            let count = table.by_fingerprint().range(child.range()).take(MAX_DIRECT_RECORDS + 1).count();
+            if count <= MAX_DIRECT_RECORDS || child.depth == MAX_DEPTH {
+                out.extend(self.records(index, child, table));
                 if theirs != 0 {
-                    out.push(self.seal(at, WANTED, child.encode()));
+                    out.push(self.seal(index, REQUEST, child.encode()));
                 }
             } else {
-                out.push(self.digest(at, child, table));
+                out.push(self.digest(index, child, table));
             }
         }
         // Responses beyond the limit are dropped; the rotation varies which ones.
@@ -340,31 +345,31 @@
         out
     }
 
-    fn records(&mut self, at: usize, bucket: Bucket, table: &Table) -> Vec<Outgoing> {
+    fn records(&mut self, index: usize, bucket: Bucket, table: &Table) -> Vec<Outgoing> {
         let records = table.by_fingerprint().range(bucket.range()).take(MAX_REPLIES);
         let payloads: Vec<Vec<u8>> = records.map(|(_, record)| encode(record)).collect();
-        payloads.into_iter().map(|payload| self.seal(at, RECORD, payload)).collect()
+        payloads.into_iter().map(|payload| self.seal(index, RECORD, payload)).collect()
     }
 
-    fn digest(&mut self, at: usize, bucket: Bucket, table: &Table) -> Outgoing {
+    fn digest(&mut self, index: usize, bucket: Bucket, table: &Table) -> Outgoing {
         let mut payload = bucket.encode();
         for nibble in 0..16 {
             payload.extend_from_slice(&bucket.child(nibble).sum(table).to_be_bytes());
         }
-        self.seal(at, DIGEST, payload)
+        self.seal(index, DIGEST, payload)
     }
 
-    fn draw(&mut self, count: usize) -> Vec<usize> {
+    fn sample_peers(&mut self, count: usize) -> Vec<usize> {
         sample(&mut self.rng, self.peers.len(), count.min(self.peers.len())).into_vec()
     }
 
-    fn seal(&mut self, at: usize, kind: u8, payload: Vec<u8>) -> Outgoing {
+    fn seal(&mut self, index: usize, kind: u8, payload: Vec<u8>) -> Outgoing {
         debug_assert!(payload.len() <= MAX_PAYLOAD);
-        let peer = &mut self.peers[at];
+        let peer = &mut self.peers[index];
         peer.sent = peer.sent.wrapping_add(1).max(1);
         let (session, echo, demand, number) = (self.session, peer.echo, peer.demand, peer.sent);
-        let sealed = Datagram { kind, session, echo, demand, number, payload };
+        let datagram = Datagram { kind, session, echo, demand, number, payload };
         self.counts.sent += 1;
-        (peer.addr, sealed.seal(&self.keys))
+        (peer.addr, datagram.seal(&self.keys))
     }
 }
--- a/control/src/peers/keys.rs
+++ b/control/src/peers/keys.rs
@@ -6,18 +6,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum KeyFileError {
     /// A line is not a valid key.
-    #[error("line {0} is not a key: 64 hexadecimal digits are one")]
+    #[error("line {0} is not a key: expected 64 hexadecimal digits")]
     Line(usize),
     /// The file contains no key.
     #[error(
-        "holds no key: it must hold one line of 64 hexadecimal digits, or two while a key is being replaced"
+        "contains no key: expected one line of 64 hexadecimal digits, or two while a key is being replaced"
     )]
     None,
     /// The file contains more than two keys.
-    #[error("holds {0} keys: two at most, while one is being replaced")]
+    #[error("contains {0} keys: at most two are allowed, while one is being replaced")]
     TooMany(usize),
     /// Both keys are the same.
-    #[error("holds the same key twice")]
+    #[error("contains the same key twice")]
     Twice,
 }
 
@@ -52,7 +52,7 @@
             0 => Err(KeyFileError::None),
             2 if keys[0] == keys[1] => Err(KeyFileError::Twice),
             1 | 2 => Ok(KeyRing(keys)),
-            more => Err(KeyFileError::TooMany(more)),
+            count => Err(KeyFileError::TooMany(count)),
         }
     }
 
@@ -62,20 +62,20 @@
     }
 
     /// Calls `act` with the key under which `sent` is the tag of `bytes`, or with all keys if there is none.
-    pub fn with_matching_key<T>(&self, bytes: &[u8], sent: &[u8; 16], act: impl Fn(&KeyRing) -> T) -> T {
-        let mut alone = self.0.iter().map(|key| KeyRing(vec![*key]));
-        act(&alone.find(|one| one.verifies(bytes, sent)).unwrap_or_else(|| self.clone()))
+    pub fn with_matching_key<T>(&self, bytes: &[u8], received: &[u8; 16], act: impl Fn(&KeyRing) -> T) -> T {
+        let mut single_keys = self.0.iter().map(|key| KeyRing(vec![*key]));
+        act(&single_keys.find(|ring| ring.verifies(bytes, received)).unwrap_or_else(|| self.clone()))
     }
 
     /// Whether `sent` is the tag of `bytes` under any key, in time independent of the result.
-    pub fn verifies(&self, bytes: &[u8], sent: &[u8; 16]) -> bool {
-        let widened = |tag: [u8; 16]| {
+    pub fn verifies(&self, bytes: &[u8], received: &[u8; 16]) -> bool {
+        let padded = |tag: [u8; 16]| {
             let mut hash = [0; 32];
             hash[..16].copy_from_slice(&tag);
             blake3::Hash::from_bytes(hash)
         };
         // The comparison of hashes takes constant time.
-        self.0.iter().fold(false, |opened, key| opened | (widened(tag(key, bytes)) == widened(*sent)))
+        self.0.iter().fold(false, |matched, key| matched | (padded(tag(key, bytes)) == padded(*received)))
     }
 }
 
@@ -89,7 +89,7 @@
     use super::*;
 
     #[test]
-    fn a_file_holds_one_key_or_two_while_one_is_replaced() {
+    fn a_file_contains_one_key_or_two_during_replacement() {
         let (a, b, c) = ("ab".repeat(32), "0C".repeat(32), "11".repeat(32));
         assert!(KeyRing::parse(&format!("# old\n\n  {a}\n")).is_ok());
         let two = KeyRing::parse(&format!("{a}\n{b}")).expect("two keys");
--- a/control/tests/cluster.rs
+++ b/control/tests/cluster.rs
@@ -29,7 +29,7 @@
     table: Table,
     gossip: Gossip,
     /// Its clock is so much ahead.
-    skew: i64,
+    clock_offset: i64,
     up: bool,
 }
 
@@ -41,7 +41,7 @@
     /// Those in different groups don't hear each other.
     groups: Vec<u8>,
     /// What is on its way, by when it comes.
-    wire: BTreeMap<(Millis, u64), (usize, SocketAddr, Vec<u8>)>,
+    in_transit: BTreeMap<(Millis, u64), (usize, SocketAddr, Vec<u8>)>,
     sent: u64,
     /// Everything that was ever sent, for those that throw it back.
     recorded: Vec<(usize, SocketAddr, Vec<u8>)>,
@@ -55,34 +55,34 @@
             rng: StdRng::seed_from_u64(seed),
             loss,
             groups: vec![0; size],
-            wire: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
             sent: 0,
             recorded: Vec::new(),
         };
         for at in 0..size {
-            let node = cluster.fresh(at, size);
+            let node = cluster.new_node(at, size);
             cluster.nodes.push(node);
         }
         cluster
     }
 
-    fn fresh(&mut self, at: usize, size: usize) -> Node {
+    fn new_node(&mut self, at: usize, size: usize) -> Node {
         let peers: Vec<SocketAddr> = (0..size).filter(|p| *p != at).map(addr).collect();
         let gossip = Gossip::new(&peers, keys("ab"), self.rng.random());
-        Node { table: Table::new(&format!("n{at}"), 16 * HOUR), gossip, skew: 0, up: true }
+        Node { table: Table::new(&format!("n{at}"), 16 * HOUR), gossip, clock_offset: 0, up: true }
     }
 
     /// The dispatcher dies and starts from nothing.
     fn restart(&mut self, at: usize) {
-        let (size, skew) = (self.nodes.len(), self.nodes[at].skew);
-        self.nodes[at] = Node { skew, ..self.fresh(at, size) };
+        let (size, clock_offset) = (self.nodes.len(), self.nodes[at].clock_offset);
+        self.nodes[at] = Node { clock_offset, ..self.new_node(at, size) };
     }
 
     fn clock(&self, at: usize) -> Millis {
-        self.now.saturating_add_signed(self.nodes[at].skew)
+        self.now.saturating_add_signed(self.nodes[at].clock_offset)
     }
 
-    fn post(&mut self, from: usize, out: Vec<Outgoing>) {
+    fn send(&mut self, from: usize, out: Vec<Outgoing>) {
         for (to, bytes) in out {
             assert!(bytes.len() <= 256, "{} bytes", bytes.len());
             let to = usize::from(to.port() - 7000);
@@ -95,7 +95,7 @@
                 if !self.rng.random_bool(self.loss) {
                     self.sent += 1;
                     let at = self.now + self.rng.random_range(1..=120);
-                    self.wire.insert((at, self.sent), (to, addr(from), bytes.clone()));
+                    self.in_transit.insert((at, self.sent), (to, addr(from), bytes.clone()));
                 }
             }
         }
@@ -105,7 +105,7 @@
         let end = self.now + span;
         while self.now < end {
             self.now += 1;
-            while let Some(entry) = self.wire.first_entry().filter(|e| e.key().0 <= self.now) {
+            while let Some(entry) = self.in_transit.first_entry().filter(|e| e.key().0 <= self.now) {
                 let (to, from, bytes) = entry.remove();
                 self.deliver(to, from, &bytes);
             }
@@ -113,7 +113,7 @@
                 if self.nodes[at].up && (self.now + at as Millis * 37).is_multiple_of(ROUND) {
                     let Node { gossip, table, .. } = &mut self.nodes[at];
                     let out = gossip.tick(table);
-                    self.post(at, out);
+                    self.send(at, out);
                 }
             }
         }
@@ -124,7 +124,7 @@
         let Node { gossip, table, up, .. } = &mut self.nodes[to];
         if *up {
             let out = gossip.receive(now, from, bytes, table);
-            self.post(to, out);
+            self.send(to, out);
         }
     }
 
@@ -141,7 +141,7 @@
         let Node { table, gossip, .. } = &mut self.nodes[at];
         let record = table.set(order, now).expect("set");
         let out = gossip.announce(&record);
-        self.post(at, out);
+        self.send(at, out);
         record
     }
 
@@ -150,7 +150,7 @@
         let Node { table, gossip, .. } = &mut self.nodes[at];
         let record = table.clear(id, "ama", "", now).expect("cleared");
         let out = gossip.announce(&record);
-        self.post(at, out);
+        self.send(at, out);
     }
 
     fn active(&self, at: usize) -> ActiveOverrides {
@@ -162,7 +162,7 @@
     }
 
     /// Asserts that all say the same, shown ones and those in force.
-    fn agree(&self) {
+    fn assert_agreement(&self) {
         for at in 1..self.nodes.len() {
             assert_eq!(self.active(at), self.active(0), "n{at}");
             assert_eq!(self.entries(at), self.entries(0), "n{at}");
@@ -170,7 +170,7 @@
     }
 
     /// Rounds until all hold the same, in milliseconds.
-    fn until_agreed(&mut self, limit: Millis) -> Millis {
+    fn time_to_agreement(&mut self, limit: Millis) -> Millis {
         let start = self.now;
         while (1..self.nodes.len()).any(|at| self.active(at) != self.active(0)) {
             assert!(self.now - start < limit, "not agreed after {limit} ms");
@@ -187,13 +187,13 @@
         let mut cluster = Cluster::new(3, seed, 0.3);
         // From a cold start, as after a release: nobody has greeted anybody yet.
         cluster.set(0, "w", 0.5, HOUR);
-        slowest = slowest.max(cluster.until_agreed(2000));
+        slowest = slowest.max(cluster.time_to_agreement(2000));
     }
     println!("slowest of 100 runs: {slowest} ms");
 }
 
 #[test]
-fn conflicting_overrides_while_cut_off_end_the_same_everywhere() {
+fn conflicting_overrides_converge_after_a_partition() {
     for seed in 0..20 {
         let mut cluster = Cluster::new(3, seed, 0.3);
         cluster.run(1000);
@@ -204,14 +204,14 @@
         assert_ne!(cluster.active(0), cluster.active(1));
         cluster.groups = vec![0, 0, 0];
         cluster.run(4000);
-        cluster.agree();
+        cluster.assert_agreement();
         assert_eq!(cluster.active(2).weights.len(), 1);
         assert_eq!(cluster.entries(2).len(), 2, "the beaten one is shown, also where nothing was set");
     }
 }
 
 #[test]
-fn a_clear_wins_over_its_set_in_any_order_and_across_a_cut() {
+fn a_clear_supersedes_its_set_in_any_order_and_across_a_partition() {
     for seed in 0..20 {
         let mut cluster = Cluster::new(3, seed, 0.3);
         cluster.run(1000);
@@ -224,13 +224,13 @@
         assert_eq!(cluster.active(2).weights.len(), 1);
         cluster.groups = vec![0; 3];
         cluster.run(3000);
-        cluster.agree();
+        cluster.assert_agreement();
         assert_eq!(cluster.active(2), ActiveOverrides::default());
     }
 }
 
 #[test]
-fn one_that_dies_or_restarts_loses_nothing_that_a_peer_knows() {
+fn a_crashed_or_restarted_dispatcher_recovers_overrides_from_peers() {
     let mut cluster = Cluster::new(3, 5, 0.3);
     cluster.run(1000);
     cluster.set(0, "w", 0.5, HOUR);
@@ -250,9 +250,9 @@
 }
 
 #[test]
-fn with_a_clock_off_by_400_ms_overrides_end_within_a_second_and_the_later_write_still_counts() {
+fn with_clocks_off_by_400_ms_overrides_expire_within_a_second_and_the_later_write_wins() {
     let mut cluster = Cluster::new(3, 9, 0.3);
-    (cluster.nodes[1].skew, cluster.nodes[2].skew) = (400, -400);
+    (cluster.nodes[1].clock_offset, cluster.nodes[2].clock_offset) = (400, -400);
     cluster.run(1000);
     let first = cluster.set(1, "w", 0.5, 5000);
     let end = first.until;
@@ -261,7 +261,7 @@
     cluster.set(2, "w", 4.0, 10_000);
     let until = cluster.entries(2)[0].record.until;
     cluster.run(2000);
-    cluster.agree();
+    cluster.assert_agreement();
     assert_eq!(cluster.active(0).weights, [("w".into(), 4.0)]);
     assert!(until > end);
     while cluster.now < until + 1000 {
@@ -275,19 +275,19 @@
 }
 
 #[test]
-fn a_thousand_overrides_reach_one_that_has_none() {
+fn an_empty_dispatcher_catches_up_with_a_thousand_overrides() {
     let mut cluster = Cluster::new(2, 3, 0.3);
     cluster.groups = vec![0, 1];
     (0..1000).for_each(|i| drop(cluster.set(0, &format!("w{i}"), 0.5, HOUR)));
     cluster.run(2000);
     cluster.groups = vec![0, 0];
-    let took = cluster.until_agreed(20_000);
+    let took = cluster.time_to_agreement(20_000);
     println!("1,000 overrides caught up in {took} ms at 30% loss");
-    cluster.agree();
+    cluster.assert_agreement();
 }
 
 #[test]
-fn what_is_forged_replayed_or_cut_changes_nothing_and_is_counted() {
+fn forged_replayed_and_truncated_datagrams_change_nothing_and_are_counted() {
     let mut cluster = Cluster::new(3, 11, 0.0);
     cluster.run(1000);
     let set = cluster.set(0, "w", 0.5, HOUR);
@@ -323,9 +323,9 @@
     let long = [&whole[..], &[0; 300]].concat();
     cluster.deliver(1, from, &long);
     cluster.deliver(1, addr(9), &whole);
-    let mut alien = Gossip::new(&[addr(1)], keys("cd"), [7; 32]);
+    let mut other_key = Gossip::new(&[addr(1)], keys("cd"), [7; 32]);
     let set = Arc::new((*set).clone());
-    alien.announce(&set).iter().for_each(|(_, bytes)| cluster.deliver(1, from, bytes));
+    other_key.announce(&set).iter().for_each(|(_, bytes)| cluster.deliver(1, from, bytes));
     let counts = cluster.nodes[1].gossip.counts();
     assert_eq!((counts.taken, counts.learnt, counts.strangers), (0, 0, 1));
     assert!(counts.malformed > 40 && counts.unauthentic > 200, "{counts:?}");
@@ -335,18 +335,18 @@
 
 /// The old session's words must not be believed in place of the new one's.
 #[test]
-fn what_a_dead_session_has_sent_is_not_believed_after_the_restart() {
+fn datagrams_of_an_earlier_session_are_rejected_after_a_restart() {
     let mut cluster = Cluster::new(2, 13, 0.0);
     cluster.run(1000);
     let before = cluster.recorded.len();
     cluster.groups = vec![0, 1];
     cluster.set(0, "w", 0.5, HOUR);
-    let held_back: Vec<_> = cluster.recorded[before..].iter().filter(|r| r.0 == 1).cloned().collect();
+    let delayed: Vec<_> = cluster.recorded[before..].iter().filter(|r| r.0 == 1).cloned().collect();
     cluster.restart(0);
     cluster.groups = vec![0, 0];
     cluster.run(2000);
     let taken = cluster.nodes[1].gossip.counts().taken;
-    held_back.iter().for_each(|(to, from, bytes)| cluster.deliver(*to, *from, bytes));
+    delayed.iter().for_each(|(to, from, bytes)| cluster.deliver(*to, *from, bytes));
     assert_eq!(
         (cluster.nodes[1].gossip.counts().taken, cluster.active(1)),
         (taken, ActiveOverrides::default())
@@ -354,7 +354,7 @@
 }
 
 #[test]
-fn a_key_is_replaced_without_a_gap() {
+fn keys_can_be_rotated_without_interruption() {
     let (old, new) = ("ab".repeat(32), "cd".repeat(32));
     let ring = |text: String| KeyRing::parse(&text).expect("keys");
     let mut cluster = Cluster::new(3, 17, 0.0);
@@ -365,7 +365,7 @@
             cluster.nodes[at].gossip.rekey(keys.clone());
             cluster.set(at, "w", 0.5 + f64::from(at as u8), HOUR);
             cluster.run(1000);
-            cluster.agree();
+            cluster.assert_agreement();
         }
     }
     let counts = cluster.nodes.iter().map(|n| n.gossip.counts().unauthentic).sum::<u64>();
@@ -380,7 +380,7 @@
     let report = DiscoveryReport { version: 41 };
     let before = cluster.recorded.len();
     let out = cluster.nodes[0].gossip.report(report);
-    cluster.post(0, out);
+    cluster.send(0, out);
     let recorded: Vec<_> = cluster.recorded[before..].to_vec();
     cluster.run(200);
     for at in 1..5 {
--- a/control/tests/discovery_report.rs
+++ b/control/tests/discovery_report.rs
@@ -7,14 +7,14 @@
 proptest! {
     /// A report comes out as it went in; no load report is one, and none is a load report.
     #[test]
-    fn a_report_is_read_as_it_was_written(version: u64) {
+    fn a_report_round_trips(version: u64) {
         let report = DiscoveryReport { version };
         prop_assert_eq!(DiscoveryReport::decode(&report.encode()), Some(report));
         prop_assert_eq!(LoadReport::decode(&report.encode()), None);
     }
 
     #[test]
-    fn whatever_is_no_report_is_refused(bytes in proptest::collection::vec(any::<u8>(), 0..20)) {
+    fn invalid_reports_are_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..20)) {
         if let Some(report) = DiscoveryReport::decode(&bytes) {
             prop_assert_eq!(&report.encode()[..], &bytes[..]);
         }
--- a/control/tests/list_status.rs
+++ b/control/tests/list_status.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_confirmed_list_expires_where_no_watch_follows() {
+fn a_confirmed_list_expires_without_a_watch() {
     let mut status = ListStatus::polled();
     status.answered(100);
     assert_eq!(status.at(100 + UNCONFIRMED_VALIDITY - 1), ListState::Confirmed);
@@ -37,7 +37,7 @@
 
 /// The incident's class: what is not known of discovery must not keep a list valid.
 #[test]
-fn calls_that_could_not_be_made_confirm_nothing() {
+fn requests_that_could_not_be_issued_confirm_nothing() {
     let mut status = ListStatus::polled();
     status.answered(0);
     for now in (200..UNCONFIRMED_VALIDITY).step_by(200) {
@@ -49,7 +49,7 @@
 
 /// What an agent has counts as told at once: while it can't be called, sends end with the grace.
 #[test]
-fn a_pushed_list_ends_with_the_grace_while_its_agent_cannot_be_called() {
+fn a_pushed_list_expires_after_the_grace_while_its_agent_cannot_be_reached() {
     let mut status = ListStatus::pushed(DRAIN_GRACE);
     status.answered(0);
     status.failed(300, CallFailure::Silent);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_watch_is_believed_until_it_must_have_fallen_silent() {
+fn a_watch_keeps_the_list_valid_until_it_must_have_fallen_silent() {
     let mut status = ListStatus::polled();
     status.answered(0);
     status.watch_started(0, 20_000);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_short_watch_does_not_shorten_the_time_of_the_answer() {
+fn a_short_watch_does_not_shorten_the_validity_from_the_answer() {
     let mut status = ListStatus::polled();
     status.answered(0);
     status.watch_started(0, 100);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_list_is_valid_while_discovery_turns_calls_away_and_ends_when_it_falls_silent() {
+fn a_list_is_valid_while_discovery_is_unreachable_and_expires_when_it_falls_silent() {
     let mut status = ListStatus::polled();
     status.answered(0);
     status.watch_started(0, 20_000);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn what_has_expired_stays_so_until_an_answer() {
+fn an_expired_list_stays_expired_until_an_answer() {
     let mut status = ListStatus::polled();
     status.answered(0);
     status.failed(UNCONFIRMED_VALIDITY, CallFailure::Unreachable);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_move_leaves_the_list_a_short_time() {
+fn a_move_of_discovery_leaves_the_list_a_short_validity() {
     let mut status = ListStatus::polled();
     status.answered(0);
     status.watch_started(0, 20_000);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_pushed_list_lasts_while_its_agent_is_asked_and_a_fixed_one_always() {
+fn a_pushed_list_is_valid_while_its_agent_is_asked_and_a_fixed_one_always() {
     let mut pushed = ListStatus::pushed(DRAIN_GRACE);
     assert_eq!(pushed.at(u64::MAX - 1), ListState::Unconfirmed);
     pushed.answered(5);
@@ -136,7 +136,7 @@
 
 /// As an outage shows where nobody reports anything: the list lasts for as long as refusals come.
 #[test]
-fn a_list_is_valid_while_calls_are_turned_away_and_no_peer_is_answered() {
+fn a_list_is_valid_while_requests_are_rejected_and_no_peer_is_answered() {
     let mut status = ListStatus::polled();
     status.answered(0);
     for now in (2000..60_000).step_by(2000) {
@@ -148,7 +148,7 @@
 
 /// Discovery is back, and answers others: what it turns away then is a crowd.
 #[test]
-fn calls_turned_away_while_peers_are_answered_confirm_nothing() {
+fn rejections_while_peers_are_answered_confirm_nothing() {
     let mut status = ListStatus::polled();
     status.answered(0);
     status.failed(2000, CallFailure::TurnedAway);
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn what_a_peer_was_told_ends_the_list_sooner() {
+fn a_newer_list_at_a_peer_shortens_the_validity() {
     let mut status = ListStatus::polled();
     status.answered(0);
     status.failed(5000, CallFailure::TurnedAway);
@@ -175,7 +175,7 @@
 
 /// The process stood still: what a peer was told counts from when the report may have come.
 #[test]
-fn a_report_that_stood_unread_counts_from_when_it_came() {
+fn an_unread_report_counts_from_its_arrival() {
     let mut status = ListStatus::polled();
     status.answered(0);
     status.failed(5000, CallFailure::TurnedAway);
@@ -188,7 +188,7 @@
 
 /// A partition that cuts this dispatcher off from discovery, and not from peers; a watch; an agent.
 #[test]
-fn reports_of_peers_change_nothing_where_calls_are_not_turned_away() {
+fn peer_reports_change_nothing_unless_requests_are_rejected() {
     let mut cut_off = ListStatus::polled();
     cut_off.answered(0);
     cut_off.failed(2000, CallFailure::Unreachable);
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn an_outage_behind_a_report_is_one_again_when_the_report_is_old() {
+fn an_old_report_no_longer_hides_an_outage() {
     let mut status = ListStatus::polled();
     status.answered(0);
     status.peer_answered(100, 100, false);
@@ -235,13 +235,13 @@
 /// Calls that are turned away where a crowd of the tier lasts longer than the bound are no sign of an outage.
 #[rstest]
 #[case::a_slow_discovery(16, &[700, 2600], false)]
-#[case::one_that_was_met_in_a_crowd(300, &[1800], false)]
-#[case::one_that_was_met_in_quiet_times_too(300, &[1800, 16], true)]
+#[case::measured_during_congestion(300, &[1800], false)]
+#[case::measured_when_idle_too(300, &[1800, 16], true)]
 #[case::exactly_the_bound(300, &[20], true)]
-#[case::just_over_it(301, &[20], false)]
+#[case::just_over_the_bound(301, &[20], false)]
 #[case::a_tier_of_one(1, &[5999], true)]
-#[case::not_known(300, &[], true)]
-fn refused_calls_keep_a_list_valid_where_crowds_are_short(
+#[case::not_measured(300, &[], true)]
+fn rejections_keep_a_list_valid_if_congestion_is_short(
     #[case] dispatchers: u32,
     #[case] calls: &[u64],
     #[case] stays_valid: bool,
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn a_watch_that_stood_until_it_was_turned_away_would_have_told_of_changes_by_then() {
+fn a_watch_confirms_the_list_until_it_is_rejected() {
     let mut status = confirmed_by_one_of(16, &[700]);
     status.watch_started(10, 1000);
     status.failed(900, CallFailure::TurnedAway);
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn where_peers_report_their_silence_tells_an_outage_from_a_crowd() {
+fn missing_peer_reports_distinguish_an_outage_from_congestion() {
     let mut status = confirmed_by_one_of(16, &[700]);
     status.expect_peer_reports();
     status.failed(4000, CallFailure::TurnedAway);
@@ -288,10 +288,10 @@
         let mut status = ListStatus::polled();
         let (mut now, mut bound) = (0, 0);
         let (mut answered_at, mut reported_at, mut watched) = (None, None, false);
-        for (after, what, wait) in steps {
+        for (after, event, wait) in steps {
             now += after;
             let was_valid = status.at(now).is_valid();
-            match what {
+            match event {
                 0 | 1 => {
                     status.answered(now);
                     bound = now + UNCONFIRMED_VALIDITY;
@@ -313,22 +313,22 @@
                 5 => status.failed(now, CallFailure::NotMade),
                 6 => {
                     status.failed(now, CallFailure::TurnedAway);
-                    let crowded = reported_at.is_some_and(|at| now < at + CONGESTION_EVIDENCE_TTL);
-                    if was_valid && (watched || !crowded) {
+                    let congested = reported_at.is_some_and(|at| now < at + CONGESTION_EVIDENCE_TTL);
+                    if was_valid && (watched || !congested) {
                         bound = now + UNCONFIRMED_VALIDITY;
                     }
                 }
                 7 | 8 => {
-                    if status.peer_answered(now, now, what == 8) {
+                    if status.peer_answered(now, now, event == 8) {
                         bound = bound.min(now + NEWER_LIST_VALIDITY);
                     }
                     reported_at = Some(now);
                 }
                 _ => status.moved(now),
             }
-            watched &= matches!(what, 2 | 7 | 8);
-            if what < 7 || what == 9 {
-                answered_at = (what < 2).then_some(now);
+            watched &= matches!(event, 2 | 7 | 8);
+            if event < 7 || event == 9 {
+                answered_at = (event < 2).then_some(now);
             }
             prop_assert!(!status.at(now).is_valid() || now < bound);
             prop_assert!(!status.at(bound).is_valid());
--- a/control/tests/load_gossip.rs
+++ b/control/tests/load_gossip.rs
@@ -5,25 +5,19 @@
 };
 use std::collections::BTreeSet;
 
-fn report(turn: u8, out: &[(&str, u8)]) -> LoadReport {
+fn report(sequence: u8, out: &[(&str, u8)]) -> LoadReport {
     let out = out.iter().map(|(name, out)| (Tag::of(name), *out)).collect();
-    LoadReport {
-        purpose: Purpose::Report,
-        sequence: turn,
-        zone: Tag::of("a"),
-        in_flight: out,
-        refused: Vec::new(),
-    }
+    LoadReport { purpose: Purpose::Report, sequence, zone: Tag::of("a"), in_flight: out, refused: Vec::new() }
 }
 
 /// Jobs that others than the querier have at a worker.
 fn others(reported: &ReportedLoad, querier: u32, worker: &str, now: u64) -> u32 {
-    let picture = reported.snapshot(querier, now, |tag| tag == Tag::of(worker)).0;
-    picture.iter().map(|(_, out)| *out).sum()
+    let snapshot = reported.snapshot(querier, now, |tag| tag == Tag::of(worker)).0;
+    snapshot.iter().map(|(_, out)| *out).sum()
 }
 
 #[test]
-fn a_report_reads_as_it_was_written() {
+fn a_report_round_trips() {
     for purpose in [Purpose::Report, Purpose::Query, Purpose::Snapshot] {
         let refused = vec![Tag::of("full")];
         let report = LoadReport { purpose, refused, ..report(7, &[("b", 200), ("a", 1)]) };
@@ -33,7 +27,7 @@
 }
 
 #[test]
-fn what_is_no_report_is_left_out_and_a_long_one_is_cut_where_it_says_least() {
+fn invalid_reports_are_rejected_and_long_ones_keep_the_highest_counts() {
     for bytes in [&[][..], &[1, 2], &[1, 2, 3, 4], &[0x70, 1, 2], &[0; MAX_DATAGRAM + 3], &[0; 256]] {
         assert_eq!(LoadReport::decode(bytes), None, "{bytes:?}");
     }
@@ -46,7 +40,7 @@
 }
 
 #[test]
-fn counts_add_up_without_those_of_who_asks_and_one_that_comes_twice_counts_once() {
+fn counts_exclude_the_querier_and_duplicates() {
     let mut reported = ReportedLoad::default();
     reported.apply(0, &report(1, &[("a", 2)]), 1000);
     reported.apply(1, &report(1, &[("a", 3)]), 1000);
@@ -58,42 +52,43 @@
 }
 
 #[test]
-fn a_report_that_was_overtaken_is_left_out_and_one_that_stood_too_long_ends() {
+fn reordered_reports_are_ignored_and_old_ones_expire() {
     let mut reported = ReportedLoad::default();
     reported.apply(0, &report(0, &[]), 1000);
     reported.apply(0, &report(15, &[("a", 1)]), 1017);
-    assert_eq!(others(&reported, 2, "a", 1017), 0, "sent before the other");
+    assert_eq!(others(&reported, 2, "a", 1017), 0, "sent before the newer report");
     reported.apply(0, &report(1, &[("a", 1)]), 1030);
     reported.apply(1, &report(1, &[]), 1030 + REPORT_TTL - 1);
     assert_eq!(others(&reported, 2, "a", 1030 + REPORT_TTL - 1), 1);
     reported.apply(1, &report(2, &[]), 1030 + REPORT_TTL * 5 / 4);
-    assert_eq!(others(&reported, 2, "a", 1030 + REPORT_TTL * 5 / 4), 0, "its sender may be dead");
+    assert_eq!(others(&reported, 2, "a", 1030 + REPORT_TTL * 5 / 4), 0, "the sender may be dead");
 }
 
 #[test]
-fn a_refusal_that_two_tell_of_is_passed_on_for_a_while() {
+fn a_refusal_reported_by_two_peers_is_passed_on_until_it_expires() {
     let mut reported = ReportedLoad::default();
-    let refusal = |turn| LoadReport { refused: vec![Tag::of("full")], ..report(turn, &[]) };
+    let refusal = |sequence| LoadReport { refused: vec![Tag::of("full")], ..report(sequence, &[]) };
     let refused = |reported: &ReportedLoad, now| reported.snapshot(5, now, |_| true).1;
-    for turn in 1..9 {
-        reported.apply(0, &refusal(turn), 1000 + u64::from(turn) * 200);
-        assert!(refused(&reported, 1000 + u64::from(turn) * 200).is_empty(), "one peer may be wrong");
+    for sequence in 1..9 {
+        reported.apply(0, &refusal(sequence), 1000 + u64::from(sequence) * 200);
+        assert!(refused(&reported, 1000 + u64::from(sequence) * 200).is_empty(), "one peer may be wrong");
     }
     reported.apply(1, &refusal(1), 3000);
     assert_eq!(refused(&reported, 6999), [Tag::of("full")]);
     assert!(refused(&reported, 7000).is_empty());
     reported.apply(1, &refusal(2), 8500);
-    assert!(refused(&reported, 8500).is_empty(), "the other spoke too long ago");
+    assert!(refused(&reported, 8500).is_empty(), "the first report has expired");
 }
 
 /// Memory is bounded by the peers, whatever they say.
 #[test]
-fn a_peer_that_lies_fills_no_memory() {
+fn a_misbehaving_peer_cannot_exhaust_memory() {
     let mut reported = ReportedLoad::default();
-    for turn in 0..1000u32 {
-        let name = format!("w{turn}");
-        let lie = LoadReport { refused: vec![Tag::of(&name)], ..report((turn % 16) as u8, &[(&name, 254)]) };
-        reported.apply(0, &lie, u64::from(turn) * 200 + 1);
+    for sequence in 0..1000u32 {
+        let name = format!("w{sequence}");
+        let report_of_refusal =
+            LoadReport { refused: vec![Tag::of(&name)], ..report((sequence % 16) as u8, &[(&name, 254)]) };
+        reported.apply(0, &report_of_refusal, u64::from(sequence) * 200 + 1);
     }
     let (out, refused) = reported.snapshot(1, 999 * 200 + 1, |_| true);
     assert_eq!(out, [(Tag::of("w999"), 254)]);
@@ -102,12 +97,13 @@
 
 /// All find the same aggregators without a word, and not one dispatcher keeps everything.
 #[test]
-fn keepers_are_the_same_for_all_and_spread_over_the_tier() {
+fn aggregators_are_the_same_for_all_and_spread_over_the_tier() {
     let zones: Vec<Tag> = (0..30).map(|i| Tag::of(&format!("zone{i}"))).collect();
-    let firsts = |mut aggregators: ZoneAggregators| {
+    let first_candidates = |mut aggregators: ZoneAggregators| {
         zones.iter().filter_map(|z| aggregators.query(*z, 0)).collect::<Vec<u32>>()
     };
-    let (one, another) = (firsts(ZoneAggregators::new(100)), firsts(ZoneAggregators::new(100)));
+    let (one, another) =
+        (first_candidates(ZoneAggregators::new(100)), first_candidates(ZoneAggregators::new(100)));
     assert_eq!(one, another);
     let different: BTreeSet<u32> = one.into_iter().collect();
     assert!(different.len() > 20, "{different:?}");
@@ -116,16 +112,16 @@
 
 /// A release kills aggregators too: the next in line was told before, and is asked until the first answers again.
 #[test]
-fn a_silent_aggregator_is_passed_over_for_a_while() {
+fn an_aggregator_that_times_out_is_skipped_temporarily() {
     let (mut aggregators, zone) = (ZoneAggregators::new(50), Tag::of("a"));
     let receivers = aggregators.report_to(zone, 0);
-    let first = aggregators.query(zone, 0).expect("a aggregator");
+    let first = aggregators.query(zone, 0).expect("an aggregator");
     assert_eq!((receivers.len(), receivers[0]), (2, first));
     aggregators.timed_out(first, 100);
-    let second = aggregators.query(zone, 101).expect("a aggregator");
+    let second = aggregators.query(zone, 101).expect("an aggregator");
     assert_eq!(second, receivers[1]);
     aggregators.timed_out(second, 110);
-    let third = aggregators.query(zone, 120).expect("a aggregator");
+    let third = aggregators.query(zone, 120).expect("an aggregator");
     assert!(!receivers.contains(&third));
     assert_eq!(aggregators.report_to(zone, 120), [first, second, third]);
     assert_eq!(aggregators.query(zone, 5000), Some(first));
@@ -137,12 +133,12 @@
 
 /// Where datagrams take long, who answers late is not held to be dead for it; where they don't, nobody waits long.
 #[test]
-fn patience_follows_how_long_answers_take() {
-    for (took, least, most) in [(3, 11, 18), (20, 40, 55), (45, 90, 100)] {
+fn the_answer_timeout_follows_answer_times() {
+    for (took, min, max) in [(3, 11, 18), (20, 40, 55), (45, 90, 100)] {
         let mut aggregators = ZoneAggregators::new(50);
         (0..50).for_each(|_| aggregators.answered(1, took));
         assert!(
-            (least..=most).contains(&aggregators.answer_timeout()),
+            (min..=max).contains(&aggregators.answer_timeout()),
             "{took}: {}",
             aggregators.answer_timeout()
         );
--- a/control/tests/model.rs
+++ b/control/tests/model.rs
@@ -33,7 +33,7 @@
     }
 
     /// The oldest table's word on the one slot there is, had it heard of everything.
-    fn all_heard(&self) -> Table {
+    fn fully_merged(&self) -> Table {
         let mut table = Table::new("judge", u64::MAX);
         for record in &self.written {
             table.merge((**record).clone(), self.now);
@@ -85,8 +85,8 @@
                 actions.push(Step::Set(at));
             }
             for (record, written) in world.written.iter().enumerate() {
-                let lasts = written.is_live(world.now);
-                if world.clears < self.clears && lasts {
+                let is_live = written.is_live(world.now);
+                if world.clears < self.clears && is_live {
                     actions.push(Step::Clear(at, record));
                 }
                 actions.push(Step::Deliver { record, to: at });
@@ -140,14 +140,14 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("those that have heard of the same say the same", |_, world: &World| {
-                let all = world.all_heard();
+                let all = world.fully_merged();
                 world.tables.iter().all(|t| {
-                    let mut heard = t.clone();
+                    let mut merged = t.clone();
                     for record in &world.written {
-                        heard.merge((**record).clone(), world.now);
+                        merged.merge((**record).clone(), world.now);
                     }
-                    let shown = |t: &Table| t.entries(world.now, |_| true);
-                    heard.active(world.now) == all.active(world.now) && shown(&heard) == shown(&all)
+                    let entries = |t: &Table| t.entries(world.now, |_| true);
+                    merged.active(world.now) == all.active(world.now) && entries(&merged) == entries(&all)
                 })
             }),
             Property::always(
@@ -160,9 +160,9 @@
                             Effect::Set(weight) => weight,
                             Effect::Clear => None,
                         });
-                        let forces = t.active(world.now);
-                        forces.weights.iter().map(|w| w.1).eq(weight.map(|w| w.factor()))
-                            && ActiveOverrides { weights: Vec::new(), ..forces } == ActiveOverrides::default()
+                        let active = t.active(world.now);
+                        active.weights.iter().map(|w| w.1).eq(weight.map(|w| w.factor()))
+                            && ActiveOverrides { weights: Vec::new(), ..active } == ActiveOverrides::default()
                     })
                 },
             ),
@@ -173,8 +173,8 @@
                     clears.clone().all(|clear| {
                         world.tables.iter().filter(|t| t.by_fingerprint().values().any(|r| r == clear)).all(
                             |t| {
-                                let shown = t.entries(world.now, |_| true);
-                                shown.iter().all(|l| l.record > *clear)
+                                let entries = t.entries(world.now, |_| true);
+                                entries.iter().all(|l| l.record > *clear)
                             },
                         )
                     })
--- a/control/tests/override_log.rs
+++ b/control/tests/override_log.rs
@@ -25,30 +25,30 @@
 
 proptest! {
     #[test]
-    fn a_log_is_read_back_in_pieces_of_any_size(size in 1usize..200) {
+    fn a_log_can_be_read_in_chunks_of_any_size(size in 1usize..200) {
         let records = records(5);
         let mut reader = LogReader::default();
-        let read: Vec<Record> = text(&records).as_bytes().chunks(size).flat_map(|piece| reader.feed(piece)).collect();
+        let read: Vec<Record> = text(&records).as_bytes().chunks(size).flat_map(|chunk| reader.feed(chunk)).collect();
         prop_assert_eq!(read, records.iter().map(|record| (**record).clone()).collect::<Vec<_>>());
         prop_assert_eq!(reader.malformed(), 0);
     }
 
     /// A writer was killed anywhere in its line, and others go on behind it.
     #[test]
-    fn a_torn_line_costs_no_other_one(cut in 1usize..400, which in 0usize..4) {
+    fn a_truncated_line_loses_no_other_record(cut in 1usize..400, which in 0usize..4) {
         let records = records(5);
         let lines: Vec<String> = records.iter().map(|record| log_line(record)).collect();
         let cut = cut.min(lines[which].len() - 2);
-        let torn: String = lines.iter().enumerate().map(|(i, line)| if i == which { &line[..cut] } else { line }).collect();
+        let truncated: String = lines.iter().enumerate().map(|(i, line)| if i == which { &line[..cut] } else { line }).collect();
         let mut reader = LogReader::default();
-        let read = reader.feed(torn.as_bytes());
+        let read = reader.feed(truncated.as_bytes());
         let others: Vec<Record> = (0..5).filter(|i| *i != which).map(|i| (*records[i]).clone()).collect();
         prop_assert_eq!(read, others);
         prop_assert!(reader.malformed() <= 1);
     }
 
     #[test]
-    fn a_changed_byte_is_never_a_record(at in 0usize..300, to in 0u8..=255) {
+    fn a_corrupted_line_is_never_a_different_record(at in 0usize..300, to in 0u8..=255) {
         let records = records(1);
         let mut bytes = text(&records).into_bytes();
         let at = at % bytes.len();
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn what_has_no_end_is_bounded() {
+fn an_endless_line_uses_bounded_memory() {
     let mut reader = LogReader::default();
     for _ in 0..1000 {
         assert!(reader.feed(&[b'a'; 1000]).is_empty());
@@ -96,8 +96,8 @@
     let mut table = Table::new("n1", 3_600_000);
     table.restore(first.clone(), NOW);
     table.restore(second.clone(), NOW);
-    let faulty = table.clear(&first.stamp.to_string(), "ama", "test", NOW).expect_err("two are meant");
-    assert_eq!(faulty.field, "id");
+    let invalid = table.clear(&first.stamp.to_string(), "ama", "test", NOW).expect_err("two are meant");
+    assert_eq!(invalid.field, "id");
     let cleared = table.clear_slot(&second.slot, "ama", "test", NOW).expect("it can be cleared");
     assert!(cleared.is_some());
     let out: Vec<String> = table.active(NOW).out_of_service.iter().map(|worker| worker.to_string()).collect();
--- a/control/tests/table.rs
+++ b/control/tests/table.rs
@@ -11,52 +11,56 @@
 const NOW: Millis = 1_764_600_000_000;
 const HOUR: Millis = 3_600_000;
 
-fn order(worker: &str, scope: Scope, weight: Option<f64>, until: Millis) -> OverrideRequest {
+fn request(worker: &str, scope: Scope, weight: Option<f64>, until: Millis) -> OverrideRequest {
     let slot = Slot { worker: worker.into(), scope };
     OverrideRequest { slot, weight, until, by: "ama".into(), why: "test".into() }
 }
 
-fn out(worker: &str, until: Millis) -> OverrideRequest {
-    order(worker, Scope::OutOfService, None, until)
+fn out_of_service(worker: &str, until: Millis) -> OverrideRequest {
+    request(worker, Scope::OutOfService, None, until)
 }
 
 fn pin(worker: &str, class: &str, tenant: Option<&str>) -> OverrideRequest {
     let scope = Scope::Pinned { class: class.into(), tenant: tenant.map(Into::into) };
-    order(worker, scope, None, NOW + HOUR)
+    request(worker, scope, None, NOW + HOUR)
 }
 
 fn table() -> Table {
     Table::new("n1", 16 * HOUR)
 }
 
-fn shown(table: &Table, now: Millis) -> Vec<OverrideEntry> {
+fn all_entries(table: &Table, now: Millis) -> Vec<OverrideEntry> {
     table.entries(now, |_| true)
 }
 
 #[test]
-fn an_order_that_cannot_be_followed_names_its_field_and_changes_nothing() {
+fn an_invalid_request_names_its_field_and_changes_nothing() {
     let mut table = table();
-    let weight = |w| order("w", Scope::Weight, w, NOW + HOUR);
+    let weight = |w| request("w", Scope::Weight, w, NOW + HOUR);
     let long = "x".repeat(65);
-    for (order, field, words) in [
+    for (request, field, words) in [
         (weight(None), "weight", "missing"),
         (weight(Some(0.0)), "weight", "between 0.01 and 100"),
         (weight(Some(f64::NAN)), "weight", "between"),
         (weight(Some(100.1)), "weight", "between"),
-        (OverrideRequest { weight: Some(1.0), ..out("w", NOW + HOUR) }, "weight", "out-of-service"),
-        (out("", NOW + HOUR), "worker", "1 to 64"),
-        (out(&long, NOW + HOUR), "worker", "1 to 64"),
-        (out("a\nb", NOW + HOUR), "worker", "1 to 64"),
-        (out("w", NOW), "until", "past"),
-        (out("w", NOW - 1), "until", "past"),
-        (out("w", NOW + 16 * HOUR + 1), "until", "the longest that is allowed is 16 h"),
-        (OverrideRequest { by: String::new(), ..out("w", NOW + HOUR) }, "by", "1 to 64"),
-        (OverrideRequest { why: " ".into(), ..out("w", NOW + HOUR) }, "why", "line of text"),
-        (OverrideRequest { why: "y".repeat(300), ..out("w", NOW + HOUR) }, "why", "too many"),
+        (
+            OverrideRequest { weight: Some(1.0), ..out_of_service("w", NOW + HOUR) },
+            "weight",
+            "out-of-service",
+        ),
+        (out_of_service("", NOW + HOUR), "worker", "1 to 64"),
+        (out_of_service(&long, NOW + HOUR), "worker", "1 to 64"),
+        (out_of_service("a\nb", NOW + HOUR), "worker", "1 to 64"),
+        (out_of_service("w", NOW), "until", "past"),
+        (out_of_service("w", NOW - 1), "until", "past"),
+        (out_of_service("w", NOW + 16 * HOUR + 1), "until", "the longest that is allowed is 16 h"),
+        (OverrideRequest { by: String::new(), ..out_of_service("w", NOW + HOUR) }, "by", "1 to 64"),
+        (OverrideRequest { why: " ".into(), ..out_of_service("w", NOW + HOUR) }, "why", "line of text"),
+        (OverrideRequest { why: "y".repeat(300), ..out_of_service("w", NOW + HOUR) }, "why", "too many"),
         (pin("w", "", None), "pin", "1 to 64"),
         (pin("w", "chart", Some(&long)), "pin", "1 to 64"),
     ] {
-        let refused = table.set(order, NOW).expect_err(words);
+        let refused = table.set(request, NOW).expect_err(words);
         assert_eq!(refused.field, field, "{refused}");
         assert!(refused.reason.contains(words), "{refused}");
     }
@@ -66,31 +70,31 @@
     }
     // A limit over the hard one does not count.
     let mut table = Table::new("n1", u64::MAX);
-    assert!(table.set(out("w", NOW + MAX_OVERRIDE_DURATION + 1), NOW).is_err());
-    assert!(table.set(out("w", NOW + MAX_OVERRIDE_DURATION), NOW).is_ok());
+    assert!(table.set(out_of_service("w", NOW + MAX_OVERRIDE_DURATION + 1), NOW).is_err());
+    assert!(table.set(out_of_service("w", NOW + MAX_OVERRIDE_DURATION), NOW).is_ok());
 }
 
 #[test]
-fn each_kind_takes_effect_and_ends_by_itself() {
+fn each_kind_takes_effect_and_expires() {
     let mut table = table();
-    table.set(order("w1", Scope::Weight, Some(0.25), NOW + 100), NOW).expect("set");
-    table.set(out("w2", NOW + 200), NOW).expect("set");
+    table.set(request("w1", Scope::Weight, Some(0.25), NOW + 100), NOW).expect("set");
+    table.set(out_of_service("w2", NOW + 200), NOW).expect("set");
     table.set(pin("w3", "chart", None), NOW).expect("set");
     table.set(pin("w4", "chart", Some("acme")), NOW).expect("set");
-    let forces = table.active(NOW);
-    assert_eq!(forces.weights, [("w1".into(), 0.25)]);
-    assert_eq!(forces.out_of_service, ["w2".into()]);
+    let active = table.active(NOW);
+    assert_eq!(active.weights, [("w1".into(), 0.25)]);
+    assert_eq!(active.out_of_service, ["w2".into()]);
     let of = |worker: &str, tenant: Option<&str>| Pin {
         class: "chart".into(),
         tenant: tenant.map(Into::into),
         worker: worker.into(),
     };
-    assert_eq!(forces.pins, [of("w3", None), of("w4", Some("acme"))]);
+    assert_eq!(active.pins, [of("w3", None), of("w4", Some("acme"))]);
     assert_eq!(table.next_expiry(NOW), Some(NOW + 100));
     assert!(table.active(NOW + 100).weights.is_empty());
     assert_eq!(table.next_expiry(NOW + 100), Some(NOW + 200));
     assert_eq!(table.active(NOW + HOUR), ActiveOverrides::default());
-    assert!(shown(&table, NOW + HOUR).is_empty());
+    assert!(all_entries(&table, NOW + HOUR).is_empty());
     assert_eq!(table.next_expiry(NOW + HOUR), None);
     // All of it is forgotten once nothing older can matter.
     table.purge(NOW + RETENTION);
@@ -98,50 +102,50 @@
 }
 
 #[test]
-fn the_last_write_counts_and_a_beaten_one_says_by_whom() {
+fn the_last_write_wins_and_a_superseded_override_names_it() {
     let mut table = table();
-    let first = table.set(order("w", Scope::Weight, Some(0.5), NOW + HOUR), NOW).expect("set");
-    let second = OverrideRequest { by: "kofi".into(), ..order("w", Scope::Weight, Some(2.0), NOW + 1000) };
+    let first = table.set(request("w", Scope::Weight, Some(0.5), NOW + HOUR), NOW).expect("set");
+    let second = OverrideRequest { by: "kofi".into(), ..request("w", Scope::Weight, Some(2.0), NOW + 1000) };
     let second = table.set(second, NOW).expect("set");
-    let lines = shown(&table, NOW);
-    assert_eq!((&lines[0].record, &lines[0].standing), (&second, &Standing::InForce));
-    let beaten = Standing::Superseded { id: second.stamp.to_string(), by: "kofi".into(), at: NOW };
-    assert_eq!((&lines[1].record, &lines[1].standing), (&first, &beaten));
+    let entries = all_entries(&table, NOW);
+    assert_eq!((&entries[0].record, &entries[0].standing), (&second, &Standing::InForce));
+    let superseded = Standing::Superseded { id: second.stamp.to_string(), by: "kofi".into(), at: NOW };
+    assert_eq!((&entries[1].record, &entries[1].standing), (&first, &superseded));
     // Beaten is beaten: it does not come back when the one that beat it ends, or is cleared.
     assert!(table.active(NOW + 1000).weights.is_empty());
     let refused = table.clear(&first.stamp.to_string(), "ama", "", NOW).expect_err("beaten");
     assert!(refused.reason.contains(&second.stamp.to_string()), "{refused}");
     table.clear(&second.stamp.to_string(), "ama", "done", NOW + 1).expect("cleared");
-    assert!(shown(&table, NOW + 1).is_empty());
+    assert!(all_entries(&table, NOW + 1).is_empty());
     assert_eq!(table.merge((*first).clone(), NOW + 2), Merged::Known);
     assert_eq!(table.merge((*second).clone(), NOW + 2), Merged::Known);
     assert_eq!(table.active(NOW + 2), ActiveOverrides::default());
 }
 
 #[test]
-fn of_two_pins_of_the_same_flows_the_later_decides() {
+fn of_two_pins_of_the_same_flows_the_later_wins() {
     let mut table = table();
     table.set(pin("w1", "chart", None), NOW).expect("set");
     let later = table.set(pin("w0", "chart", None), NOW).expect("set");
     assert_eq!(table.active(NOW).pins.iter().map(|p| &*p.worker).collect::<Vec<_>>(), ["w0"]);
     let standing = |worker: &str, table: &Table, listed: fn(&str) -> bool| {
-        let lines = table.entries(NOW, listed);
-        lines.into_iter().find(|l| &*l.record.slot.worker == worker).expect("listed").standing
+        let entries = table.entries(NOW, listed);
+        entries.into_iter().find(|l| &*l.record.slot.worker == worker).expect("listed").standing
     };
-    let beaten = Standing::Superseded { id: later.stamp.to_string(), by: "ama".into(), at: NOW };
-    assert_eq!(standing("w1", &table, |_| true), beaten);
+    let superseded = Standing::Superseded { id: later.stamp.to_string(), by: "ama".into(), at: NOW };
+    assert_eq!(standing("w1", &table, |_| true), superseded);
     // One to a worker that is gone, or out of service, falls back and says so.
     assert_eq!(standing("w0", &table, |w| w != "w0"), Standing::UnknownWorker);
-    table.set(out("w0", NOW + HOUR), NOW).expect("set");
-    let lines = shown(&table, NOW);
-    assert!(lines.iter().any(|l| l.standing == Standing::WorkerOutOfService));
+    table.set(out_of_service("w0", NOW + HOUR), NOW).expect("set");
+    let entries = all_entries(&table, NOW);
+    assert!(entries.iter().any(|l| l.standing == Standing::WorkerOutOfService));
 }
 
 /// Set, cleared, and the set arrives after the clear.
 #[test]
-fn what_was_cleared_or_has_ended_never_comes_back() {
+fn cleared_or_expired_overrides_never_return() {
     let (mut n1, mut n2) = (table(), Table::new("n2", 16 * HOUR));
-    let set = n1.set(out("w", NOW + HOUR), NOW).expect("set");
+    let set = n1.set(out_of_service("w", NOW + HOUR), NOW).expect("set");
     let clear = n1.clear(&set.stamp.to_string(), "ama", "", NOW + 5).expect("cleared");
     assert_eq!(n2.merge((*clear).clone(), NOW + 10), Merged::New);
     assert_eq!(n2.merge((*set).clone(), NOW + 20), Merged::Known);
@@ -151,13 +155,13 @@
     assert_eq!(n2.merge((*set).clone(), late - 1), Merged::Known);
     assert_eq!(n2.merge((*set).clone(), late), Merged::Stale);
     // A later set of the same slot is another matter, even by a clock that is behind.
-    let again = n2.set(out("w", NOW + HOUR), NOW + 1).expect("set");
+    let again = n2.set(out_of_service("w", NOW + HOUR), NOW + 1).expect("set");
     assert!(again.stamp > clear.stamp);
     assert_eq!(n2.active(NOW + 30).out_of_service, ["w".into()]);
 }
 
 #[test]
-fn what_no_dispatcher_would_write_is_not_taken() {
+fn records_that_no_dispatcher_would_write_are_rejected() {
     let mut table = table();
     let record = |wall, until| Record {
         stamp: Stamp { wall, count: 0, origin: "n2".into() },
@@ -172,18 +176,18 @@
     assert_eq!(table.merge(record(NOW, NOW + 10 * MAX_OVERRIDE_DURATION), NOW), Merged::Stale);
     assert_eq!(table.merge(record(NOW + 400, NOW + HOUR), NOW), Merged::New);
     // This dispatcher's own next write is later, although its clock is behind.
-    assert!(table.set(out("w", NOW + HOUR), NOW).expect("set").stamp.wall >= NOW + 400);
+    assert!(table.set(out_of_service("w", NOW + HOUR), NOW).expect("set").stamp.wall >= NOW + 400);
 }
 
 #[test]
-fn slots_are_bounded_and_those_in_use_can_still_be_written() {
+fn slots_are_bounded_and_existing_ones_can_still_be_written() {
     let mut table = table();
     for i in 0..MAX_SLOTS {
-        table.set(out(&format!("w{i}"), NOW + HOUR), NOW).expect("room");
+        table.set(out_of_service(&format!("w{i}"), NOW + HOUR), NOW).expect("room");
     }
-    let refused = table.set(out("one more", NOW + HOUR), NOW).expect_err("no room");
+    let refused = table.set(out_of_service("one more", NOW + HOUR), NOW).expect_err("no room");
     assert_eq!(refused.field, "worker");
-    table.set(out("w7", NOW + 2 * HOUR), NOW).expect("its slot is there");
+    table.set(out_of_service("w7", NOW + 2 * HOUR), NOW).expect("its slot is there");
     assert_eq!(table.by_fingerprint().len(), MAX_SLOTS + 1);
 }
 
@@ -216,7 +220,7 @@
 
 fn state(table: &Table) -> (Vec<Arc<Record>>, Vec<OverrideEntry>, ActiveOverrides) {
     let now = NOW + 10;
-    (table.by_fingerprint().values().cloned().collect(), shown(table, now), table.active(now))
+    (table.by_fingerprint().values().cloned().collect(), all_entries(table, now), table.active(now))
 }
 
 fn joined(a: &Table, b: &Table) -> Table {
@@ -254,7 +258,7 @@
 
     /// Order and repeats don't matter, whatever is cut off on the way.
     #[test]
-    fn what_is_held_is_a_function_of_what_has_come(
+    fn the_table_depends_only_on_the_set_of_records(
         records in prop::collection::vec(any_record(), 0..24),
         seed in any::<u64>(),
     ) {
@@ -265,7 +269,7 @@
     }
 
     #[test]
-    fn any_bytes_are_read_or_refused_and_what_is_read_is_written_the_same(
+    fn arbitrary_bytes_are_rejected_or_round_trip(
         bytes in prop::collection::vec(any::<u8>(), 0..220),
     ) {
         use lineroute_control::overrides::{decode, encode};
--- a/permit/src/audit.rs
+++ b/permit/src/audit.rs
@@ -5,10 +5,10 @@
 use std::time::{Duration, Instant};
 
 /// How long after the client has disconnected an attempt may still begin.
-const CLIENT_GONE_SLACK: Duration = Duration::from_millis(100);
+const CLIENT_GONE_TOLERANCE: Duration = Duration::from_millis(100);
 
 /// How long the process may stall between reading its clock and writing.
-const HELD_UP_SLACK: Duration = Duration::from_millis(150);
+const STALL_TOLERANCE: Duration = Duration::from_millis(150);
 
 /// A rule that the program has violated.
 #[derive(Clone, Copy, Debug, Enum, PartialEq, Eq)]
@@ -61,21 +61,25 @@
 impl SendAudit {
     /// The rules violated by this write.
     pub fn violations(&self) -> impl Iterator<Item = Violation> {
-        let late = |since: Instant, slack: Duration| self.now.saturating_duration_since(since) > slack;
+        let late =
+            |since: Instant, tolerance: Duration| self.now.saturating_duration_since(since) > tolerance;
         let left = self.deadline.saturating_duration_since(self.now);
-        let found = [
+        let checks = [
             (self.not_ready_since.is_some_and(|(since, grace)| late(since, grace)), Violation::DrainedWorker),
             (
-                self.out_of_service.is_some_and(|since| late(since, HELD_UP_SLACK)),
+                self.out_of_service.is_some_and(|since| late(since, STALL_TOLERANCE)),
                 Violation::WorkerOutOfService,
             ),
             (!self.list_valid, Violation::InvalidList),
-            (self.client_gone.is_some_and(|since| late(since, CLIENT_GONE_SLACK)), Violation::ClientGone),
-            (late(self.deadline, HELD_UP_SLACK), Violation::DeadlineOver),
-            (self.passed_on.is_some_and(|told| told > left + HELD_UP_SLACK), Violation::PassedOnTooMuch),
-            (self.repeat_until.is_some_and(|until| late(until, HELD_UP_SLACK)), Violation::RepeatWindowOver),
+            (self.client_gone.is_some_and(|since| late(since, CLIENT_GONE_TOLERANCE)), Violation::ClientGone),
+            (late(self.deadline, STALL_TOLERANCE), Violation::DeadlineOver),
+            (self.passed_on.is_some_and(|told| told > left + STALL_TOLERANCE), Violation::PassedOnTooMuch),
+            (
+                self.repeat_until.is_some_and(|until| late(until, STALL_TOLERANCE)),
+                Violation::RepeatWindowOver,
+            ),
             (self.attempts_in_flight > 1, Violation::SecondAttempt),
         ];
-        found.into_iter().filter(|(broken, _)| *broken).map(|(_, violation)| violation)
+        checks.into_iter().filter(|(violated, _)| *violated).map(|(_, violation)| violation)
     }
 }
--- a/permit/src/close.rs
+++ b/permit/src/close.rs
@@ -44,16 +44,16 @@
 #[derive(Clone, Copy, Debug, Enum, Error, PartialEq, Eq)]
 pub enum CloseRefusal {
     /// A connected client is owed an answer.
-    #[error("an answer is owed on it")]
+    #[error("the client is owed an answer")]
     AnswerOwed,
     /// An answer would be truncated.
-    #[error("an answer is on its way")]
+    #[error("an answer is in progress")]
     AnswerOnItsWay,
 }
 
 /// Permission to close one connection.
 #[derive(Debug)]
-#[must_use = "a permit is for one connection"]
+#[must_use = "a permit allows closing one connection"]
 pub struct ClosePermit(());
 
 impl CloseFacts {
--- a/permit/src/retry.rs
+++ b/permit/src/retry.rs
@@ -44,19 +44,19 @@
 #[derive(Clone, Copy, Debug, Enum, Error, PartialEq, Eq)]
 pub enum RetryRefusal {
     /// At most one attempt may be in flight.
-    #[error("another attempt is out")]
+    #[error("another attempt is in flight")]
     AnotherIsOut,
     /// An earlier attempt may have run, and the request must not run twice.
-    #[error("an attempt may have run, and the class must not run twice")]
+    #[error("an earlier attempt may have run, and the class must not run twice")]
     MayHaveRun,
     /// An earlier attempt may have run, and workers may have forgotten the idempotency key.
-    #[error("the time for repeats is over")]
+    #[error("the window for repeats has ended")]
     RepeatWindowOver,
 }
 
 /// Permission to make one attempt.
 #[derive(Debug)]
-#[must_use = "a permit is for one attempt"]
+#[must_use = "a permit allows one attempt"]
 pub struct RetryPermit(());
 
 impl RetryFacts {
--- a/permit/src/send.rs
+++ b/permit/src/send.rs
@@ -8,7 +8,7 @@
 /// and that must not be exceeded, end earlier by this much.
 pub const STALL_ALLOWANCE: Duration = Duration::from_millis(150);
 /// How much more time than is left a worker may be told of. Stalls that no clock reading shows are shorter.
-const PASSED_ON_SLACK: Duration = Duration::from_millis(100);
+const PASSED_ON_TOLERANCE: Duration = Duration::from_millis(100);
 /// Lifetime of a permit, which is issued in the same step as the write.
 const PERMIT_LIFETIME: Duration = Duration::from_millis(10);
 
@@ -97,45 +97,45 @@
 #[derive(Clone, Copy, Debug, Enum, Error, PartialEq, Eq)]
 pub enum SendRefusal {
     /// The age of the list is unknown.
-    #[error("nothing has confirmed the worker list since the start")]
+    #[error("the worker list has not been confirmed since the start")]
     ListUnconfirmed,
     /// Changes that the list lacks count as published.
-    #[error("the worker list was confirmed too long ago")]
+    #[error("the worker list has expired")]
     ListExpired,
     /// The list has never named the worker.
-    #[error("the worker is not listed")]
+    #[error("the worker is not in the worker list")]
     WorkerUnknown,
     /// An operator has taken the worker out of service, possibly since the attempt was decided.
     #[error("an operator has taken the worker out of service")]
     WorkerOutOfService,
     /// The worker's state in the list has changed since the attempt was decided.
-    #[error("the list says something else of the worker by now")]
+    #[error("the worker's state in the list has changed since the decision")]
     WorkerChanged,
     /// The attempt was abandoned, or has ended.
-    #[error("the attempt is over")]
+    #[error("the attempt has ended")]
     AttemptOver,
     /// No client waits for the answer.
-    #[error("the client has gone")]
+    #[error("the client has disconnected")]
     ClientGone,
     /// The deadline has passed.
-    #[error("the deadline is over")]
+    #[error("the deadline has passed")]
     DeadlineOver,
     /// An earlier attempt may have run, and workers will soon have forgotten its idempotency key.
-    #[error("the time for repeats is over")]
+    #[error("the window for repeats has ended")]
     RepeatWindowOver,
     /// The worker would be told of more time than is left: the message was composed too long ago.
-    #[error("the time that it would be told is no longer left")]
+    #[error("the message states more time than is left")]
     PassedOnTooMuch,
     /// The permit has expired.
-    #[error("the permit is old")]
+    #[error("the permit has expired")]
     PermitOld,
 }
 
 /// Permission to write the first byte now.
 #[derive(Debug)]
-#[must_use = "a permit is for one write, in the same step"]
+#[must_use = "a permit allows one write, in the same step"]
 pub struct SendPermit {
-    made: Instant,
+    issued_at: Instant,
 }
 
 impl SendFacts {
@@ -158,7 +158,7 @@
             return Err(SendRefusal::RepeatWindowOver);
         }
         let left = self.deadline.saturating_duration_since(self.now);
-        if self.passed_on.is_some_and(|told| told > left + PASSED_ON_SLACK) {
+        if self.passed_on.is_some_and(|told| told > left + PASSED_ON_TOLERANCE) {
             return Err(SendRefusal::PassedOnTooMuch);
         }
         match self.list {
@@ -174,7 +174,7 @@
         if self.worker.operator_state == OperatorState::OutOfService {
             return Err(SendRefusal::WorkerOutOfService);
         }
-        Ok(SendPermit { made: self.now })
+        Ok(SendPermit { issued_at: self.now })
     }
 }
 
@@ -185,7 +185,7 @@
     ///
     /// The permit has expired: the facts have to be checked again.
     pub fn check_age(self, now: Instant) -> Result<(), SendRefusal> {
-        if now.saturating_duration_since(self.made) > PERMIT_LIFETIME {
+        if now.saturating_duration_since(self.issued_at) > PERMIT_LIFETIME {
             return Err(SendRefusal::PermitOld);
         }
         Ok(())
--- a/permit/src/start.rs
+++ b/permit/src/start.rs
@@ -27,16 +27,16 @@
 #[derive(Clone, Copy, Debug, Enum, Error, PartialEq, Eq)]
 pub enum StartRefusal {
     /// The process would end before the request could be answered.
-    #[error("the process stops")]
+    #[error("the process is stopping")]
     Stopping,
     /// No client waits for the answer.
-    #[error("the client has gone")]
+    #[error("the client has disconnected")]
     ClientGone,
 }
 
 /// Permission to start one request.
 #[derive(Debug)]
-#[must_use = "a permit is for one request"]
+#[must_use = "a permit allows starting one request"]
 pub struct StartPermit(());
 
 impl StartFacts {
--- a/permit/tests/permits.rs
+++ b/permit/tests/permits.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn each_fact_alone_refuses_a_first_byte() {
+fn each_fact_alone_refuses_the_first_byte() {
     use SendRefusal::*;
     assert_eq!(refusal(|_| {}), None);
     assert_eq!(refusal(|f| f.attempt = AttemptState::Ended), Some(AttemptOver));
@@ -49,15 +49,15 @@
 }
 
 #[test]
-fn a_send_permit_is_not_kept() {
+fn a_send_permit_expires() {
     let now = Instant::now();
-    let made = || sendable(now).permit().expect("a permit");
-    assert_eq!(made().check_age(now), Ok(()));
-    assert_eq!(made().check_age(now + STALL_ALLOWANCE), Err(SendRefusal::PermitOld));
+    let issued = || sendable(now).permit().expect("a permit");
+    assert_eq!(issued().check_age(now), Ok(()));
+    assert_eq!(issued().check_age(now + STALL_ALLOWANCE), Err(SendRefusal::PermitOld));
 }
 
 #[test]
-fn a_further_attempt_by_class_and_what_became_of_those_before() {
+fn further_attempts_depend_on_the_class_and_earlier_outcomes() {
     use EarlierAttempts::{MayHaveRun, NeverRan};
     let now = Instant::now();
     let (open, over) = (Some(now + SECOND), Some(now));
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_connection_that_owes_an_answer_ends_only_for_its_client() {
+fn a_connection_that_owes_an_answer_is_closed_only_for_its_client() {
     use CloseReason::*;
     let closes = |state, reason| CloseFacts { state, reason }.permit().is_ok();
     for reason in [ClientClosed, BadRequest] {
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_request_starts_until_the_process_stops_unless_its_client_left() {
+fn a_request_starts_until_the_process_stops_unless_its_client_is_gone() {
     use ProcessState::*;
     let refused = |process, client_gone| StartFacts { process, client_gone }.permit().err();
     assert_eq!([Serving, Draining].map(|p| refused(p, false)), [None, None]);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn the_audit_names_each_rule() {
+fn the_audit_detects_each_violation() {
     let now = Instant::now() + SECOND;
     let audit = SendAudit {
         now,
@@ -144,7 +144,7 @@
 proptest! {
     /// Whatever is known: what has a permit and is written at once breaks no rule.
     #[test]
-    fn what_is_permitted_breaks_no_rule(
+    fn a_permitted_write_violates_no_rule(
         list in prop_oneof![Just(ListValidity::Valid), Just(ListValidity::Unconfirmed), Just(ListValidity::Expired)],
         stage in 0..4u8, out in any::<bool>(), waits in any::<bool>(),
         deadline in 0..2000u64, window in proptest::option::of(0..2000u64),
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -29,7 +29,7 @@
 }
 
 #[derive(Deserialize)]
-struct Raw {
+struct RawSettings {
     #[serde(default)]
     azs: Vec<String>,
     #[serde(default)]
@@ -188,7 +188,7 @@
 }
 
 /// Report fields that count jobs, as named by the settings and by the protocol.
-const COUNTS: [&str; 4] = ["concurrent", "depth", "inflight", "queue"];
+const JOB_COUNT_FIELDS: [&str; 4] = ["concurrent", "depth", "inflight", "queue"];
 
 fn one() -> u32 {
     1
@@ -205,7 +205,7 @@
 /// Parses and validates the settings; an error names the key.
 pub fn parse(text: &str) -> Result<PlatformSettings, String> {
     let mut json = serde_json::Deserializer::from_str(text);
-    let raw: Raw = serde_path_to_error::deserialize(&mut json).map_err(|e| {
+    let raw: RawSettings = serde_path_to_error::deserialize(&mut json).map_err(|e| {
         let path = e.path().to_string();
         format!("setting {path}: {}", e.into_inner())
     })?;
@@ -270,7 +270,11 @@
             may_shed_begun: raw.rules.may_shed_begun,
             dropped_stay_open: raw.rules.dropped_stay_open,
         },
-        counts: raw.report.fields.as_ref().is_none_or(|f| f.iter().any(|f| COUNTS.contains(&f.as_str()))),
+        counts: raw
+            .report
+            .fields
+            .as_ref()
+            .is_none_or(|f| f.iter().any(|f| JOB_COUNT_FIELDS.contains(&f.as_str()))),
         progress: micros(raw.specifics.progress_ms),
         tells_start: raw.specifics.tells_start,
         zone: raw.zone.map(ZoneId),
