--- a/control/tests/cluster.rs
+++ b/control/tests/cluster.rs
@@ -1,5 +1,5 @@
-//! Dispatchers over a network that loses, doubles, delays and reorders, all in one thread: the same seed gives
-//! the same run.
+//! Simulates dispatchers in one thread, over a network that loses, duplicates, delays and reorders datagrams.
+//! The same seed gives the same run.
 
 use lineroute_control::discovery_report::DiscoveryReport;
 use lineroute_control::overrides::{
@@ -28,7 +28,7 @@
 struct Node {
     table: Table,
     gossip: Gossip,
-    /// Its clock is so much ahead.
+    /// Offset of its clock in milliseconds.
     clock_offset: i64,
     up: bool,
 }
@@ -38,12 +38,12 @@
     now: Millis,
     rng: StdRng,
     loss: f64,
-    /// Those in different groups don't hear each other.
+    /// Dispatchers in different groups cannot reach each other.
     groups: Vec<u8>,
-    /// What is on its way, by when it comes.
+    /// Datagrams in transit, by arrival time.
     in_transit: BTreeMap<(Millis, u64), (usize, SocketAddr, Vec<u8>)>,
     sent: u64,
-    /// Everything that was ever sent, for those that throw it back.
+    /// Every datagram ever sent, for replay.
     recorded: Vec<(usize, SocketAddr, Vec<u8>)>,
 }
 
@@ -72,7 +72,7 @@
         Node { table: Table::new(&format!("n{at}"), 16 * HOUR), gossip, clock_offset: 0, up: true }
     }
 
-    /// The dispatcher dies and starts from nothing.
+    /// Crashes a dispatcher and restarts it without state.
     fn restart(&mut self, at: usize) {
         let (size, clock_offset) = (self.nodes.len(), self.nodes[at].clock_offset);
         self.nodes[at] = Node { clock_offset, ..self.new_node(at, size) };
@@ -90,7 +90,7 @@
             if self.groups[from] != self.groups[to] {
                 continue;
             }
-            // None, one or two copies, each with a delay of its own.
+            // Each of the one or two copies may be lost, and has a delay of its own.
             for _ in 0..if self.rng.random_bool(0.1) { 2 } else { 1 } {
                 if !self.rng.random_bool(self.loss) {
                     self.sent += 1;
@@ -161,7 +161,7 @@
         self.nodes[at].table.entries(self.clock(at), |_| true)
     }
 
-    /// Asserts that all say the same, shown ones and those in force.
+    /// Asserts that all dispatchers have the same overrides in force and list the same ones.
     fn assert_agreement(&self) {
         for at in 1..self.nodes.len() {
             assert_eq!(self.active(at), self.active(0), "n{at}");
@@ -169,11 +169,11 @@
         }
     }
 
-    /// Rounds until all hold the same, in milliseconds.
+    /// Runs until all dispatchers have the same overrides in force; returns the time in milliseconds.
     fn time_to_agreement(&mut self, limit: Millis) -> Millis {
         let start = self.now;
         while (1..self.nodes.len()).any(|at| self.active(at) != self.active(0)) {
-            assert!(self.now - start < limit, "not agreed after {limit} ms");
+            assert!(self.now - start < limit, "no agreement after {limit} ms");
             self.run(10);
         }
         self.now - start
@@ -185,7 +185,7 @@
     let mut slowest = 0;
     for seed in 0..100 {
         let mut cluster = Cluster::new(3, seed, 0.3);
-        // From a cold start, as after a release: nobody has greeted anybody yet.
+        // Cold start, as after a release: no peer has exchanged greetings yet.
         cluster.set(0, "w", 0.5, HOUR);
         slowest = slowest.max(cluster.time_to_agreement(2000));
     }
@@ -206,7 +206,11 @@
         cluster.run(4000);
         cluster.assert_agreement();
         assert_eq!(cluster.active(2).weights.len(), 1);
-        assert_eq!(cluster.entries(2).len(), 2, "the beaten one is shown, also where nothing was set");
+        assert_eq!(
+            cluster.entries(2).len(),
+            2,
+            "the superseded override is listed, also where nothing was set"
+        );
     }
 }
 
@@ -217,7 +221,7 @@
         cluster.run(1000);
         let set = cluster.set(0, "w", 0.5, HOUR);
         cluster.run(1500);
-        // The third is cut off and has the set; the clear is made while it hears nothing.
+        // The third dispatcher has the set; the clear is written while it is partitioned.
         cluster.groups = vec![0, 0, 1];
         cluster.clear(1, &set.stamp.to_string());
         cluster.run(2000);
@@ -235,7 +239,8 @@
     cluster.run(1000);
     cluster.set(0, "w", 0.5, HOUR);
     cluster.run(1500);
-    // The one that set it is gone for good; another restarts from nothing and learns it of the third.
+    // The dispatcher that set it is gone for good; another restarts without state and learns of it from the
+    // third.
     cluster.nodes[0].up = false;
     cluster.restart(1);
     cluster.run(2500);
@@ -257,7 +262,7 @@
     let first = cluster.set(1, "w", 0.5, 5000);
     let end = first.until;
     cluster.run(2000);
-    // Written later, by a clock that is 800 ms behind the first writer's.
+    // Written later, by a clock that is 800 ms behind that of the first writer.
     cluster.set(2, "w", 4.0, 10_000);
     let until = cluster.entries(2)[0].record.until;
     cluster.run(2000);
@@ -267,11 +272,11 @@
     while cluster.now < until + 1000 {
         cluster.run(100);
         if cluster.now < until - 1000 {
-            (0..3).for_each(|at| assert_eq!(cluster.active(at).weights.len(), 1, "n{at} ended early"));
+            (0..3).for_each(|at| assert_eq!(cluster.active(at).weights.len(), 1, "n{at} expired early"));
         }
     }
     (0..3)
-        .for_each(|at| assert_eq!(cluster.active(at), ActiveOverrides::default(), "n{at} at its end + 1 s"));
+        .for_each(|at| assert_eq!(cluster.active(at), ActiveOverrides::default(), "n{at} 1 s after its end"));
 }
 
 #[test]
@@ -282,7 +287,7 @@
     cluster.run(2000);
     cluster.groups = vec![0, 0];
     let took = cluster.time_to_agreement(20_000);
-    println!("1,000 overrides caught up in {took} ms at 30% loss");
+    println!("caught up with 1,000 overrides in {took} ms at 30% loss");
     cluster.assert_agreement();
 }
 
@@ -295,24 +300,24 @@
     cluster.clear(0, &set.stamp.to_string());
     cluster.run(1000);
     let recorded: Vec<_> = cluster.recorded.iter().filter(|r| r.0 == 1).cloned().collect();
-    // What is on its way still comes.
+    // Datagrams in transit still arrive.
     cluster.groups = vec![0, 1, 2];
     cluster.run(200);
     let before = cluster.nodes[1].gossip.counts();
     let count = recorded.len() as u64;
-    // Thrown back at the same session: known numbers, or tokens of before.
+    // Replayed to the same session: the numbers are known, or the tokens outdated.
     for (to, from, bytes) in &recorded {
         cluster.deliver(*to, *from, bytes);
     }
     let after = cluster.nodes[1].gossip.counts();
     assert_eq!((after.taken, after.learnt), (before.taken, before.learnt));
-    // At a new one, which remembers nothing: the clear is unknown, and the set is still not believed.
+    // Replayed to a new session without state: the clear is unknown, and the set must still be rejected.
     cluster.restart(1);
     for (to, from, bytes) in &recorded {
         cluster.deliver(*to, *from, bytes);
     }
     assert_eq!((cluster.nodes[1].gossip.counts().taken, cluster.active(1)), (0, ActiveOverrides::default()));
-    // Changed in any one place, cut anywhere, lengthened, from elsewhere, or under another key.
+    // Any byte modified, truncated anywhere, extended, from another address, or under another key.
     let (_, from, whole) = recorded.iter().max_by_key(|r| r.2.len()).expect("some").clone();
     for at in 0..whole.len() {
         let mut changed = whole.clone();
@@ -333,7 +338,7 @@
     assert_eq!(cluster.nodes[1].table.revision(), 0);
 }
 
-/// The old session's words must not be believed in place of the new one's.
+/// Delayed datagrams of a sender's earlier session must not be accepted once its new session is established.
 #[test]
 fn datagrams_of_an_earlier_session_are_rejected_after_a_restart() {
     let mut cluster = Cluster::new(2, 13, 0.0);
@@ -359,7 +364,8 @@
     let ring = |text: String| KeyRing::parse(&text).expect("keys");
     let mut cluster = Cluster::new(3, 17, 0.0);
     cluster.run(1000);
-    // The new key behind the old one, everywhere; then before it; then alone. Each step one by one.
+    // The new key is added second, then moved to the front, then left alone, at one dispatcher after the
+    // other.
     for keys in [ring(format!("{old}\n{new}")), ring(format!("{new}\n{old}")), ring(new)] {
         for at in 0..3 {
             cluster.nodes[at].gossip.rekey(keys.clone());
@@ -372,7 +378,7 @@
     assert_eq!(counts, 0);
 }
 
-/// What one was told of discovery reaches all that it talks to, once, and nothing that was recorded is believed again.
+/// A report reaches every peer exactly once, and a replayed report is rejected.
 #[test]
 fn a_report_of_discovery_reaches_every_peer_once() {
     let mut cluster = Cluster::new(5, 19, 0.0);
--- a/control/tests/discovery_report.rs
+++ b/control/tests/discovery_report.rs
@@ -1,11 +1,11 @@
-//! Reports that discovery has answered: their form, and how many of them there are.
+//! Reports of answers from discovery: their encoding and their number.
 
 use lineroute_control::discovery_report::{DiscoveryReport, ReportSchedule, REPORT_GAP};
 use lineroute_control::load_gossip::LoadReport;
 use proptest::prelude::*;
 
 proptest! {
-    /// A report comes out as it went in; no load report is one, and none is a load report.
+    /// A report round-trips, and is not a valid load report.
     #[test]
     fn a_report_round_trips(version: u64) {
         let report = DiscoveryReport { version };
@@ -20,7 +20,8 @@
         }
     }
 
-    /// However many are answered, a tier whose members hear each other sends one report of a version in each gap.
+    /// However many dispatchers are answered, a tier whose members receive each other's reports sends one
+    /// report of a version per interval.
     #[test]
     fn a_tier_sends_few_reports(gaps in proptest::collection::vec(0..100u64, 1..300)) {
         let mut members: Vec<ReportSchedule> = gaps.iter().map(|_| ReportSchedule::default()).collect();
--- a/control/tests/list_status.rs
+++ b/control/tests/list_status.rs
@@ -1,4 +1,4 @@
-//! The state of a worker list over the orders of what can happen to its calls.
+//! Validity of a worker list for sequences of events.
 
 use lineroute_control::call_failure::CallFailure;
 use lineroute_control::list_status::{
@@ -35,7 +35,8 @@
     assert_eq!(status.at(100 + UNCONFIRMED_VALIDITY), ListState::Expired);
 }
 
-/// The incident's class: what is not known of discovery must not keep a list valid.
+/// Guards against the class of bug of the drain-after-restart incident: acting on a list although nothing is
+/// known of discovery.
 #[test]
 fn requests_that_could_not_be_issued_confirm_nothing() {
     let mut status = ListStatus::polled();
@@ -47,7 +48,8 @@
     assert_eq!(status.at(UNCONFIRMED_VALIDITY), ListState::Expired);
 }
 
-/// What an agent has counts as told at once: while it can't be called, sends end with the grace.
+/// Whatever the agent holds counts as published immediately: while it cannot be reached, sends end with the
+/// drain grace.
 #[test]
 fn a_pushed_list_expires_after_the_grace_while_its_agent_cannot_be_reached() {
     let mut status = ListStatus::pushed(DRAIN_GRACE);
@@ -68,7 +70,7 @@
     status.watch_started(0, 20_000);
     assert_eq!(status.at(20_000 + WATCH_SILENCE_GRACE - 1), ListState::Watched);
     assert_eq!(status.at(20_000 + WATCH_SILENCE_GRACE), ListState::Expired);
-    // Silence adds nothing to it.
+    // A timeout does not extend the validity.
     status.failed(21_500, CallFailure::Silent);
     assert_eq!(status.at(20_000 + WATCH_SILENCE_GRACE), ListState::Expired);
 }
@@ -119,12 +121,13 @@
     let mut pushed = ListStatus::pushed(DRAIN_GRACE);
     assert_eq!(pushed.at(u64::MAX - 1), ListState::Unconfirmed);
     pushed.answered(5);
-    // The agent is silent as long as there is nothing to tell, or discovery is down.
+    // The agent is silent while there is no change, or while discovery is down.
     for now in (300..60_000).step_by(300) {
         assert!(pushed.at(now).is_valid());
         pushed.failed(now, CallFailure::Silent);
     }
-    // The process stands still: what the agent has by then counts as told. A call that is made, and silent, shows that it has nothing.
+    // After the process was suspended, whatever the agent holds counts as published. A request that the agent
+    // leaves unanswered shows that it holds nothing.
     let back = 70_000;
     assert_eq!(pushed.at(back), ListState::Expired);
     pushed.failed(back, CallFailure::Unreadable);
@@ -134,7 +137,7 @@
     assert!(ListStatus::fixed().at(u64::MAX - 1).is_valid());
 }
 
-/// As an outage shows where nobody reports anything: the list lasts for as long as refusals come.
+/// Without peer reports, rejections look like an outage: the list stays valid as long as they arrive.
 #[test]
 fn a_list_is_valid_while_requests_are_rejected_and_no_peer_is_answered() {
     let mut status = ListStatus::polled();
@@ -146,14 +149,14 @@
     }
 }
 
-/// Discovery is back, and answers others: what it turns away then is a crowd.
+/// Discovery is back and answers other dispatchers, so its rejections are due to congestion.
 #[test]
 fn rejections_while_peers_are_answered_confirm_nothing() {
     let mut status = ListStatus::polled();
     status.answered(0);
     status.failed(2000, CallFailure::TurnedAway);
     for now in (2500..8000).step_by(500) {
-        assert!(!status.peer_answered(now, now, false), "nothing is newer");
+        assert!(!status.peer_answered(now, now, false), "the peer has no newer list");
         status.failed(now + 400, CallFailure::TurnedAway);
         assert_eq!(status.at(now).is_valid(), now < 2000 + UNCONFIRMED_VALIDITY, "{now}");
     }
@@ -166,14 +169,14 @@
     status.answered(0);
     status.failed(5000, CallFailure::TurnedAway);
     assert!(status.peer_answered(5500, 5500, true));
-    assert!(!status.peer_answered(5700, 5700, true), "the first report counts");
+    assert!(!status.peer_answered(5700, 5700, true), "a later report does not extend the validity");
     assert!(status.at(5500 + NEWER_LIST_VALIDITY - 1).is_valid());
     assert_eq!(status.at(5500 + NEWER_LIST_VALIDITY), ListState::Expired);
     status.answered(11_000);
     assert!(status.at(11_000 + UNCONFIRMED_VALIDITY - 1).is_valid());
 }
 
-/// The process stood still: what a peer was told counts from when the report may have come.
+/// After the process was suspended, a report counts from the time at which it may have arrived.
 #[test]
 fn an_unread_report_counts_from_its_arrival() {
     let mut status = ListStatus::polled();
@@ -181,12 +184,12 @@
     status.failed(5000, CallFailure::TurnedAway);
     assert!(status.peer_answered(8000, 5100, true));
     assert_eq!(status.at(5100 + NEWER_LIST_VALIDITY), ListState::Expired);
-    // A refusal that is read behind it is held to be of the same crowd, whenever it came.
+    // A rejection read after the report is attributed to the same congestion, whenever it arrived.
     status.failed(5200, CallFailure::TurnedAway);
     assert_eq!(status.at(5100 + NEWER_LIST_VALIDITY), ListState::Expired);
 }
 
-/// A partition that cuts this dispatcher off from discovery, and not from peers; a watch; an agent.
+/// A partition between this dispatcher and discovery, but not its peers; an established watch; an agent.
 #[test]
 fn peer_reports_change_nothing_unless_requests_are_rejected() {
     let mut cut_off = ListStatus::polled();
@@ -201,7 +204,7 @@
     watched.watch_started(0, 6000);
     assert!(!watched.peer_answered(100, 100, true));
     assert!(watched.at(6000 + WATCH_SILENCE_GRACE - 1).is_valid());
-    // It is ended by a crowd: until then it would have told of a change.
+    // Congestion ends the watch: until then it would have reported a change.
     watched.peer_answered(6900, 6900, false);
     watched.failed(7000, CallFailure::TurnedAway);
     assert!(watched.at(7000 + UNCONFIRMED_VALIDITY - 1).is_valid());
@@ -224,7 +227,8 @@
     assert!(status.at(100 + CONGESTION_EVIDENCE_TTL + UNCONFIRMED_VALIDITY - 1).is_valid());
 }
 
-/// A list that was confirmed at 0 by one of so many dispatchers, whose calls that took a turn were as long as this.
+/// A list confirmed at time 0 by one of `dispatchers` dispatchers, after requests without a wait that took
+/// `calls`.
 fn confirmed_by_one_of(dispatchers: u32, calls: &[u64]) -> ListStatus {
     let mut status = ListStatus::polled_by_tier(dispatchers);
     calls.iter().for_each(|took| status.record_service_time(*took));
@@ -232,7 +236,7 @@
     status
 }
 
-/// Calls that are turned away where a crowd of the tier lasts longer than the bound are no sign of an outage.
+/// Rejections are no evidence of an outage if congestion of the tier may last longer than the bound.
 #[rstest]
 #[case::a_slow_discovery(16, &[700, 2600], false)]
 #[case::measured_during_congestion(300, &[1800], false)]
@@ -251,7 +255,7 @@
     status.failed(4000, CallFailure::TurnedAway);
     assert!(status.at(UNCONFIRMED_VALIDITY - 1).is_valid());
     assert_eq!(status.at(UNCONFIRMED_VALIDITY).is_valid(), stays_valid);
-    // Nobody is reached: that is an outage, whatever a turn costs, as long as the list was valid.
+    // Failing to connect is evidence of an outage, whatever the service time, as long as the list was valid.
     let mut status = confirmed_by_one_of(dispatchers, calls);
     status.failed(4000, CallFailure::Unreachable);
     assert!(status.at(4000 + UNCONFIRMED_VALIDITY - 1).is_valid());
@@ -275,14 +279,14 @@
     assert!(status.at(4000 + UNCONFIRMED_VALIDITY - 1).is_valid());
 }
 
-/// Something that happens to the calls, and how long after the one before.
+/// An event, and the time since the previous one.
 fn step() -> impl Strategy<Value = (u64, u8, u64)> {
     (prop_oneof![0..250u64, 0..9000u64], 0..10u8, 0..20_000u64)
 }
 
 proptest! {
-    /// Whatever happens, the list is never valid for longer than the last word of discovery, or the last proof that it can't
-    /// be reached, or the watch that follows an answer, allows.
+    /// For any sequence of events, the list is valid no longer than allowed by the last answer of discovery,
+    /// the last evidence that it cannot be reached, or the watch that follows an answer.
     #[test]
     fn validity_is_bounded_by_evidence(steps in proptest::collection::vec(step(), 1..60)) {
         let mut status = ListStatus::polled();
--- a/control/tests/load_gossip.rs
+++ b/control/tests/load_gossip.rs
@@ -1,4 +1,5 @@
-//! Load reports between dispatchers: what they say, who keeps them, and that what is wrong with one stays bounded.
+//! Load reports between dispatchers: their encoding, who aggregates them, and that the effects of faulty ones
+//! are bounded.
 
 use lineroute_control::load_gossip::{
     LoadReport, Purpose, ReportedLoad, Tag, ZoneAggregators, MAX_DATAGRAM, REPORT_TTL,
@@ -10,7 +11,7 @@
     LoadReport { purpose: Purpose::Report, sequence, zone: Tag::of("a"), in_flight: out, refused: Vec::new() }
 }
 
-/// Jobs that others than the querier have at a worker.
+/// Jobs of dispatchers other than the querier at a worker.
 fn others(reported: &ReportedLoad, querier: u32, worker: &str, now: u64) -> u32 {
     let snapshot = reported.snapshot(querier, now, |tag| tag == Tag::of(worker)).0;
     snapshot.iter().map(|(_, out)| *out).sum()
@@ -46,7 +47,7 @@
     reported.apply(1, &report(1, &[("a", 3)]), 1000);
     reported.apply(0, &report(1, &[("a", 2)]), 1010);
     assert_eq!([0, 1, 2].map(|querier| others(&reported, querier, "a", 1010)), [3, 2, 5]);
-    // The next one says that nothing is out there any more.
+    // The next report states that nothing is in flight any more.
     reported.apply(0, &report(2, &[]), 1020);
     assert_eq!(others(&reported, 2, "a", 1020), 3);
 }
@@ -80,7 +81,7 @@
     assert!(refused(&reported, 8500).is_empty(), "the first report has expired");
 }
 
-/// Memory is bounded by the peers, whatever they say.
+/// Memory is bounded by the number of peers, whatever they send.
 #[test]
 fn a_misbehaving_peer_cannot_exhaust_memory() {
     let mut reported = ReportedLoad::default();
@@ -95,7 +96,8 @@
     assert!(refused.len() < 10, "{refused:?}");
 }
 
-/// All find the same aggregators without a word, and not one dispatcher keeps everything.
+/// All dispatchers determine the same aggregators without communication, and the zones are spread over the
+/// tier.
 #[test]
 fn aggregators_are_the_same_for_all_and_spread_over_the_tier() {
     let zones: Vec<Tag> = (0..30).map(|i| Tag::of(&format!("zone{i}"))).collect();
@@ -110,7 +112,8 @@
     assert!(different.iter().all(|number| *number < 100));
 }
 
-/// A release kills aggregators too: the next in line was told before, and is asked until the first answers again.
+/// A release also restarts aggregators: the next candidate already has the reports, and is queried until the
+/// first one answers again.
 #[test]
 fn an_aggregator_that_times_out_is_skipped_temporarily() {
     let (mut aggregators, zone) = (ZoneAggregators::new(50), Tag::of("a"));
@@ -131,7 +134,8 @@
     assert_eq!(ZoneAggregators::new(0).query(zone, 0), None);
 }
 
-/// Where datagrams take long, who answers late is not held to be dead for it; where they don't, nobody waits long.
+/// If datagrams take long, an aggregator that answers late is not taken for dead; if they do not, the timeout
+/// is short.
 #[test]
 fn the_answer_timeout_follows_answer_times() {
     for (took, min, max) in [(3, 11, 18), (20, 40, 55), (45, 90, 100)] {
--- a/control/tests/model.rs
+++ b/control/tests/model.rs
@@ -1,6 +1,6 @@
-//! Every course of a few events: sets, clears, deliveries in any order and more than once, restarts, time. A
-//! record that is on its way may be delivered at any later moment, or never: that is loss, delay, reordering
-//! and duplication at once.
+//! Exhaustive exploration of short histories: sets, clears, restarts, passing time, and deliveries in any
+//! order and more than once. A record in transit may be delivered at any later time or never, which covers
+//! loss, delay, reordering and duplication.
 
 use lineroute_control::overrides::{ActiveOverrides, Effect, OverrideRequest, Record, Scope, Slot, Table};
 use lineroute_control::Millis;
@@ -9,14 +9,14 @@
 use std::sync::Arc;
 
 const START: Millis = 1_000_000_000_000;
-/// One step of time; an override lasts for two.
+/// One step of time; an override lasts for two steps.
 const STEP: Millis = 1000;
 const LAST: Millis = START + 4 * STEP;
 
 #[derive(Clone, Debug)]
 struct World {
     tables: Vec<Table>,
-    /// All records ever written, in the order of writing: any may come anywhere, at any time.
+    /// All records written, in order. Any of them may be delivered anywhere at any time.
     written: Vec<Arc<Record>>,
     now: Millis,
     sets: u8,
@@ -25,16 +25,16 @@
 }
 
 impl World {
-    /// What tells two states apart: the tables by what they remember.
+    /// Identity of a state: the records that the tables hold, and the counters.
     fn identity(&self) -> impl Hash + PartialEq + '_ {
         let held: Vec<Vec<&Arc<Record>>> =
             self.tables.iter().map(|t| t.by_fingerprint().values().collect()).collect();
         (held, &self.written, self.now, self.sets, self.clears, self.restarts)
     }
 
-    /// The oldest table's word on the one slot there is, had it heard of everything.
+    /// A table that has received every record.
     fn fully_merged(&self) -> Table {
-        let mut table = Table::new("judge", u64::MAX);
+        let mut table = Table::new("reference", u64::MAX);
         for record in &self.written {
             table.merge((**record).clone(), self.now);
         }
@@ -139,51 +139,46 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("those that have heard of the same say the same", |_, world: &World| {
-                let all = world.fully_merged();
-                world.tables.iter().all(|t| {
-                    let mut merged = t.clone();
-                    for record in &world.written {
-                        merged.merge((**record).clone(), world.now);
-                    }
-                    let entries = |t: &Table| t.entries(world.now, |_| true);
-                    merged.active(world.now) == all.active(world.now) && entries(&merged) == entries(&all)
-                })
-            }),
             Property::always(
-                "nothing is in force after its end, and nothing that was replaced",
+                "tables with the same records have the same overrides in force",
                 |_, world: &World| {
+                    let all = world.fully_merged();
                     world.tables.iter().all(|t| {
-                        // The last that this dispatcher has heard of decides, or nothing does.
-                        let last = t.by_fingerprint().values().max();
-                        let weight = last.filter(|r| world.now < r.until).and_then(|r| match r.effect {
-                            Effect::Set(weight) => weight,
-                            Effect::Clear => None,
-                        });
-                        let active = t.active(world.now);
-                        active.weights.iter().map(|w| w.1).eq(weight.map(|w| w.factor()))
-                            && ActiveOverrides { weights: Vec::new(), ..active } == ActiveOverrides::default()
+                        let mut merged = t.clone();
+                        for record in &world.written {
+                            merged.merge((**record).clone(), world.now);
+                        }
+                        let entries = |t: &Table| t.entries(world.now, |_| true);
+                        merged.active(world.now) == all.active(world.now) && entries(&merged) == entries(&all)
                     })
                 },
             ),
-            Property::always(
-                "what was cleared is not in force where the clearing is known",
-                |_, world: &World| {
-                    let clears = world.written.iter().filter(|r| r.effect == Effect::Clear);
-                    clears.clone().all(|clear| {
-                        world.tables.iter().filter(|t| t.by_fingerprint().values().any(|r| r == clear)).all(
-                            |t| {
-                                let entries = t.entries(world.now, |_| true);
-                                entries.iter().all(|l| l.record > *clear)
-                            },
-                        )
+            Property::always("no expired or superseded override is in force", |_, world: &World| {
+                world.tables.iter().all(|t| {
+                    // The last record that this dispatcher has received is in force, or nothing is.
+                    let last = t.by_fingerprint().values().max();
+                    let weight = last.filter(|r| world.now < r.until).and_then(|r| match r.effect {
+                        Effect::Set(weight) => weight,
+                        Effect::Clear => None,
+                    });
+                    let active = t.active(world.now);
+                    active.weights.iter().map(|w| w.1).eq(weight.map(|w| w.factor()))
+                        && ActiveOverrides { weights: Vec::new(), ..active } == ActiveOverrides::default()
+                })
+            }),
+            Property::always("no cleared override is listed where the clear is known", |_, world: &World| {
+                let clears = world.written.iter().filter(|r| r.effect == Effect::Clear);
+                clears.clone().all(|clear| {
+                    world.tables.iter().filter(|t| t.by_fingerprint().values().any(|r| r == clear)).all(|t| {
+                        let entries = t.entries(world.now, |_| true);
+                        entries.iter().all(|l| l.record > *clear)
                     })
-                },
-            ),
+                })
+            }),
             Property::sometimes("two dispatchers differ", |_, world: &World| {
                 world.tables[0].active(world.now) != world.tables[1].active(world.now)
             }),
-            Property::sometimes("something ends by itself", |_, world: &World| {
+            Property::sometimes("an override expires", |_, world: &World| {
                 world.now == LAST && world.written.len() > 1 && world.clears == 0
             }),
         ]
--- a/control/tests/override_log.rs
+++ b/control/tests/override_log.rs
@@ -1,4 +1,4 @@
-//! The log of overrides: whatever is torn, only the torn record is lost.
+//! The override log: a truncated line loses no other record.
 
 use lineroute_control::overrides::{
     log_line, LogReader, Merged, OverrideRequest, Record, Scope, Slot, Table,
@@ -33,7 +33,7 @@
         prop_assert_eq!(reader.malformed(), 0);
     }
 
-    /// A writer was killed anywhere in its line, and others go on behind it.
+    /// A writer was killed anywhere in its line, and others continue after it.
     #[test]
     fn a_truncated_line_loses_no_other_record(cut in 1usize..400, which in 0usize..4) {
         let records = records(5);
@@ -70,7 +70,8 @@
     assert_eq!((reader.feed(&rest).len(), reader.malformed()), (1, 1));
 }
 
-/// The wall clock was set back by an hour: what a peer wrote in the future is refused, what was kept here is not.
+/// After the wall clock has been set back by an hour, a peer's record from the future is rejected, but a
+/// record restored locally is not.
 #[test]
 fn what_was_kept_here_outlasts_a_clock_that_is_set_back() {
     let record = (*records(1)[0]).clone();
@@ -81,7 +82,8 @@
     assert_eq!(table.active(earlier).out_of_service.len(), 1);
 }
 
-/// Two processes of one dispatcher may give one stamp to two workers: each is cleared for itself.
+/// Two processes of one dispatcher may issue the same stamp for two workers; each override can be cleared
+/// separately.
 #[test]
 fn one_stamp_of_two_workers_clears_one_of_them() {
     let set = |worker: &str| {
@@ -96,7 +98,7 @@
     let mut table = Table::new("n1", 3_600_000);
     table.restore(first.clone(), NOW);
     table.restore(second.clone(), NOW);
-    let invalid = table.clear(&first.stamp.to_string(), "ama", "test", NOW).expect_err("two are meant");
+    let invalid = table.clear(&first.stamp.to_string(), "ama", "test", NOW).expect_err("the id is ambiguous");
     assert_eq!(invalid.field, "id");
     let cleared = table.clear_slot(&second.slot, "ama", "test", NOW).expect("it can be cleared");
     assert!(cleared.is_some());
--- a/control/tests/service_time.rs
+++ b/control/tests/service_time.rs
@@ -1,11 +1,12 @@
-//! How often one dispatcher takes a turn at discovery anew, to learn what a turn costs.
+//! How often a dispatcher measures the service time of discovery.
 
 use lineroute_control::watch::WatchSchedule;
 
-/// Answers that come after a list has been watched for a whole day.
+/// Answers that arrive while a list is watched for a whole day.
 const ANSWERS: usize = 20_000;
 
-/// Behind which answers a turn is taken anew, where `seems_long` tells of each whether turns still seem long.
+/// The answers after which the service time is measured, where `seems_long` tells for each whether the
+/// estimate is still long.
 fn measurements(seed: u64, seems_long: impl Fn(usize) -> bool) -> Vec<usize> {
     let mut schedule = WatchSchedule::new(300, seed);
     (0..ANSWERS).filter(|answer| schedule.should_measure_service_time(seems_long(*answer))).collect()
@@ -30,7 +31,7 @@
     assert_eq!(until_known.len(), 1, "{until_known:?}");
 }
 
-/// Calls of a tier that began together spread over the renewals.
+/// The measurements of a tier that started at the same time are spread over the renewals.
 #[test]
 fn measurements_of_a_tier_are_spread() {
     let mut first = [0; 4];
--- a/control/tests/table.rs
+++ b/control/tests/table.rs
@@ -1,4 +1,5 @@
-//! The table by itself: what is refused, what beats what, what is shown, and that the merge is one.
+//! A single table: rejected requests, precedence of writes, listed overrides, and the algebraic properties of
+//! the merge.
 
 use lineroute_control::overrides::{
     ActiveOverrides, Effect, Merged, OverrideEntry, OverrideRequest, Pin, Record, Scope, Slot, Stamp,
@@ -68,7 +69,7 @@
     for id in ["", "n1", "n1-1.0"] {
         assert_eq!(table.clear(id, "ama", "", NOW).expect_err(id).field, "id");
     }
-    // A limit over the hard one does not count.
+    // A configured limit above the hard limit is capped.
     let mut table = Table::new("n1", u64::MAX);
     assert!(table.set(out_of_service("w", NOW + MAX_OVERRIDE_DURATION + 1), NOW).is_err());
     assert!(table.set(out_of_service("w", NOW + MAX_OVERRIDE_DURATION), NOW).is_ok());
@@ -96,7 +97,7 @@
     assert_eq!(table.active(NOW + HOUR), ActiveOverrides::default());
     assert!(all_entries(&table, NOW + HOUR).is_empty());
     assert_eq!(table.next_expiry(NOW + HOUR), None);
-    // All of it is forgotten once nothing older can matter.
+    // Every record is dropped once no older one can matter.
     table.purge(NOW + RETENTION);
     assert!(table.by_fingerprint().is_empty());
 }
@@ -111,9 +112,9 @@
     assert_eq!((&entries[0].record, &entries[0].standing), (&second, &Standing::InForce));
     let superseded = Standing::Superseded { id: second.stamp.to_string(), by: "kofi".into(), at: NOW };
     assert_eq!((&entries[1].record, &entries[1].standing), (&first, &superseded));
-    // Beaten is beaten: it does not come back when the one that beat it ends, or is cleared.
+    // A superseded override does not return when the one that replaced it expires or is cleared.
     assert!(table.active(NOW + 1000).weights.is_empty());
-    let refused = table.clear(&first.stamp.to_string(), "ama", "", NOW).expect_err("beaten");
+    let refused = table.clear(&first.stamp.to_string(), "ama", "", NOW).expect_err("superseded");
     assert!(refused.reason.contains(&second.stamp.to_string()), "{refused}");
     table.clear(&second.stamp.to_string(), "ama", "done", NOW + 1).expect("cleared");
     assert!(all_entries(&table, NOW + 1).is_empty());
@@ -134,14 +135,14 @@
     };
     let superseded = Standing::Superseded { id: later.stamp.to_string(), by: "ama".into(), at: NOW };
     assert_eq!(standing("w1", &table, |_| true), superseded);
-    // One to a worker that is gone, or out of service, falls back and says so.
+    // A pin to an unlisted worker, or to one that is out of service, is not in force, and its state says why.
     assert_eq!(standing("w0", &table, |w| w != "w0"), Standing::UnknownWorker);
     table.set(out_of_service("w0", NOW + HOUR), NOW).expect("set");
     let entries = all_entries(&table, NOW);
     assert!(entries.iter().any(|l| l.standing == Standing::WorkerOutOfService));
 }
 
-/// Set, cleared, and the set arrives after the clear.
+/// The set arrives after its clear.
 #[test]
 fn cleared_or_expired_overrides_never_return() {
     let (mut n1, mut n2) = (table(), Table::new("n2", 16 * HOUR));
@@ -150,11 +151,11 @@
     assert_eq!(n2.merge((*clear).clone(), NOW + 10), Merged::New);
     assert_eq!(n2.merge((*set).clone(), NOW + 20), Merged::Known);
     assert_eq!(n2.active(NOW + 20), ActiveOverrides::default());
-    // The clear is remembered for as long as the set could last, and the set is stale after.
+    // The clear is kept for as long as the set could last; after that the set is stale.
     let late = NOW + RETENTION;
     assert_eq!(n2.merge((*set).clone(), late - 1), Merged::Known);
     assert_eq!(n2.merge((*set).clone(), late), Merged::Stale);
-    // A later set of the same slot is another matter, even by a clock that is behind.
+    // A later set of the same slot takes effect, even if the writer's clock is behind.
     let again = n2.set(out_of_service("w", NOW + HOUR), NOW + 1).expect("set");
     assert!(again.stamp > clear.stamp);
     assert_eq!(n2.active(NOW + 30).out_of_service, ["w".into()]);
@@ -175,7 +176,7 @@
     assert_eq!(table.merge(record(NOW - RETENTION, NOW + HOUR), NOW), Merged::Stale);
     assert_eq!(table.merge(record(NOW, NOW + 10 * MAX_OVERRIDE_DURATION), NOW), Merged::Stale);
     assert_eq!(table.merge(record(NOW + 400, NOW + HOUR), NOW), Merged::New);
-    // This dispatcher's own next write is later, although its clock is behind.
+    // The dispatcher's own next write gets a later stamp, although its clock is behind.
     assert!(table.set(out_of_service("w", NOW + HOUR), NOW).expect("set").stamp.wall >= NOW + 400);
 }
 
@@ -183,11 +184,11 @@
 fn slots_are_bounded_and_existing_ones_can_still_be_written() {
     let mut table = table();
     for i in 0..MAX_SLOTS {
-        table.set(out_of_service(&format!("w{i}"), NOW + HOUR), NOW).expect("room");
+        table.set(out_of_service(&format!("w{i}"), NOW + HOUR), NOW).expect("a free slot");
     }
-    let refused = table.set(out_of_service("one more", NOW + HOUR), NOW).expect_err("no room");
+    let refused = table.set(out_of_service("one more", NOW + HOUR), NOW).expect_err("no free slot");
     assert_eq!(refused.field, "worker");
-    table.set(out_of_service("w7", NOW + 2 * HOUR), NOW).expect("its slot is there");
+    table.set(out_of_service("w7", NOW + 2 * HOUR), NOW).expect("an existing slot");
     assert_eq!(table.by_fingerprint().len(), MAX_SLOTS + 1);
 }
 
@@ -231,7 +232,7 @@
     all
 }
 
-/// The same cases in each run.
+/// A fixed seed, so that each run has the same cases.
 fn cases() -> ProptestConfig {
     ProptestConfig {
         cases: 512,
@@ -256,7 +257,7 @@
         prop_assert_eq!(state(&joined(&a, &a)), state(&a));
     }
 
-    /// Order and repeats don't matter, whatever is cut off on the way.
+    /// Neither order nor duplicates matter, whichever records are dropped.
     #[test]
     fn the_table_depends_only_on_the_set_of_records(
         records in prop::collection::vec(any_record(), 0..24),
--- a/permit/tests/permits.rs
+++ b/permit/tests/permits.rs
@@ -1,4 +1,4 @@
-//! The permits as tables, and against the audit, which states the rules on its own.
+//! Decision tables of the permits, and a comparison with the audit, whose rules are stated independently.
 
 use lineroute_permit::audit::{SendAudit, Violation};
 use lineroute_permit::*;
@@ -7,7 +7,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Facts under which a first byte may go out.
+/// Facts under which the first byte may be sent.
 fn sendable(now: Instant) -> SendFacts {
     SendFacts {
         now,
@@ -142,7 +142,7 @@
 }
 
 proptest! {
-    /// Whatever is known: what has a permit and is written at once breaks no rule.
+    /// For any facts: a write that is permitted and performed immediately violates no rule.
     #[test]
     fn a_permitted_write_violates_no_rule(
         list in prop_oneof![Just(ListValidity::Valid), Just(ListValidity::Unconfirmed), Just(ListValidity::Expired)],
