--- a/control/src/list_status.rs
+++ b/control/src/list_status.rs
@@ -91,8 +91,8 @@
 /// Tracks the state of one dispatcher's list.
 #[derive(Clone, Debug)]
 pub struct ListStatus {
-    /// Validity of the list after each request that could be issued, if an agent on this machine is asked: the agent is
-    /// silent only while there is no change.
+    /// Validity of the list after each request that could be issued, if an agent on this machine is asked: the
+    /// agent is silent only while there is no change.
     validity_after_call: Option<Millis>,
     /// When discovery last answered.
     confirmed_at: Option<Millis>,
--- a/control/src/load_gossip.rs
+++ b/control/src/load_gossip.rs
@@ -131,8 +131,8 @@
 #[derive(Debug, Default)]
 struct Peer {
     sequence: u8,
-    at: Millis,
-    out: Vec<(Tag, u8)>,
+    received_at: Millis,
+    in_flight: Vec<(Tag, u8)>,
 }
 
 /// The last peer that reported a refused or failed job at a worker, when that report expires, and whether two
@@ -163,11 +163,14 @@
         let peer = self.peers.entry(number).or_default();
         // Sequence numbers wrap at 16: an earlier one shortly after a newer one was reordered.
         let ahead = report.sequence.wrapping_sub(peer.sequence) & 15;
-        if now.saturating_sub(peer.at) < REORDER_WINDOW && peer.at > 0 && (ahead > 8 || ahead == 0) {
+        if now.saturating_sub(peer.received_at) < REORDER_WINDOW
+            && peer.received_at > 0
+            && (ahead > 8 || ahead == 0)
+        {
             return;
         }
-        let before = std::mem::replace(&mut peer.out, report.in_flight.clone());
-        (peer.sequence, peer.at) = (report.sequence, now.max(1));
+        let before = std::mem::replace(&mut peer.in_flight, report.in_flight.clone());
+        (peer.sequence, peer.received_at) = (report.sequence, now.max(1));
         self.subtract(&before);
         for (tag, out) in &report.in_flight {
             *self.sums.entry(*tag).or_default() += u32::from(*out);
@@ -186,8 +189,9 @@
     fn sweep(&mut self, now: Millis) {
         self.last_sweep = now;
         self.refused.retain(|_, r| now < r.expires_at);
-        let expired_peers = self.peers.values_mut().filter(|p| now >= p.at + REPORT_TTL && !p.out.is_empty());
-        let expired: Vec<(Tag, u8)> = expired_peers.flat_map(|p| std::mem::take(&mut p.out)).collect();
+        let expired_peers =
+            self.peers.values_mut().filter(|p| now >= p.received_at + REPORT_TTL && !p.in_flight.is_empty());
+        let expired: Vec<(Tag, u8)> = expired_peers.flat_map(|p| std::mem::take(&mut p.in_flight)).collect();
         self.subtract(&expired);
     }
 
@@ -212,7 +216,7 @@
     ) -> (Vec<(Tag, u32)>, Vec<Tag>) {
         let own = self.peers.get(&querier);
         let own = |tag: Tag| -> u32 {
-            let own = own.iter().flat_map(|p| &p.out).filter(|(t, _)| *t == tag);
+            let own = own.iter().flat_map(|p| &p.in_flight).filter(|(t, _)| *t == tag);
             own.map(|(_, out)| u32::from(*out)).sum()
         };
         let sums = self.sums.iter().filter(|(tag, _)| includes(**tag));
