--- a/control/src/list_status.rs
+++ b/control/src/list_status.rs
@@ -99,7 +99,7 @@
     /// End of the list's validity, if it was ever confirmed.
     valid_until: Millis,
     /// State as of the last event.
-    last: ListState,
+    last_state: ListState,
     /// No other event has occurred since the last answer.
     last_event_was_answer: bool,
     /// When a peer last reported an answer from discovery.
@@ -124,7 +124,7 @@
             validity_after_call: None,
             confirmed_at: None,
             valid_until: 0,
-            last: ListState::Unconfirmed,
+            last_state: ListState::Unconfirmed,
             last_event_was_answer: false,
             peer_answered_at: None,
             service_time: ServiceTimeEstimate::for_tier(1),
@@ -142,12 +142,12 @@
 
     /// A list that never changes.
     pub fn fixed() -> Self {
-        let last = ListState::Confirmed;
+        let last_state = ListState::Confirmed;
         ListStatus {
             validity_after_call: Some(Millis::MAX),
             confirmed_at: Some(0),
             valid_until: Millis::MAX,
-            last,
+            last_state,
             last_event_was_answer: false,
             peer_answered_at: None,
             service_time: ServiceTimeEstimate::for_tier(1),
@@ -158,7 +158,7 @@
     /// Discovery has answered with its list, or that nothing has changed.
     pub fn answered(&mut self, now: Millis) {
         self.confirmed_at = Some(now);
-        self.last = ListState::Confirmed;
+        self.last_state = ListState::Confirmed;
         self.last_event_was_answer = true;
         self.valid_until = self.valid_until_after(now, UNCONFIRMED_VALIDITY);
     }
@@ -185,7 +185,7 @@
         if !std::mem::take(&mut self.last_event_was_answer) || since_answer > WATCH_CONTINUES_WITHIN {
             return;
         }
-        self.last = ListState::Watched;
+        self.last_state = ListState::Watched;
         self.valid_until = self.valid_until.max(self.valid_until_after(now, wait + WATCH_SILENCE_GRACE));
     }
 
@@ -197,18 +197,18 @@
         if now >= self.valid_until && !agent_is_silent {
             return;
         }
-        let watched = self.last == ListState::Watched;
+        let watched = self.last_state == ListState::Watched;
         let later = self.valid_until_after(now, UNCONFIRMED_VALIDITY);
-        self.last = ListState::Confirmed;
+        self.last_state = ListState::Confirmed;
         match failure {
             CallFailure::Unreachable => {
                 // Changes that discovery cannot publish to anyone count from its return.
-                self.last = ListState::Unreachable;
+                self.last_state = ListState::Unreachable;
                 self.valid_until = later;
             }
             // An established watch would have reported any change up to this point.
             CallFailure::TurnedAway if watched || !self.may_be_congested(now) => {
-                self.last = ListState::TurnedAway;
+                self.last_state = ListState::TurnedAway;
                 self.valid_until = later;
             }
             CallFailure::Unreadable if watched => self.valid_until = self.valid_until.min(later),
@@ -226,7 +226,7 @@
     pub fn peer_answered(&mut self, now: Millis, received_at: Millis, has_newer: bool) -> bool {
         self.peer_answered_at = Some(now);
         let until = received_at + NEWER_LIST_VALIDITY;
-        let is_shortened = has_newer && self.last == ListState::TurnedAway && until < self.valid_until;
+        let is_shortened = has_newer && self.last_state == ListState::TurnedAway && until < self.valid_until;
         if is_shortened {
             self.valid_until = until;
         }
@@ -249,7 +249,7 @@
     /// Discovery has moved; which changes the new instance will publish is not known yet.
     pub fn moved(&mut self, now: Millis) {
         self.last_event_was_answer = false;
-        self.last = ListState::Confirmed;
+        self.last_state = ListState::Confirmed;
         self.valid_until = self.valid_until.min(now + VALIDITY_AFTER_MOVE);
     }
 
@@ -258,7 +258,7 @@
         match self.confirmed_at {
             None => ListState::Unconfirmed,
             Some(_) if now >= self.valid_until => ListState::Expired,
-            Some(_) => self.last,
+            Some(_) => self.last_state,
         }
     }
 
--- a/control/src/peers/gossip.rs
+++ b/control/src/peers/gossip.rs
@@ -14,7 +14,7 @@
 
 use super::datagram::{Datagram, OpenError, MAX_PAYLOAD};
 use super::keys::KeyRing;
-use super::replay::Window;
+use super::replay::ReplayWindow;
 use crate::discovery_report::DiscoveryReport;
 use crate::overrides::{decode, encode, Merged, Record, Table};
 use crate::Millis;
@@ -82,7 +82,7 @@
     demand: u64,
     echo: u64,
     session: Option<u64>,
-    window: Window,
+    window: ReplayWindow,
     sent: u32,
     greeted_at: Option<Millis>,
 }
@@ -156,7 +156,7 @@
         for &addr in peers {
             if gossip.peer_indices.insert(addr, gossip.peers.len()).is_none() {
                 let demand = gossip.rng.random_range(1..=u64::MAX);
-                let window = Window::default();
+                let window = ReplayWindow::default();
                 let peer = Peer { addr, demand, echo: 0, session: None, window, sent: 0, greeted_at: None };
                 gossip.peers.push(peer);
             }
@@ -260,7 +260,7 @@
             // A new session of the peer: datagrams of earlier sessions must no longer be accepted.
             let new_demand = self.rng.random_range(1..=u64::MAX);
             (peer.session, peer.window, peer.demand) =
-                (Some(datagram.session), Window::default(), new_demand);
+                (Some(datagram.session), ReplayWindow::default(), new_demand);
         }
         if !peer.window.accept(datagram.number) {
             self.counts.replayed += 1;
--- a/control/src/peers/replay.rs
+++ b/control/src/peers/replay.rs
@@ -2,13 +2,13 @@
 
 /// Remembers the last 64 sequence numbers. Older ones count as already received.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Window {
+pub struct ReplayWindow {
     highest: u32,
     /// Bit i: `highest - i` has been received.
     received: u64,
 }
 
-impl Window {
+impl ReplayWindow {
     /// Records a number; false if it was received before, or is too old to tell.
     pub fn accept(&mut self, number: u32) -> bool {
         if number > self.highest {
@@ -31,7 +31,7 @@
 
     #[test]
     fn each_number_is_accepted_once_in_any_order() {
-        let mut window = Window::default();
+        let mut window = ReplayWindow::default();
         for number in [1, 3, 2, 70, 10, 69, 200] {
             assert!(window.accept(number), "{number}");
         }
