--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -29,7 +29,7 @@
 }
 
 #[derive(Deserialize)]
-struct RawSettings {
+struct Raw {
     #[serde(default)]
     azs: Vec<String>,
     #[serde(default)]
@@ -205,7 +205,7 @@
 /// Parses and validates the settings; an error names the key.
 pub fn parse(text: &str) -> Result<PlatformSettings, String> {
     let mut json = serde_json::Deserializer::from_str(text);
-    let raw: RawSettings = serde_path_to_error::deserialize(&mut json).map_err(|e| {
+    let raw: Raw = serde_path_to_error::deserialize(&mut json).map_err(|e| {
         let path = e.path().to_string();
         format!("setting {path}: {}", e.into_inner())
     })?;
