--- a/control/src/admin_console.rs
+++ b/control/src/admin_console.rs
@@ -1,49 +1,50 @@
-//! The protocol of the line-protocol admin console: one command a connection, one line each way. A command is a line of
-//! text; the answer begins with `OK` or `ERR`. This parses commands and knows no sockets or time.
+//! Protocol of the line-based admin console: one command per connection, one line in each direction. A
+//! command is a line of text; the answer begins with `OK` or `ERR`. This module only parses commands.
 //!
-//! Refused are: lines that never end (a bound in bytes), bytes that are not text, arguments beyond those that a command
-//! takes, and names that no override could hold.
+//! Rejected are lines that exceed the size limit, bytes that are not UTF-8 text, surplus arguments, and names
+//! that are too long for an override.
 
-use crate::overrides::LONGEST_NAME;
+use crate::overrides::MAX_NAME_LEN;
 
-/// A command line holds so many bytes at most, its end of line included.
+/// Maximum length of a command line in bytes, including the line terminator.
 pub const MAX_LINE: usize = 256;
 
-/// A command of an operator.
+/// An operator's command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Whether this process can serve.
+    /// Asks whether this process can serve requests.
     Health,
-    /// Nothing new goes to this worker until it is uncordoned.
+    /// Excludes a worker from new jobs until it is uncordoned.
     Cordon(String),
-    /// The worker may serve again.
+    /// Makes a worker eligible for jobs again.
     Uncordon(String),
 }
 
-/// What the bytes received so far amount to.
+/// Result of parsing the bytes received so far.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Parsed {
-    /// No end of line yet, and there is room for more.
-    More,
-    /// A whole line, parsed as a command, or the reason why it is none.
-    Whole(Result<Command, String>),
+    /// The line is incomplete and below the size limit.
+    Incomplete,
+    /// A complete line: the command, or the reason why it is invalid.
+    Complete(Result<Command, String>),
 }
 
-/// Parses what has come on a connection so far. Bytes after the first end of line are not looked at.
+/// Parses the bytes received on a connection so far. Bytes after the first line are ignored.
 pub fn parse(bytes: &[u8]) -> Parsed {
     match bytes.iter().position(|b| *b == b'\n') {
-        Some(end) => Parsed::Whole(parse_line(&bytes[..end])),
+        Some(end) => Parsed::Complete(parse_line(&bytes[..end])),
         None if bytes.len() >= MAX_LINE => {
-            Parsed::Whole(Err(format!("the line is longer than {MAX_LINE} bytes")))
+            Parsed::Complete(Err(format!("the line is longer than {MAX_LINE} bytes")))
         }
-        None => Parsed::More,
+        None => Parsed::Incomplete,
     }
 }
 
-/// Parses one line, its end of line taken away.
+/// Parses one line without its terminator.
 ///
 /// # Errors
-/// A reason that can follow `ERR`: the line is empty, not text, or no known command.
+///
+/// The reason to send after `ERR`: the line is empty, not text, or not a known command.
 fn parse_line(line: &[u8]) -> Result<Command, String> {
     let line = line.strip_suffix(b"\r").unwrap_or(line);
     let text = std::str::from_utf8(line).map_err(|_| "the line is not UTF-8 text".to_owned())?;
@@ -51,10 +52,10 @@
         return Err("the line holds control characters".into());
     }
     let words: Vec<&str> = text.split_whitespace().collect();
-    let worker = |call: &str| match words.as_slice() {
-        [_, id] if id.len() <= LONGEST_NAME => Ok(id.to_string()),
-        [_, _] => Err(format!("{call} ID: the id is longer than {LONGEST_NAME} bytes")),
-        _ => Err(format!("{call} takes one worker id: {call} ID")),
+    let worker = |command: &str| match words.as_slice() {
+        [_, id] if id.len() <= MAX_NAME_LEN => Ok(id.to_string()),
+        [_, _] => Err(format!("{command} ID: the id is longer than {MAX_NAME_LEN} bytes")),
+        _ => Err(format!("{command} takes one worker id: {command} ID")),
     };
     match words.first().map(|w| w.to_ascii_lowercase()).as_deref() {
         None => Err("the line is empty; calls are health, cordon ID, uncordon ID".into()),
@@ -72,22 +73,22 @@
 
     #[test]
     fn commands_are_parsed() {
-        assert_eq!(parse(b"health\n"), Parsed::Whole(Ok(Command::Health)));
-        assert_eq!(parse(b"cordon w-1\r\n"), Parsed::Whole(Ok(Command::Cordon("w-1".into()))));
-        assert_eq!(parse(b"UNCORDON  w-1 \nmore"), Parsed::Whole(Ok(Command::Uncordon("w-1".into()))));
-        assert_eq!(parse(b"cord"), Parsed::More);
+        assert_eq!(parse(b"health\n"), Parsed::Complete(Ok(Command::Health)));
+        assert_eq!(parse(b"cordon w-1\r\n"), Parsed::Complete(Ok(Command::Cordon("w-1".into()))));
+        assert_eq!(parse(b"UNCORDON  w-1 \nmore"), Parsed::Complete(Ok(Command::Uncordon("w-1".into()))));
+        assert_eq!(parse(b"cord"), Parsed::Incomplete);
     }
 
     #[test]
-    fn bad_lines_are_refused_with_a_reason() {
+    fn invalid_lines_are_rejected_with_a_reason() {
         for line in
             [&b"\n"[..], b"  \r\n", b"dance\n", b"cordon\n", b"cordon a b\n", b"health x\n", b"\xff\xfe\n"]
         {
-            assert!(matches!(parse(line), Parsed::Whole(Err(_))), "{line:?}");
+            assert!(matches!(parse(line), Parsed::Complete(Err(_))), "{line:?}");
         }
         let long = vec![b'a'; MAX_LINE];
-        assert!(matches!(parse(&long), Parsed::Whole(Err(_))));
-        let name = format!("cordon {}\n", "w".repeat(LONGEST_NAME + 1));
-        assert!(matches!(parse(name.as_bytes()), Parsed::Whole(Err(_))));
+        assert!(matches!(parse(&long), Parsed::Complete(Err(_))));
+        let name = format!("cordon {}\n", "w".repeat(MAX_NAME_LEN + 1));
+        assert!(matches!(parse(name.as_bytes()), Parsed::Complete(Err(_))));
     }
 }
--- a/control/src/overrides/mod.rs
+++ b/control/src/overrides/mod.rs
@@ -1,7 +1,7 @@
-//! Overrides: what an operator sets beside the list of workers, for a stated time.
+//! Overrides: settings that an operator applies to workers, beside the worker list, for a limited time.
 //!
-//! [`Table`] holds them, merges what other dispatchers hold, and says what is in force. [`Record`] is one
-//! of them (or the clearing of one), with its bounded form on the wire.
+//! [`Table`] holds the overrides, merges those of other dispatchers, and determines which are in force. A
+//! [`Record`] is one override, or the clearing of one, and has an encoding of bounded size.
 
 mod clock;
 mod codec;
@@ -11,9 +11,9 @@
 
 pub use clock::{Clock, Stamp};
 pub use codec::{decode, encode, Malformed, MAX_RECORD};
-pub use log::{log_line, unhex, LogReader};
-pub use record::{Effect, Name, Record, Scope, Slot, Weight, LONGEST_NAME};
+pub use log::{decode_hex, log_line, LogReader};
+pub use record::{Effect, Name, Record, Scope, Slot, Weight, MAX_NAME_LEN};
 pub use table::{
-    record_fingerprint, Faulty, Forces, Line, Merged, Order, Pin, Standing, Table, FUTURE, HARD_LONGEST,
-    KEPT, MAX_SLOTS,
+    record_fingerprint, ActiveOverrides, InvalidRequest, Merged, OverrideEntry, OverrideRequest, Pin,
+    Standing, Table, MAX_FUTURE_SKEW, MAX_OVERRIDE_DURATION, MAX_SLOTS, RETENTION,
 };
--- a/control/src/overrides/table.rs
+++ b/control/src/overrides/table.rs
@@ -1,182 +1,183 @@
-//! All overrides that a dispatcher knows of, and their merge with what others know.
+//! All overrides known to a dispatcher, and their merge with those of other dispatchers.
 //!
-//! The table is a function of the set of records that have reached it, so dispatchers that have seen the same
-//! hold the same, in whatever order and however often it came: in each slot the records from the latest
-//! clearing on, of these the latest [`MAX_IN_SLOT`], by stamp. The latest alone is in force. It stays for
-//! [`KEPT`] after it was written, its end notwithstanding: until then something that it replaced might still
-//! arrive, and must find itself replaced. Records leave in the order of their stamps, so no older one can take
-//! the place of a newer one that has left.
+//! The table is a function of the set of records received, regardless of their order and of duplicates, so
+//! dispatchers that received the same records hold the same table. Each slot keeps the records from the
+//! latest clear on, limited to the latest [`MAX_IN_SLOT`] by stamp; only the latest is in force. A record is
+//! kept for [`RETENTION`] after it was written, even if the override has expired: until then, a record that
+//! it replaced may still arrive and must be superseded. Records are dropped in the order of their stamps, so
+//! an older record cannot take the place of a newer one that was dropped.
 
 use super::clock::{Clock, Stamp};
 use super::codec::{encode, MAX_RECORD};
-use super::record::{Effect, Name, Record, Scope, Slot, Weight, LONGEST_NAME};
+use super::record::{Effect, Name, Record, Scope, Slot, Weight, MAX_NAME_LEN};
 use crate::{fingerprint, Millis};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use thiserror::Error;
 
-/// No override may last longer, whatever is configured: 72 hours, a week-end.
-pub const HARD_LONGEST: Millis = 72 * 3_600_000;
-/// A record written so far in the future is not taken: the clock of its writer is wrong, and nothing that is
-/// written here could replace it.
-pub const FUTURE: Millis = 60_000;
-/// How long after its writing a record is kept: nothing written before it can be in force any more.
-pub const KEPT: Millis = HARD_LONGEST + 2 * FUTURE;
-/// Slots that are remembered. More are refused.
+/// Upper limit of the duration of an override, whatever is configured: 72 hours, to cover a weekend.
+pub const MAX_OVERRIDE_DURATION: Millis = 72 * 3_600_000;
+/// A record further in the future than this is rejected: the clock of its writer is wrong, and no local write
+/// could replace the record.
+pub const MAX_FUTURE_SKEW: Millis = 60_000;
+/// How long a record is kept after it was written. After that, no earlier record can be in force.
+pub const RETENTION: Millis = MAX_OVERRIDE_DURATION + 2 * MAX_FUTURE_SKEW;
+/// Maximum number of slots; writes to further slots are rejected.
 pub const MAX_SLOTS: usize = 2048;
-/// Records of a slot that are remembered: the one in force and those it has beaten.
+/// Maximum number of records per slot: the one in force and those it superseded.
 pub const MAX_IN_SLOT: usize = 4;
 
-/// An order that can't be followed: which field of it, and why.
+/// A request that cannot be carried out: the offending field and the reason.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{field}: {reason}")]
-pub struct Faulty {
-    /// The field, as the command line and the admin listener name it.
+pub struct InvalidRequest {
+    /// The field, as named by the command line and the admin listener.
     pub field: &'static str,
-    /// What is wrong with it and what would be right.
+    /// What is wrong with the field, and what is accepted.
     pub reason: String,
 }
 
-fn faulty<T>(field: &'static str, reason: impl Into<String>) -> Result<T, Faulty> {
-    Err(Faulty { field, reason: reason.into() })
+fn invalid<T>(field: &'static str, reason: impl Into<String>) -> Result<T, InvalidRequest> {
+    Err(InvalidRequest { field, reason: reason.into() })
 }
 
-/// What an operator wants set.
+/// An operator's request to set an override.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Order {
-    /// Where.
+pub struct OverrideRequest {
+    /// The slot to set.
     pub slot: Slot,
-    /// To what, where the slot is one of a weight.
+    /// The weight, if the scope of the slot is [`Scope::Weight`].
     pub weight: Option<f64>,
-    /// When it ends.
+    /// End of the override.
     pub until: Millis,
-    /// Who wants it.
+    /// Name of the operator.
     pub by: String,
-    /// Why.
+    /// Reason for the override.
     pub why: String,
 }
 
-/// What became of a record that came from elsewhere.
+/// Result of merging a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Merged {
-    /// It was unknown and is kept.
+    /// The record was unknown and has been stored.
     New,
-    /// It was known, or what is known has made it void.
+    /// The record is already known, or superseded by a known one.
     Known,
-    /// It is past being kept, or lasts longer than anything may.
+    /// The record is older than [`RETENTION`], or lasts longer than any override may.
     Stale,
-    /// It was written in the future: a clock is wrong.
+    /// The record's timestamp is in the future: a clock is wrong.
     Future,
-    /// Too many slots are known already.
+    /// The maximum number of slots is reached.
     Full,
 }
 
-/// Where a pin sends flows.
+/// Assignment of flows to a worker.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Pin {
-    /// Flows of this class.
+    /// Class of the flows.
     pub class: Name,
-    /// Of this tenant, or of all that have no pin of their own.
+    /// Tenant of the flows; `None` for all tenants without a pin of their own.
     pub tenant: Option<Name>,
-    /// Go to this worker.
+    /// The worker that receives the flows.
     pub worker: Name,
 }
 
-/// What is in force: all that decisions need to know.
+/// The overrides in force, as needed for decisions.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Forces {
-    /// Workers whose share is multiplied.
+pub struct ActiveOverrides {
+    /// Workers whose share is multiplied, and by what.
     pub weights: Vec<(Name, f64)>,
-    /// Workers that get nothing new.
-    pub out: Vec<Name>,
-    /// Pins, one for each class and tenant.
+    /// Workers that receive no new jobs.
+    pub out_of_service: Vec<Name>,
+    /// Pins, at most one per class and tenant.
     pub pins: Vec<Pin>,
 }
 
-/// How an override stands.
+/// State of an override.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It decides.
+    /// The override is in force.
     InForce,
-    /// It would, but the list has no such worker; a pin falls back to the ordinary path.
-    NoSuchWorker,
-    /// A pin to a worker that another override keeps out of service: it falls back to the ordinary path.
-    WorkerOut,
-    /// A later one has replaced it, for good.
-    Beaten {
-        /// The id of that one.
+    /// The worker is not in the worker list; a pin falls back to the normal choice.
+    UnknownWorker,
+    /// The worker of a pin is out of service by another override; the pin falls back to the normal choice.
+    WorkerOutOfService,
+    /// A later override has permanently replaced this one.
+    Superseded {
+        /// Id of the later override.
         id: String,
-        /// Who set that.
+        /// Operator who set the later override.
         by: Name,
-        /// When.
+        /// Time at which the later override was set.
         at: Millis,
     },
 }
 
-/// An override as it is shown.
+/// An override and its state, as shown to operators.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
-    /// What was set.
+pub struct OverrideEntry {
+    /// The record of the override.
     pub record: Arc<Record>,
-    /// How it stands.
+    /// State of the override.
     pub standing: Standing,
 }
 
-/// The overrides that this dispatcher knows of.
+/// The overrides known to one dispatcher.
 #[derive(Clone, Debug)]
 pub struct Table {
     clock: Clock,
     longest: Millis,
-    /// Latest first; never empty.
+    /// Records per slot, latest first; never empty.
     slots: BTreeMap<Slot, Vec<Arc<Record>>>,
-    /// All of them by fingerprint, for digests.
-    prints: BTreeMap<u64, Arc<Record>>,
-    /// Nothing that is remembered was written before.
+    /// All records by fingerprint, for digests.
+    by_fingerprint: BTreeMap<u64, Arc<Record>>,
+    /// Lower bound of the timestamps of all records.
     oldest: Millis,
     revision: u64,
 }
 
 impl Table {
-    /// An empty table of the dispatcher of that name. `longest` bounds what is set here; it is cut to
-    /// [`HARD_LONGEST`].
+    /// Creates an empty table for the dispatcher named `origin`. `longest` limits the duration of overrides
+    /// set here; it is capped at [`MAX_OVERRIDE_DURATION`].
     pub fn new(origin: &str, longest: Millis) -> Table {
         Table {
             clock: Clock::new(origin.into()),
-            longest: longest.min(HARD_LONGEST),
+            longest: longest.min(MAX_OVERRIDE_DURATION),
             slots: BTreeMap::new(),
-            prints: BTreeMap::new(),
+            by_fingerprint: BTreeMap::new(),
             oldest: Millis::MAX,
             revision: 0,
         }
     }
 
-    /// Grows with every change of what is remembered.
+    /// Increases with every change to the stored records.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The dispatcher whose table this is.
+    /// Name of the dispatcher that owns this table.
     pub fn origin(&self) -> &Name {
         self.clock.origin()
     }
 
-    /// The latest record of a slot, a clearing or one that has ended included.
+    /// The latest record of a slot, including a clear or an expired override.
     pub fn latest(&self, slot: &Slot) -> Option<Arc<Record>> {
-        self.slots.get(slot).and_then(|held| held.first()).cloned()
+        self.slots.get(slot).and_then(|records| records.first()).cloned()
     }
 
-    /// Everything that is remembered, by fingerprint.
-    pub fn prints(&self) -> &BTreeMap<u64, Arc<Record>> {
-        &self.prints
+    /// All stored records by fingerprint.
+    pub fn by_fingerprint(&self) -> &BTreeMap<u64, Arc<Record>> {
+        &self.by_fingerprint
     }
 
     /// Sets an override.
     ///
     /// # Errors
-    /// Names the field that can't be used; the table is as it was.
-    pub fn set(&mut self, order: Order, now: Millis) -> Result<Arc<Record>, Faulty> {
+    ///
+    /// Names the invalid field; the table is unchanged.
+    pub fn set(&mut self, request: OverrideRequest, now: Millis) -> Result<Arc<Record>, InvalidRequest> {
         self.purge(now);
-        let Order { slot, weight, until, by, why } = order;
+        let OverrideRequest { slot, weight, until, by, why } = request;
         check_name("worker", &slot.worker)?;
         if let Scope::Pinned { class, tenant } = &slot.scope {
             check_name("pin", class)?;
@@ -185,75 +186,84 @@
         let effect = match (&slot.scope, weight) {
             (Scope::Weight, Some(factor)) => match Weight::new(factor) {
                 Some(weight) => Effect::Set(Some(weight)),
-                None => return faulty("weight", format!("{factor} is not between 0.01 and 100")),
+                None => return invalid("weight", format!("{factor} is not between 0.01 and 100")),
             },
-            (Scope::Weight, None) => return faulty("weight", "is missing"),
-            (_, Some(_)) => return faulty("weight", format!("does not go with {}", slot.scope.word())),
+            (Scope::Weight, None) => return invalid("weight", "is missing"),
+            (_, Some(_)) => return invalid("weight", format!("does not go with {}", slot.scope.word())),
             (_, None) => Effect::Set(None),
         };
         check_name("by", &by)?;
         if why.trim().is_empty() || why.chars().any(char::is_control) {
-            return faulty("why", "must be a line of text");
+            return invalid("why", "must be a line of text");
         }
         if until <= now {
-            return faulty("until", "lies in the past; an override must end later than now");
+            return invalid("until", "lies in the past; an override must end later than now");
         }
         if until - now > self.longest {
-            let (asked, most) = (span(until - now), span(self.longest));
-            return faulty("until", format!("is {asked} away; the longest that is allowed is {most}"));
+            let (asked, most) = (format_duration(until - now), format_duration(self.longest));
+            return invalid("until", format!("is {asked} away; the longest that is allowed is {most}"));
         }
         self.write(slot, effect, until, by.into(), why.into(), now)
     }
 
-    /// Ends an override before its time, wherever it was set.
+    /// Clears an override before it expires, whichever dispatcher set it.
     ///
     /// # Errors
-    /// There is no such override in force; the table is as it was.
-    pub fn clear(&mut self, id: &str, by: &str, why: &str, now: Millis) -> Result<Arc<Record>, Faulty> {
+    ///
+    /// No such override is in force; the table is unchanged.
+    pub fn clear(
+        &mut self,
+        id: &str,
+        by: &str,
+        why: &str,
+        now: Millis,
+    ) -> Result<Arc<Record>, InvalidRequest> {
         self.purge(now);
         check_name("by", by)?;
         let Some(stamp) = Stamp::parse(id) else {
-            return faulty("id", format!("{id:?} is not the id of an override"));
+            return invalid("id", format!("{id:?} is not the id of an override"));
         };
-        let lasting = self.prints.values().filter(|r| r.stamp == stamp && r.lasts(now));
-        let found: Vec<Arc<Record>> = lasting.cloned().collect();
-        let record = match found.as_slice() {
-            [] => return faulty("id", format!("no override {id} is known here; it may have ended")),
+        let live = self.by_fingerprint.values().filter(|r| r.stamp == stamp && r.is_live(now));
+        let matching: Vec<Arc<Record>> = live.cloned().collect();
+        let record = match matching.as_slice() {
+            [] => return invalid("id", format!("no override {id} is known here; it may have ended")),
             [record] => record.clone(),
-            // Two processes of one dispatcher may write in one millisecond.
+            // Two processes of one dispatcher may write in the same millisecond.
             [first, ..] => {
                 let worker = &first.slot.worker;
-                return faulty(
+                return invalid(
                     "id",
                     format!("{id} is the id of several, one on {worker}; set it anew and clear that"),
                 );
             }
         };
-        let top = &self.slots[&record.slot][0];
-        if *top != record {
-            return faulty(
+        let latest_record = &self.slots[&record.slot][0];
+        if *latest_record != record {
+            return invalid(
                 "id",
-                format!("{id} is beaten already, by {}; that one can be cleared", top.stamp),
+                format!("{id} is beaten already, by {}; that one can be cleared", latest_record.stamp),
             );
         }
         self.write(record.slot.clone(), Effect::Clear, record.until, by.into(), why.into(), now)
     }
 
-    /// Ends whatever is in force in a slot, wherever it was set; nothing where nothing is.
+    /// Clears the override in force in a slot, whichever dispatcher set it; `None` if there is none.
     ///
     /// # Errors
-    /// Names the field that can't be used; the table is as it was.
+    ///
+    /// Names the invalid field; the table is unchanged.
     pub fn clear_slot(
         &mut self,
         slot: &Slot,
         by: &str,
         why: &str,
         now: Millis,
-    ) -> Result<Option<Arc<Record>>, Faulty> {
+    ) -> Result<Option<Arc<Record>>, InvalidRequest> {
         self.purge(now);
         check_name("by", by)?;
-        let top = self.slots.get(slot).and_then(|held| held.first()).filter(|r| r.lasts(now));
-        let Some(until) = top.map(|record| record.until) else { return Ok(None) };
+        let latest_record =
+            self.slots.get(slot).and_then(|records| records.first()).filter(|r| r.is_live(now));
+        let Some(until) = latest_record.map(|record| record.until) else { return Ok(None) };
         self.write(slot.clone(), Effect::Clear, until, by.into(), why.into(), now).map(Some)
     }
 
@@ -265,9 +275,9 @@
         by: Name,
         why: Name,
         now: Millis,
-    ) -> Result<Arc<Record>, Faulty> {
+    ) -> Result<Arc<Record>, InvalidRequest> {
         if self.slots.len() >= MAX_SLOTS && !self.slots.contains_key(&slot) {
-            return faulty(
+            return invalid(
                 "worker",
                 format!("{MAX_SLOTS} slots are in use, ended ones included; none is free"),
             );
@@ -277,7 +287,7 @@
         let size = encode(&record).len();
         if size > MAX_RECORD {
             let over = size - MAX_RECORD;
-            return faulty("why", format!("is too long: all texts together hold {over} bytes too many"));
+            return invalid("why", format!("is too long: all texts together hold {over} bytes too many"));
         }
         self.clock.next(now);
         let record = Arc::new(record);
@@ -285,26 +295,28 @@
         Ok(record)
     }
 
-    /// Takes in a record from another dispatcher.
+    /// Merges a record from another dispatcher.
     pub fn merge(&mut self, record: Record, now: Millis) -> Merged {
-        if record.stamp.wall > now + FUTURE {
+        if record.stamp.wall > now + MAX_FUTURE_SKEW {
             return Merged::Future;
         }
         self.restore(record, now)
     }
 
-    /// Takes in a record of this dispatcher's own: from before a restart, or from another process of it. It is on this machine
-    /// that it was written, so one that seems to come from the future says that the clock was set back since.
+    /// Merges a record of this dispatcher, from before a restart or from another of its processes. It was
+    /// written on this machine, so a timestamp in the future means that the clock has been set back.
     pub fn restore(&mut self, record: Record, now: Millis) -> Merged {
         self.purge(now);
         let wall = record.stamp.wall;
-        if wall + KEPT <= now || record.until > wall.saturating_add(HARD_LONGEST + FUTURE) {
+        if wall + RETENTION <= now
+            || record.until > wall.saturating_add(MAX_OVERRIDE_DURATION + MAX_FUTURE_SKEW)
+        {
             return Merged::Stale;
         }
         if self.slots.len() >= MAX_SLOTS && !self.slots.contains_key(&record.slot) {
             return Merged::Full;
         }
-        self.clock.seen(&record.stamp);
+        self.clock.observe(&record.stamp);
         match self.insert(Arc::new(record)) {
             true => Merged::New,
             false => Merged::Known,
@@ -312,48 +324,48 @@
     }
 
     fn insert(&mut self, record: Arc<Record>) -> bool {
-        let held = self.slots.entry(record.slot.clone()).or_default();
-        // By the whole record: a clock set back before a restart may have given a stamp twice.
-        let at = held.partition_point(|r| **r > *record);
-        let known = held.get(at).is_some_and(|r| *r == record);
-        let void = held[..at].iter().any(|r| r.effect == Effect::Clear);
-        if known || void || at >= MAX_IN_SLOT {
+        let records = self.slots.entry(record.slot.clone()).or_default();
+        // Compares whole records: a clock set back before a restart may have issued a stamp twice.
+        let at = records.partition_point(|r| **r > *record);
+        let known = records.get(at).is_some_and(|r| *r == record);
+        let cleared_later = records[..at].iter().any(|r| r.effect == Effect::Clear);
+        if known || cleared_later || at >= MAX_IN_SLOT {
             return false;
         }
-        held.insert(at, record.clone());
-        let cleared = held.iter().position(|r| r.effect == Effect::Clear).map_or(usize::MAX, |at| at + 1);
-        for gone in held.split_off(cleared.min(MAX_IN_SLOT).min(held.len())) {
-            self.prints.remove(&record_fingerprint(&gone));
+        records.insert(at, record.clone());
+        let cleared = records.iter().position(|r| r.effect == Effect::Clear).map_or(usize::MAX, |at| at + 1);
+        for dropped in records.split_off(cleared.min(MAX_IN_SLOT).min(records.len())) {
+            self.by_fingerprint.remove(&record_fingerprint(&dropped));
         }
         self.oldest = self.oldest.min(record.stamp.wall);
-        self.prints.insert(record_fingerprint(&record), record);
+        self.by_fingerprint.insert(record_fingerprint(&record), record);
         self.revision += 1;
         true
     }
 
-    /// Forgets what was written so long ago that nothing it has replaced can still be in force.
+    /// Drops records so old that nothing they replaced can still be in force.
     pub fn purge(&mut self, now: Millis) {
-        if self.oldest.saturating_add(KEPT) > now {
+        if self.oldest.saturating_add(RETENTION) > now {
             return;
         }
-        let old = |r: &Arc<Record>| r.stamp.wall + KEPT <= now;
-        self.prints.retain(|_, r| !old(r));
-        self.slots.retain(|_, held| {
-            held.retain(|r| !old(r));
-            !held.is_empty()
+        let is_old = |r: &Arc<Record>| r.stamp.wall + RETENTION <= now;
+        self.by_fingerprint.retain(|_, r| !is_old(r));
+        self.slots.retain(|_, records| {
+            records.retain(|r| !is_old(r));
+            !records.is_empty()
         });
-        self.oldest = self.prints.values().map(|r| r.stamp.wall).min().unwrap_or(Millis::MAX);
+        self.oldest = self.by_fingerprint.values().map(|r| r.stamp.wall).min().unwrap_or(Millis::MAX);
         self.revision += 1;
     }
 
-    fn tops(&self, now: Millis) -> impl Iterator<Item = &Arc<Record>> {
-        self.slots.values().filter_map(|held| held.first()).filter(move |r| r.lasts(now))
+    fn live_latest(&self, now: Millis) -> impl Iterator<Item = &Arc<Record>> {
+        self.slots.values().filter_map(|records| records.first()).filter(move |r| r.is_live(now))
     }
 
-    /// The pin that decides for its class and tenant: the latest, whatever its worker.
+    /// The pin in force for each class and tenant: the latest, whichever worker it names.
     fn pins(&self, now: Millis) -> BTreeMap<(&Name, Option<&Name>), &Arc<Record>> {
         let mut pins: BTreeMap<_, &Arc<Record>> = BTreeMap::new();
-        for record in self.tops(now) {
+        for record in self.live_latest(now) {
             if let Scope::Pinned { class, tenant } = &record.slot.scope {
                 let pin = pins.entry((class, tenant.as_ref())).or_insert(record);
                 *pin = (*pin).max(record);
@@ -362,79 +374,81 @@
         pins
     }
 
-    /// What is in force at this moment.
-    pub fn forces(&self, now: Millis) -> Forces {
-        let mut forces = Forces::default();
-        for record in self.tops(now) {
+    /// The overrides in force at `now`.
+    pub fn active(&self, now: Millis) -> ActiveOverrides {
+        let mut active = ActiveOverrides::default();
+        for record in self.live_latest(now) {
             let worker = record.slot.worker.clone();
             match (&record.slot.scope, record.effect) {
-                (Scope::Weight, Effect::Set(Some(weight))) => forces.weights.push((worker, weight.factor())),
-                (Scope::OutOfService, _) => forces.out.push(worker),
+                (Scope::Weight, Effect::Set(Some(weight))) => active.weights.push((worker, weight.factor())),
+                (Scope::OutOfService, _) => active.out_of_service.push(worker),
                 _ => {}
             }
         }
-        forces.pins = (self.pins(now).into_iter())
+        active.pins = (self.pins(now).into_iter())
             .map(|((class, tenant), record)| Pin {
                 class: class.clone(),
                 tenant: tenant.cloned(),
                 worker: record.slot.worker.clone(),
             })
             .collect();
-        forces
+        active
     }
 
-    /// When what is in force changes by itself next, if it does.
-    pub fn next_end(&self, now: Millis) -> Option<Millis> {
-        self.tops(now).map(|r| r.until).min()
+    /// When the next override in force expires, if any.
+    pub fn next_expiry(&self, now: Millis) -> Option<Millis> {
+        self.live_latest(now).map(|r| r.until).min()
     }
 
-    /// All overrides that have not ended or been cleared, beaten ones included, and how they stand. `listed`
-    /// tells whether the list has a worker.
-    pub fn lines(&self, now: Millis, listed: impl Fn(&str) -> bool) -> Vec<Line> {
+    /// All overrides that have neither expired nor been cleared, including superseded ones, with their state.
+    /// `listed` tells whether a worker is in the worker list.
+    pub fn entries(&self, now: Millis, listed: impl Fn(&str) -> bool) -> Vec<OverrideEntry> {
         let pins = self.pins(now);
-        let out = |worker: &Name| {
+        let is_out_of_service = |worker: &Name| {
             let slot = Slot { worker: worker.clone(), scope: Scope::OutOfService };
-            self.slots.get(&slot).is_some_and(|held| held[0].lasts(now))
+            self.slots.get(&slot).is_some_and(|records| records[0].is_live(now))
         };
-        let beaten = |top: &Record| Standing::Beaten {
-            id: top.stamp.to_string(),
-            by: top.by.clone(),
-            at: top.stamp.wall,
+        let superseded = |latest_record: &Record| Standing::Superseded {
+            id: latest_record.stamp.to_string(),
+            by: latest_record.by.clone(),
+            at: latest_record.stamp.wall,
         };
-        let mut lines = Vec::new();
-        for held in self.slots.values() {
-            let top = &held[0];
-            for record in held.iter().filter(|r| r.lasts(now)) {
+        let mut entries = Vec::new();
+        for records in self.slots.values() {
+            let latest_record = &records[0];
+            for record in records.iter().filter(|r| r.is_live(now)) {
                 let standing = match &record.slot.scope {
-                    _ if record != top => beaten(top),
+                    _ if record != latest_record => superseded(latest_record),
                     Scope::Pinned { class, tenant } if pins[&(class, tenant.as_ref())] != record => {
-                        beaten(pins[&(class, tenant.as_ref())])
+                        superseded(pins[&(class, tenant.as_ref())])
+                    }
+                    _ if !listed(&record.slot.worker) => Standing::UnknownWorker,
+                    Scope::Pinned { .. } if is_out_of_service(&record.slot.worker) => {
+                        Standing::WorkerOutOfService
                     }
-                    _ if !listed(&record.slot.worker) => Standing::NoSuchWorker,
-                    Scope::Pinned { .. } if out(&record.slot.worker) => Standing::WorkerOut,
                     _ => Standing::InForce,
                 };
-                lines.push(Line { record: record.clone(), standing });
+                entries.push(OverrideEntry { record: record.clone(), standing });
             }
         }
-        lines
+        entries
     }
 }
 
-/// The digest of a record by which [`Table::prints`] has it.
+/// Fingerprint of a record, the key of [`Table::by_fingerprint`].
 pub fn record_fingerprint(record: &Record) -> u64 {
     fingerprint(&encode(record))
 }
 
-fn check_name(field: &'static str, name: &str) -> Result<(), Faulty> {
-    match (1..=LONGEST_NAME).contains(&name.len()) && !name.chars().any(char::is_control) {
+fn check_name(field: &'static str, name: &str) -> Result<(), InvalidRequest> {
+    match (1..=MAX_NAME_LEN).contains(&name.len()) && !name.chars().any(char::is_control) {
         true => Ok(()),
-        false => faulty(field, format!("{name:?} is not a name of 1 to {LONGEST_NAME} bytes")),
+        false => invalid(field, format!("{name:?} is not a name of 1 to {MAX_NAME_LEN} bytes")),
     }
 }
 
-/// A span in words, to the minute or, under one, to the second.
-fn span(millis: Millis) -> String {
+/// Formats a duration, to the minute or, below one minute, to the second.
+fn format_duration(millis: Millis) -> String {
     let (hours, minutes, seconds) = (millis / 3_600_000, millis / 60_000 % 60, millis / 1000 % 60);
     match (hours, minutes) {
         (0, 0) => format!("{seconds} s"),
--- a/control/src/peers/datagram.rs
+++ b/control/src/peers/datagram.rs
@@ -1,55 +1,56 @@
-//! A datagram between dispatchers. Big endian:
+//! Datagrams between dispatchers. Big endian:
 //!
-//! | bytes | holds |
+//! | bytes | content |
 //! | --- | --- |
 //! | 0 | `L` |
 //! | 1 | 1, the version |
-//! | 2 | what the payload is |
-//! | 3–10 | session: drawn at the sender's start |
-//! | 11–18 | echo: the token that the receiver last demanded of the sender; 0: none is known |
-//! | 19–26 | demand: the token that the sender wants echoed |
-//! | 27–30 | number: from 1, one up with each datagram of the session to this receiver |
+//! | 2 | kind of the payload |
+//! | 3–10 | session: random, chosen when the sender starts |
+//! | 11–18 | echo: the last token that the receiver demanded from the sender; 0 if none is known |
+//! | 19–26 | demand: the token that the receiver has to echo |
+//! | 27–30 | number: from 1, incremented with each datagram of the session to this receiver |
 //! | 31– | payload |
-//! | last 16 | tag: keyed BLAKE3 of all before it, cut to 16 bytes |
+//! | last 16 | tag: keyed BLAKE3 of everything before it, truncated to 16 bytes |
 
 use super::keys::KeyRing;
 
-/// A datagram holds so many bytes at most, by the platform's word.
+/// Maximum size of a datagram in bytes, as specified by the platform.
 pub const MAX_DATAGRAM: usize = 256;
-const HEAD: usize = 31;
-const TAG: usize = 16;
-/// What is left for the payload.
-pub const MAX_PAYLOAD: usize = MAX_DATAGRAM - HEAD - TAG;
+const HEADER_SIZE: usize = 31;
+const TAG_SIZE: usize = 16;
+/// Maximum size of the payload.
+pub const MAX_PAYLOAD: usize = MAX_DATAGRAM - HEADER_SIZE - TAG_SIZE;
 const MAGIC: [u8; 2] = [b'L', 1];
 
-/// A datagram, opened or about to be sealed.
+/// The content of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sealed {
-    /// What the payload is.
+pub struct Datagram {
+    /// Kind of the payload.
     pub kind: u8,
-    /// The sender's session.
+    /// Session of the sender.
     pub session: u64,
-    /// What the sender was last told to echo.
+    /// The last token that the receiver demanded.
     pub echo: u64,
-    /// What the receiver is to echo.
+    /// The token that the receiver has to echo.
     pub demand: u64,
-    /// Tells repeats.
+    /// Sequence number, to detect replays.
     pub number: u32,
-    /// What it carries.
+    /// The payload.
     pub payload: Vec<u8>,
 }
 
-/// Why bytes are no datagram of ours.
+/// Why bytes were not accepted as a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unopened {
-    /// Too short, too long, or of another form or version.
+pub enum OpenError {
+    /// Wrong size, format or version.
     Malformed,
-    /// The tag is wrong: another key, or somebody changed it.
+    /// The authentication tag does not match: another key, or a modified datagram.
     Unauthentic,
 }
 
-impl Sealed {
-    /// The bytes to send. A payload over [`MAX_PAYLOAD`] is the caller's fault and is cut.
+impl Datagram {
+    /// Encodes and authenticates the datagram. The caller must keep the payload within [`MAX_PAYLOAD`]; a
+    /// longer one is truncated.
     pub fn seal(&self, keys: &KeyRing) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(MAX_DATAGRAM);
         bytes.extend_from_slice(&MAGIC);
@@ -64,24 +65,25 @@
         bytes
     }
 
-    /// Reads bytes that came, if they are authentic.
-    pub fn open(bytes: &[u8], keys: &KeyRing) -> Result<Sealed, Unopened> {
-        if !(HEAD + TAG..=MAX_DATAGRAM).contains(&bytes.len()) || bytes[..2] != MAGIC {
-            return Err(Unopened::Malformed);
+    /// Decodes received bytes if they are authentic.
+    pub fn open(bytes: &[u8], keys: &KeyRing) -> Result<Datagram, OpenError> {
+        if !(HEADER_SIZE + TAG_SIZE..=MAX_DATAGRAM).contains(&bytes.len()) || bytes[..2] != MAGIC {
+            return Err(OpenError::Malformed);
         }
-        let (said, tag) = bytes.split_at(bytes.len() - TAG);
-        if !keys.opens(said, tag.try_into().unwrap_or(&[0; TAG])) {
-            return Err(Unopened::Unauthentic);
+        let (authenticated, tag) = bytes.split_at(bytes.len() - TAG_SIZE);
+        if !keys.verifies(authenticated, tag.try_into().unwrap_or(&[0; TAG_SIZE])) {
+            return Err(OpenError::Unauthentic);
         }
-        let number =
-            |at: usize, length: usize| said[at..at + length].iter().fold(0, |n, b| n << 8 | u64::from(*b));
-        Ok(Sealed {
-            kind: said[2],
+        let number = |at: usize, length: usize| {
+            authenticated[at..at + length].iter().fold(0, |n, b| n << 8 | u64::from(*b))
+        };
+        Ok(Datagram {
+            kind: authenticated[2],
             session: number(3, 8),
             echo: number(11, 8),
             demand: number(19, 8),
             number: number(27, 4) as u32,
-            payload: said[HEAD..].to_vec(),
+            payload: authenticated[HEADER_SIZE..].to_vec(),
         })
     }
 }
--- a/control/src/peers/gossip.rs
+++ b/control/src/peers/gossip.rs
@@ -1,19 +1,20 @@
-//! The talk itself: who is told what, and what is believed.
+//! The gossip protocol: which peers receive what, and which datagrams are accepted.
 //!
-//! What is new is sent to a few peers at once and again in the next rounds. Beside that, each round a few
-//! peers are sent a digest of all that is remembered: 16 sums of fingerprints, by their first four bits. A
-//! peer that differs in one of them sends what it has there, if that is little, and asks for the rest; else
-//! the 16 sums of the next four bits. So a dispatcher that was cut off or restarted catches up, whatever was
-//! lost.
+//! A new record is sent to a few peers immediately and again in the following rounds. In addition, each round
+//! sends a few peers a digest of all stored records: 16 XOR sums of fingerprints, grouped by their first four
+//! bits. A peer that differs in a group sends its records of that group if there are few and requests the
+//! others; otherwise it sends the 16 sums by the next four bits. A dispatcher that was partitioned or
+//! restarted thus catches up, whatever was lost.
 //!
-//! A datagram is believed if its tag is right, it echoes the token that this dispatcher last demanded of the
-//! peer, and its number has not come in the sender's session. The token is drawn anew at each start and with
-//! each new session of the peer, so nothing that was recorded before can be believed again. What is not
-//! believed changes nothing; an authentic one is answered with a greeting that tells the token, seldom.
+//! A datagram is accepted if its authentication tag is valid, it echoes the token that this dispatcher last
+//! demanded from the peer, and its number is new in the sender's session. The token is drawn anew at each
+//! start and with each new session of the peer, so recorded datagrams cannot be replayed. A datagram that is
+//! not accepted changes nothing; if it is authentic, it is answered with a greeting that carries the token,
+//! at a limited rate.
 
-use super::datagram::{Sealed, Unopened, MAX_PAYLOAD};
+use super::datagram::{Datagram, OpenError, MAX_PAYLOAD};
 use super::keys::KeyRing;
-use super::replay::Window;
+use super::replay::ReplayWindow;
 use crate::discovery_report::DiscoveryReport;
 use crate::overrides::{decode, encode, Merged, Record, Table};
 use crate::Millis;
@@ -26,79 +27,80 @@
 
 const GREETING: u8 = 0;
 const DIGEST: u8 = 1;
-const WANTED: u8 = 2;
+const REQUEST: u8 = 2;
 const RECORD: u8 = 3;
-/// Discovery has answered the sender: a [`DiscoveryReport`].
+/// States that discovery has answered the sender; the payload is a [`DiscoveryReport`].
 const DISCOVERY_ANSWERED: u8 = 4;
 
-/// Peers that are told of something new at once, and in each round that follows.
+/// Number of peers that receive a new record immediately and in each following round.
 const FANOUT: usize = 6;
-/// Peers that are sent a digest in a round.
-const DIGESTS: usize = 3;
-/// Rounds in which something new is sent again: at 30% loss one in 400 peers hears it from none of them.
-const ROUNDS: u8 = 4;
-/// Something new that is sent again, at most; the digests bring what is over.
-const MAX_HOT: usize = 64;
-/// Datagrams that one which came may cause.
+/// Number of peers that receive a digest per round.
+const DIGEST_FANOUT: usize = 3;
+/// Number of rounds in which a new record is sent again: at 30% loss, one peer in 400 receives none of the
+/// copies.
+const RESEND_ROUNDS: u8 = 4;
+/// Maximum number of new records that are sent again; digests cover the rest.
+const MAX_RECENT: usize = 64;
+/// Maximum number of datagrams sent in response to one.
 const MAX_REPLIES: usize = 24;
-/// Records of a bucket that are sent without looking deeper.
-const FEW: usize = 4;
-/// Levels of digests below which all is sent.
-const DEEPEST: u8 = 5;
-/// Reports of peers that are kept until they are taken, at most.
+/// Maximum number of records of a bucket that are sent without descending further.
+const MAX_DIRECT_RECORDS: usize = 4;
+/// Depth of the digest tree, below which all records are sent.
+const MAX_DEPTH: u8 = 5;
+/// Maximum number of peer reports that are kept until they are taken.
 const MAX_REPORTS: usize = 16;
-/// A greeting goes to a peer this often at most.
-const GREETING_GAP: Millis = 50;
+/// Minimum interval between greetings to one peer.
+const MIN_GREETING_INTERVAL: Millis = 50;
 
-/// A datagram to send, and where to.
+/// A datagram to send, and its destination.
 pub type Outgoing = (SocketAddr, Vec<u8>);
 
-/// What has come and gone since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Datagrams sent.
     pub sent: u64,
-    /// Datagrams believed.
+    /// Datagrams accepted.
     pub taken: u64,
-    /// Records that were new.
+    /// New records received.
     pub learnt: u64,
-    /// Of a wrong form or size, or holding what can't be read.
+    /// Datagrams with an invalid format, size or payload.
     pub malformed: u64,
-    /// With a wrong tag.
+    /// Datagrams with an invalid authentication tag.
     pub unauthentic: u64,
-    /// Come before, or not for this session.
+    /// Datagrams that are duplicates, or that were not sent to this session.
     pub replayed: u64,
-    /// From an address that is no peer's.
+    /// Datagrams from an address that belongs to no peer.
     pub strangers: u64,
-    /// Records not taken: from the future, too old, or too many.
+    /// Records rejected as too old or too far in the future, or because the table is full.
     pub refused: u64,
 }
 
 struct Peer {
     addr: SocketAddr,
-    /// What the peer must echo; what it wants echoed.
+    /// The tokens that the peer has to echo, and that the peer wants echoed.
     demand: u64,
     echo: u64,
     session: Option<u64>,
-    window: Window,
+    window: ReplayWindow,
     sent: u32,
-    greeted: Option<Millis>,
+    greeted_at: Option<Millis>,
 }
 
-/// One dispatcher's side of the talk.
+/// Gossip state of one dispatcher.
 pub struct Gossip {
     session: u64,
     rng: StdRng,
     keys: KeyRing,
     peers: Vec<Peer>,
-    places: FxHashMap<SocketAddr, usize>,
-    hot: Vec<(Arc<Record>, u8)>,
-    /// What peers have reported of discovery and nobody has taken yet.
+    peer_indices: FxHashMap<SocketAddr, usize>,
+    recent: Vec<(Arc<Record>, u8)>,
+    /// Reports received from peers that have not been taken yet.
     reports: Vec<DiscoveryReport>,
     counts: Counts,
 }
 
-/// Bits of a fingerprint that a bucket stands for: the first `4 * depth`.
+/// A group of fingerprints: those that share their first `4 * depth` bits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Bucket {
     depth: u8,
@@ -119,7 +121,7 @@
     }
 
     fn sum(self, table: &Table) -> u64 {
-        table.prints().range(self.range()).fold(0, |sum, (print, _)| sum ^ print)
+        table.by_fingerprint().range(self.range()).fold(0, |sum, (key, _)| sum ^ key)
     }
 
     fn encode(self) -> Vec<u8> {
@@ -131,85 +133,89 @@
     fn decode(bytes: &[u8]) -> Option<(Bucket, &[u8])> {
         let (head, rest) = bytes.split_at_checked(9)?;
         let bucket = Bucket { depth: head[0], prefix: u64::from_be_bytes(head[1..].try_into().ok()?) };
-        let plain = bucket.depth <= DEEPEST && bucket.prefix & (bucket.range().end() ^ bucket.prefix) == 0;
-        plain.then_some((bucket, rest))
+        let is_canonical =
+            bucket.depth <= MAX_DEPTH && bucket.prefix & (bucket.range().end() ^ bucket.prefix) == 0;
+        is_canonical.then_some((bucket, rest))
     }
 }
 
 impl Gossip {
-    /// A dispatcher's side at its start. The seed must be new with each start and not to be guessed.
+    /// Creates the state at the start of a dispatcher. The seed must be new at each start and unpredictable.
     pub fn new(peers: &[SocketAddr], keys: KeyRing, seed: [u8; 32]) -> Gossip {
         let mut rng = StdRng::from_seed(seed);
         let mut gossip = Gossip {
             session: rng.random(),
             keys,
             peers: Vec::new(),
-            places: FxHashMap::default(),
-            hot: Vec::new(),
+            peer_indices: FxHashMap::default(),
+            recent: Vec::new(),
             reports: Vec::new(),
             counts: Counts::default(),
             rng,
         };
         for &addr in peers {
-            if gossip.places.insert(addr, gossip.peers.len()).is_none() {
+            if gossip.peer_indices.insert(addr, gossip.peers.len()).is_none() {
                 let demand = gossip.rng.random_range(1..=u64::MAX);
-                let window = Window::default();
-                let peer = Peer { addr, demand, echo: 0, session: None, window, sent: 0, greeted: None };
+                let window = ReplayWindow::default();
+                let peer = Peer { addr, demand, echo: 0, session: None, window, sent: 0, greeted_at: None };
                 gossip.peers.push(peer);
             }
         }
         gossip
     }
 
-    /// What has come and gone.
+    /// Counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Goes over to other keys, as when one is replaced.
+    /// Replaces the keys, for key rotation.
     pub fn rekey(&mut self, keys: KeyRing) {
         self.keys = keys;
     }
 
-    /// Tells peers of a record that is new here.
+    /// Sends a new record to peers.
     pub fn announce(&mut self, record: &Arc<Record>) -> Vec<Outgoing> {
-        if self.hot.len() < MAX_HOT {
-            self.hot.push((record.clone(), ROUNDS));
+        if self.recent.len() < MAX_RECENT {
+            self.recent.push((record.clone(), RESEND_ROUNDS));
         }
         let payload = encode(record);
-        self.draw(FANOUT).into_iter().map(|at| self.seal(at, RECORD, payload.clone())).collect()
+        self.sample_peers(FANOUT).into_iter().map(|index| self.seal(index, RECORD, payload.clone())).collect()
     }
 
-    /// Tells all peers that discovery has answered.
+    /// Reports an answer from discovery to all peers.
     pub fn report(&mut self, report: DiscoveryReport) -> Vec<Outgoing> {
-        (0..self.peers.len()).map(|at| self.seal(at, DISCOVERY_ANSWERED, report.encode().to_vec())).collect()
+        (0..self.peers.len())
+            .map(|index| self.seal(index, DISCOVERY_ANSWERED, report.encode().to_vec()))
+            .collect()
     }
 
-    /// Takes what peers have reported of discovery since the last time.
+    /// Returns the reports received from peers since the last call.
     pub fn take_reports(&mut self) -> Vec<DiscoveryReport> {
         std::mem::take(&mut self.reports)
     }
 
-    /// A round: a few peers are sent what is new again, and a digest.
+    /// Runs a round: sends recent records and a digest to a few peers.
     pub fn tick(&mut self, table: &Table) -> Vec<Outgoing> {
         let mut out = Vec::new();
-        let hot = std::mem::take(&mut self.hot);
-        for (record, rounds) in hot {
+        let recent = std::mem::take(&mut self.recent);
+        for (record, rounds) in recent {
             let payload = encode(&record);
-            for at in self.draw(FANOUT) {
-                out.push(self.seal(at, RECORD, payload.clone()));
+            for index in self.sample_peers(FANOUT) {
+                out.push(self.seal(index, RECORD, payload.clone()));
             }
             if rounds > 1 {
-                self.hot.push((record, rounds - 1));
+                self.recent.push((record, rounds - 1));
             }
         }
-        for at in self.draw(DIGESTS) {
-            out.push(self.digest(at, Bucket::ALL, table));
+        for index in self.sample_peers(DIGEST_FANOUT) {
+            out.push(self.digest(index, Bucket::ALL, table));
         }
         out
     }
 
-    /// Takes in a datagram. What comes back is to be sent; whether the table has changed shows in its revision.
+    /// Processes a received datagram and returns the responses to send. A change of the table shows in its
+    /// revision.
     pub fn receive(
         &mut self,
         now: Millis,
@@ -217,51 +223,52 @@
         bytes: &[u8],
         table: &mut Table,
     ) -> Vec<Outgoing> {
-        let Some(&at) = self.places.get(&from) else {
+        let Some(&index) = self.peer_indices.get(&from) else {
             self.counts.strangers += 1;
             return Vec::new();
         };
-        let datagram = match Sealed::open(bytes, &self.keys) {
+        let datagram = match Datagram::open(bytes, &self.keys) {
             Ok(datagram) => datagram,
-            Err(Unopened::Malformed) => {
+            Err(OpenError::Malformed) => {
                 self.counts.malformed += 1;
                 return Vec::new();
             }
-            Err(Unopened::Unauthentic) => {
+            Err(OpenError::Unauthentic) => {
                 self.counts.unauthentic += 1;
                 return Vec::new();
             }
         };
         if datagram.session == self.session {
-            // One of ours, thrown back.
+            // A reflected datagram of this dispatcher.
             self.counts.replayed += 1;
             return Vec::new();
         }
-        let peer = &mut self.peers[at];
+        let peer = &mut self.peers[index];
         if datagram.echo != peer.demand {
-            // It may be old. A greeting tells the peer what to echo, and costs little if it is.
+            // Possibly a replay. A greeting tells the peer which token to echo, and is cheap if it is one.
             self.counts.replayed += u64::from(datagram.echo != 0);
-            if peer.greeted.is_some_and(|g| now < g + GREETING_GAP && g <= now) {
+            if peer.greeted_at.is_some_and(|g| now < g + MIN_GREETING_INTERVAL && g <= now) {
                 return Vec::new();
             }
-            peer.greeted = Some(now);
-            let known = std::mem::replace(&mut peer.echo, datagram.demand);
-            let greeting = self.seal(at, GREETING, Vec::new());
-            self.peers[at].echo = known;
+            peer.greeted_at = Some(now);
+            let previous_echo = std::mem::replace(&mut peer.echo, datagram.demand);
+            let greeting = self.seal(index, GREETING, Vec::new());
+            self.peers[index].echo = previous_echo;
             return vec![greeting];
         }
         if peer.session != Some(datagram.session) {
-            // A new session; what the one before it has sent must not be believed again.
-            let fresh = self.rng.random_range(1..=u64::MAX);
-            (peer.session, peer.window, peer.demand) = (Some(datagram.session), Window::default(), fresh);
+            // A new session of the peer: datagrams of earlier sessions must no longer be accepted.
+            let new_demand = self.rng.random_range(1..=u64::MAX);
+            (peer.session, peer.window, peer.demand) =
+                (Some(datagram.session), ReplayWindow::default(), new_demand);
         }
-        if !peer.window.take(datagram.number) {
+        if !peer.window.accept(datagram.number) {
             self.counts.replayed += 1;
             return Vec::new();
         }
         peer.echo = datagram.demand;
         self.counts.taken += 1;
-        let Some(mut replies) = self.act(now, at, &datagram, table) else {
+        let Some(mut replies) = self.handle(now, index, &datagram, table) else {
             self.counts.malformed += 1;
             return Vec::new();
         };
@@ -269,10 +276,16 @@
         replies
     }
 
-    /// Does what a believed datagram asks for; `None` if it can't be read.
-    fn act(&mut self, now: Millis, at: usize, datagram: &Sealed, table: &mut Table) -> Option<Vec<Outgoing>> {
+    /// Handles an accepted datagram; `None` if its payload is invalid.
+    fn handle(
+        &mut self,
+        now: Millis,
+        index: usize,
+        datagram: &Datagram,
+        table: &mut Table,
+    ) -> Option<Vec<Outgoing>> {
         match datagram.kind {
-            GREETING => Some(vec![self.digest(at, Bucket::ALL, table)]),
+            GREETING => Some(vec![self.digest(index, Bucket::ALL, table)]),
             RECORD => {
                 let record = decode(&datagram.payload).ok()?;
                 match table.merge(record.clone(), now) {
@@ -292,19 +305,20 @@
                 }
                 Some(Vec::new())
             }
-            WANTED => {
+            REQUEST => {
                 let (bucket, rest) = Bucket::decode(&datagram.payload)?;
-                rest.is_empty().then(|| self.records(at, bucket, table))
+                rest.is_empty().then(|| self.records(index, bucket, table))
             }
             DIGEST => {
                 let (bucket, sums) = Bucket::decode(&datagram.payload)?;
-                (sums.len() == 128 && bucket.depth < DEEPEST).then(|| self.compare(at, bucket, sums, table))
+                (sums.len() == 128 && bucket.depth < MAX_DEPTH)
+                    .then(|| self.compare(index, bucket, sums, table))
             }
             _ => None,
         }
     }
 
-    fn compare(&mut self, at: usize, bucket: Bucket, sums: &[u8], table: &Table) -> Vec<Outgoing> {
+    fn compare(&mut self, index: usize, bucket: Bucket, sums: &[u8], table: &Table) -> Vec<Outgoing> {
         let mut out = Vec::new();
         for (nibble, sum) in sums.chunks_exact(8).enumerate() {
             let (child, theirs) =
@@ -313,17 +327,17 @@
             if ours == theirs {
                 continue;
             }
-            let count = table.prints().range(child.range()).take(FEW + 1).count();
-            if count <= FEW || child.depth == DEEPEST {
-                out.extend(self.records(at, child, table));
+            let count = table.by_fingerprint().range(child.range()).take(MAX_DIRECT_RECORDS + 1).count();
+            if count <= MAX_DIRECT_RECORDS || child.depth == MAX_DEPTH {
+                out.extend(self.records(index, child, table));
                 if theirs != 0 {
-                    out.push(self.seal(at, WANTED, child.encode()));
+                    out.push(self.seal(index, REQUEST, child.encode()));
                 }
             } else {
-                out.push(self.digest(at, child, table));
+                out.push(self.digest(index, child, table));
             }
         }
-        // What is cut off below must not always be the same.
+        // Responses beyond the limit are dropped; the rotation varies which ones.
         if out.len() > MAX_REPLIES {
             let first = self.rng.random_range(0..out.len());
             out.rotate_left(first);
@@ -331,31 +345,31 @@
         out
     }
 
-    fn records(&mut self, at: usize, bucket: Bucket, table: &Table) -> Vec<Outgoing> {
-        let records = table.prints().range(bucket.range()).take(MAX_REPLIES);
+    fn records(&mut self, index: usize, bucket: Bucket, table: &Table) -> Vec<Outgoing> {
+        let records = table.by_fingerprint().range(bucket.range()).take(MAX_REPLIES);
         let payloads: Vec<Vec<u8>> = records.map(|(_, record)| encode(record)).collect();
-        payloads.into_iter().map(|payload| self.seal(at, RECORD, payload)).collect()
+        payloads.into_iter().map(|payload| self.seal(index, RECORD, payload)).collect()
     }
 
-    fn digest(&mut self, at: usize, bucket: Bucket, table: &Table) -> Outgoing {
+    fn digest(&mut self, index: usize, bucket: Bucket, table: &Table) -> Outgoing {
         let mut payload = bucket.encode();
         for nibble in 0..16 {
             payload.extend_from_slice(&bucket.child(nibble).sum(table).to_be_bytes());
         }
-        self.seal(at, DIGEST, payload)
+        self.seal(index, DIGEST, payload)
     }
 
-    fn draw(&mut self, count: usize) -> Vec<usize> {
+    fn sample_peers(&mut self, count: usize) -> Vec<usize> {
         sample(&mut self.rng, self.peers.len(), count.min(self.peers.len())).into_vec()
     }
 
-    fn seal(&mut self, at: usize, kind: u8, payload: Vec<u8>) -> Outgoing {
+    fn seal(&mut self, index: usize, kind: u8, payload: Vec<u8>) -> Outgoing {
         debug_assert!(payload.len() <= MAX_PAYLOAD);
-        let peer = &mut self.peers[at];
+        let peer = &mut self.peers[index];
         peer.sent = peer.sent.wrapping_add(1).max(1);
         let (session, echo, demand, number) = (self.session, peer.echo, peer.demand, peer.sent);
-        let sealed = Sealed { kind, session, echo, demand, number, payload };
+        let datagram = Datagram { kind, session, echo, demand, number, payload };
         self.counts.sent += 1;
-        (peer.addr, sealed.seal(&self.keys))
+        (peer.addr, datagram.seal(&self.keys))
     }
 }
--- a/control/src/peers/keys.rs
+++ b/control/src/peers/keys.rs
@@ -1,80 +1,81 @@
-//! The keys that datagrams are authenticated with.
+//! Keys for the authentication of datagrams.
 
 use thiserror::Error;
 
-/// A key file that can't be used.
+/// Error in a key file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum BadKeys {
-    /// A line is no key.
-    #[error("line {0} is not a key: 64 hexadecimal digits are one")]
+pub enum KeyFileError {
+    /// A line is not a valid key.
+    #[error("line {0} is not a key: expected 64 hexadecimal digits")]
     Line(usize),
-    /// There is none.
+    /// The file contains no key.
     #[error(
-        "holds no key: it must hold one line of 64 hexadecimal digits, or two while a key is being replaced"
+        "contains no key: expected one line of 64 hexadecimal digits, or two while a key is being replaced"
     )]
     None,
-    /// There are three or more.
-    #[error("holds {0} keys: two at most, while one is being replaced")]
+    /// The file contains more than two keys.
+    #[error("contains {0} keys: at most two are allowed, while one is being replaced")]
     TooMany(usize),
-    /// Two are the same.
-    #[error("holds the same key twice")]
+    /// Both keys are the same.
+    #[error("contains the same key twice")]
     Twice,
 }
 
-/// One or two keys. The first seals; each of them opens.
+/// One or two keys. The first one authenticates outgoing datagrams; either one is accepted in incoming ones.
 #[derive(Clone)]
 pub struct KeyRing(Vec<[u8; 32]>);
 
 impl std::fmt::Debug for KeyRing {
-    /// Never shows the keys.
+    /// Does not reveal the keys.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "KeyRing({} keys)", self.0.len())
     }
 }
 
 impl KeyRing {
-    /// Reads a key file: a key a line, in hexadecimal; empty lines and those that begin with # count for
-    /// nothing.
+    /// Parses a key file: one hexadecimal key per line; empty lines and lines that start with `#` are
+    /// ignored.
     ///
     /// # Errors
-    /// Says which line can't be used, never what it holds.
-    pub fn parse(text: &str) -> Result<KeyRing, BadKeys> {
+    ///
+    /// Names the invalid line, never its content.
+    pub fn parse(text: &str) -> Result<KeyRing, KeyFileError> {
         let mut keys = Vec::new();
         for (at, line) in text.lines().enumerate() {
             let line = line.trim();
             if !line.is_empty() && !line.starts_with('#') {
-                let key = blake3::Hash::from_hex(line).map_err(|_| BadKeys::Line(at + 1))?;
+                let key = blake3::Hash::from_hex(line).map_err(|_| KeyFileError::Line(at + 1))?;
                 keys.push(*key.as_bytes());
             }
         }
         match keys.len() {
-            0 => Err(BadKeys::None),
-            2 if keys[0] == keys[1] => Err(BadKeys::Twice),
+            0 => Err(KeyFileError::None),
+            2 if keys[0] == keys[1] => Err(KeyFileError::Twice),
             1 | 2 => Ok(KeyRing(keys)),
-            more => Err(BadKeys::TooMany(more)),
+            count => Err(KeyFileError::TooMany(count)),
         }
     }
 
-    /// The tag of bytes under the key that seals.
+    /// Computes the authentication tag under the first key.
     pub fn seal(&self, bytes: &[u8]) -> [u8; 16] {
         tag(&self.0[0], bytes)
     }
 
-    /// What `act` makes of the one key under which a tag is that of the bytes; of the first, where it is none's.
-    pub fn either<T>(&self, bytes: &[u8], sent: &[u8; 16], act: impl Fn(&KeyRing) -> T) -> T {
-        let mut alone = self.0.iter().map(|key| KeyRing(vec![*key]));
-        act(&alone.find(|one| one.opens(bytes, sent)).unwrap_or_else(|| self.clone()))
+    /// Calls `act` with the key under which `sent` is the tag of `bytes`, or with all keys if there is none.
+    pub fn with_matching_key<T>(&self, bytes: &[u8], received: &[u8; 16], act: impl Fn(&KeyRing) -> T) -> T {
+        let mut single_keys = self.0.iter().map(|key| KeyRing(vec![*key]));
+        act(&single_keys.find(|ring| ring.verifies(bytes, received)).unwrap_or_else(|| self.clone()))
     }
 
-    /// Whether a tag is that of the bytes under any key. Takes as long for a wrong tag as for a right one.
-    pub fn opens(&self, bytes: &[u8], sent: &[u8; 16]) -> bool {
-        let widened = |tag: [u8; 16]| {
+    /// Whether `sent` is the tag of `bytes` under any key, in time independent of the result.
+    pub fn verifies(&self, bytes: &[u8], received: &[u8; 16]) -> bool {
+        let padded = |tag: [u8; 16]| {
             let mut hash = [0; 32];
             hash[..16].copy_from_slice(&tag);
             blake3::Hash::from_bytes(hash)
         };
-        // The comparison of hashes is constant in time.
-        self.0.iter().fold(false, |opened, key| opened | (widened(tag(key, bytes)) == widened(*sent)))
+        // The comparison of hashes takes constant time.
+        self.0.iter().fold(false, |matched, key| matched | (padded(tag(key, bytes)) == padded(*received)))
     }
 }
 
@@ -88,19 +89,19 @@
     use super::*;
 
     #[test]
-    fn a_file_holds_one_key_or_two_while_one_is_replaced() {
+    fn a_file_contains_one_key_or_two_during_replacement() {
         let (a, b, c) = ("ab".repeat(32), "0C".repeat(32), "11".repeat(32));
         assert!(KeyRing::parse(&format!("# old\n\n  {a}\n")).is_ok());
         let two = KeyRing::parse(&format!("{a}\n{b}")).expect("two keys");
         let first = KeyRing::parse(&a).expect("a key");
         let second = KeyRing::parse(&b).expect("a key");
-        assert!(two.opens(b"x", &first.seal(b"x")) && two.opens(b"x", &second.seal(b"x")));
-        assert!(first.opens(b"x", &two.seal(b"x")) && !second.opens(b"x", &two.seal(b"x")));
-        assert!(!two.opens(b"y", &first.seal(b"x")));
-        assert_eq!(KeyRing::parse("# none\n").unwrap_err(), BadKeys::None);
-        assert_eq!(KeyRing::parse(&format!("{a}\n{a}")).unwrap_err(), BadKeys::Twice);
-        assert_eq!(KeyRing::parse(&format!("{a}\n{b}\n{c}")).unwrap_err(), BadKeys::TooMany(3));
-        assert_eq!(KeyRing::parse(&format!("{a}\nsecret")).unwrap_err(), BadKeys::Line(2));
+        assert!(two.verifies(b"x", &first.seal(b"x")) && two.verifies(b"x", &second.seal(b"x")));
+        assert!(first.verifies(b"x", &two.seal(b"x")) && !second.verifies(b"x", &two.seal(b"x")));
+        assert!(!two.verifies(b"y", &first.seal(b"x")));
+        assert_eq!(KeyRing::parse("# none\n").unwrap_err(), KeyFileError::None);
+        assert_eq!(KeyRing::parse(&format!("{a}\n{a}")).unwrap_err(), KeyFileError::Twice);
+        assert_eq!(KeyRing::parse(&format!("{a}\n{b}\n{c}")).unwrap_err(), KeyFileError::TooMany(3));
+        assert_eq!(KeyRing::parse(&format!("{a}\nsecret")).unwrap_err(), KeyFileError::Line(2));
         assert_eq!(format!("{two:?}"), "KeyRing(2 keys)");
     }
 }
--- a/control/tests/discovery_report.rs
+++ b/control/tests/discovery_report.rs
@@ -1,26 +1,27 @@
-//! Reports that discovery has answered: their form, and how many of them there are.
+//! Reports of answers from discovery: their encoding and their number.
 
 use lineroute_control::discovery_report::{DiscoveryReport, ReportSchedule, REPORT_GAP};
 use lineroute_control::load_gossip::LoadReport;
 use proptest::prelude::*;
 
 proptest! {
-    /// A report comes out as it went in; no load report is one, and none is a load report.
+    /// A report round-trips, and is not a valid load report.
     #[test]
-    fn a_report_is_read_as_it_was_written(version: u64) {
+    fn a_report_round_trips(version: u64) {
         let report = DiscoveryReport { version };
         prop_assert_eq!(DiscoveryReport::decode(&report.encode()), Some(report));
         prop_assert_eq!(LoadReport::decode(&report.encode()), None);
     }
 
     #[test]
-    fn whatever_is_no_report_is_refused(bytes in proptest::collection::vec(any::<u8>(), 0..20)) {
+    fn invalid_reports_are_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..20)) {
         if let Some(report) = DiscoveryReport::decode(&bytes) {
             prop_assert_eq!(&report.encode()[..], &bytes[..]);
         }
     }
 
-    /// However many are answered, a tier whose members hear each other sends one report of a version in each gap.
+    /// However many dispatchers are answered, a tier whose members receive each other's reports sends one
+    /// report of a version per interval.
     #[test]
     fn a_tier_sends_few_reports(gaps in proptest::collection::vec(0..100u64, 1..300)) {
         let mut members: Vec<ReportSchedule> = gaps.iter().map(|_| ReportSchedule::default()).collect();
@@ -30,7 +31,7 @@
             now += gap;
             if members[member].answered(now, report) {
                 sent += 1;
-                members.iter_mut().for_each(|other| other.heard(now, report));
+                members.iter_mut().for_each(|other| other.peer_reported(now, report));
             }
         }
         prop_assert!(sent <= 1 + now / REPORT_GAP);
@@ -43,7 +44,7 @@
     assert!(schedule.answered(0, DiscoveryReport { version: 1 }));
     assert!(!schedule.answered(1, DiscoveryReport { version: 1 }));
     assert!(schedule.answered(2, DiscoveryReport { version: 2 }));
-    schedule.heard(3, DiscoveryReport { version: 5 });
+    schedule.peer_reported(3, DiscoveryReport { version: 5 });
     assert!(!schedule.answered(4, DiscoveryReport { version: 4 }));
     assert!(schedule.answered(3 + REPORT_GAP, DiscoveryReport { version: 4 }));
 }
--- a/fleet/src/link.rs
+++ b/fleet/src/link.rs
@@ -189,7 +189,7 @@
         self.bytes.extend_from_slice(bytes);
         let Some((welcome, _)) = unframe::<Welcome>(&mut self.bytes)? else { return Ok(None) };
         let keys = &self.identity.keys;
-        if !keys.opens(&transcript(b"called", &self.hello, &welcome), &welcome.proof) {
+        if !keys.verifies(&transcript(b"called", &self.hello, &welcome), &welcome.proof) {
             return Err(LinkError::WrongKey);
         }
         check(welcome.incarnation, self.identity.members)?;
@@ -264,11 +264,11 @@
             return Ok(HandshakeStep::Send(frame(&welcome)));
         };
         let Some(proof) = self.bytes.first_chunk::<TAG_BYTES>() else { return Ok(HandshakeStep::Incomplete) };
-        if !keys.opens(talk, proof) {
+        if !keys.verifies(talk, proof) {
             return Err(LinkError::WrongKey);
         }
         // The link's key comes of the key that the caller proved, which while keys are replaced may be the second.
-        let key = keys.either(talk, proof, |one| session(one, talk));
+        let key = keys.with_matching_key(talk, proof, |one| session(one, talk));
         let rest = self.bytes.split_off(TAG_BYTES);
         Ok(HandshakeStep::Established(*peer, Opener { key, count: 0, bytes: rest }))
     }
--- a/permit/src/close.rs
+++ b/permit/src/close.rs
@@ -1,71 +1,72 @@
-//! The end of a client's connection by this side.
+//! Closing of a client's connection by this side.
 
 use enum_map::Enum;
 use thiserror::Error;
 
-/// What a client's connection is at.
+/// State of a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// Nothing of a request has come since the last answer, or since the start.
-    AtRest,
-    /// A request is coming and not whole.
-    Coming,
-    /// A request is in hand: its client is owed an answer.
-    Owed,
+    /// No byte of a request has arrived since the connection began or the last answer ended.
+    Idle,
+    /// A request has arrived in part.
+    Receiving,
+    /// A request is being processed; its client is owed an answer.
+    AwaitingResponse,
     /// An answer has begun and not ended.
-    Answering,
+    Responding,
 }
 
-/// Why it would end.
+/// Why the connection would be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The client has ended it, or it broke.
-    PeerLeft,
-    /// A request was late, too long or malformed; its client is told so.
+    /// The client has closed the connection, or it failed.
+    ClientClosed,
+    /// A request was late, too long or malformed; the client is told so.
     BadRequest,
     /// Its slot is needed for another connection.
     SlotNeeded,
-    /// The process stops.
+    /// The process is stopping.
     Stopping,
-    /// The server is done with it: its last answer said that it ends it, or it was kept for its time.
-    ServerDone,
+    /// The server has finished with it: the last answer announced the close, or the keep-alive time is over.
+    ServerFinished,
 }
 
-/// What is known when the connection would be ended.
+/// Facts known when the connection would be closed.
 #[derive(Clone, Copy, Debug)]
 pub struct CloseFacts {
-    /// What it is at.
+    /// State of the connection.
     pub state: ConnectionState,
-    /// Why it would end.
+    /// Why the connection would be closed.
     pub reason: CloseReason,
 }
 
-/// Why it must stay open.
+/// Why the connection must stay open.
 #[derive(Clone, Copy, Debug, Enum, Error, PartialEq, Eq)]
 pub enum CloseRefusal {
-    /// A client that is there is owed an answer.
-    #[error("an answer is owed on it")]
+    /// A connected client is owed an answer.
+    #[error("the client is owed an answer")]
     AnswerOwed,
-    /// An answer would be cut short.
-    #[error("an answer is on its way")]
+    /// An answer would be truncated.
+    #[error("an answer is in progress")]
     AnswerOnItsWay,
 }
 
-/// Leave to end one connection.
+/// Permission to close one connection.
 #[derive(Debug)]
-#[must_use = "a permit is for one connection"]
+#[must_use = "a permit allows closing one connection"]
 pub struct ClosePermit(());
 
 impl CloseFacts {
-    /// Decides whether the connection may be ended.
+    /// Decides whether the connection may be closed.
     ///
     /// # Errors
-    /// Why it must stay.
+    ///
+    /// Why the connection must stay open.
     pub fn permit(&self) -> Result<ClosePermit, CloseRefusal> {
         match (self.reason, self.state) {
-            (CloseReason::PeerLeft | CloseReason::BadRequest, _) => Ok(ClosePermit(())),
-            (_, ConnectionState::Owed) => Err(CloseRefusal::AnswerOwed),
-            (CloseReason::SlotNeeded | CloseReason::Stopping, ConnectionState::Answering) => {
+            (CloseReason::ClientClosed | CloseReason::BadRequest, _) => Ok(ClosePermit(())),
+            (_, ConnectionState::AwaitingResponse) => Err(CloseRefusal::AnswerOwed),
+            (CloseReason::SlotNeeded | CloseReason::Stopping, ConnectionState::Responding) => {
                 Err(CloseRefusal::AnswerOnItsWay)
             }
             _ => Ok(ClosePermit(())),
--- a/permit/tests/permits.rs
+++ b/permit/tests/permits.rs
@@ -1,4 +1,4 @@
-//! The permits as tables, and against the audit, which states the rules on its own.
+//! Decision tables of the permits, and a comparison with the audit, whose rules are stated independently.
 
 use lineroute_permit::audit::{SendAudit, Violation};
 use lineroute_permit::*;
@@ -7,17 +7,17 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Facts under which a first byte may go out.
+/// Facts under which the first byte may be sent.
 fn sendable(now: Instant) -> SendFacts {
     SendFacts {
         now,
         list: ListValidity::Valid,
         worker: WorkerFacts {
             stage: Some(WorkerStage::Ready),
-            decided_at: WorkerStage::Ready,
-            operators: OperatorState::InService,
+            stage_when_decided: WorkerStage::Ready,
+            operator_state: OperatorState::InService,
         },
-        attempt: AttemptState::Out,
+        attempt: AttemptState::InFlight,
         client: ClientState::Waiting,
         deadline: now + SECOND,
         repeat_until: Some(now + SECOND),
@@ -32,10 +32,10 @@
 }
 
 #[test]
-fn each_fact_alone_refuses_a_first_byte() {
+fn each_fact_alone_refuses_the_first_byte() {
     use SendRefusal::*;
     assert_eq!(refusal(|_| {}), None);
-    assert_eq!(refusal(|f| f.attempt = AttemptState::Over), Some(AttemptOver));
+    assert_eq!(refusal(|f| f.attempt = AttemptState::Ended), Some(AttemptOver));
     assert_eq!(refusal(|f| f.client = ClientState::Gone), Some(ClientGone));
     assert_eq!(refusal(|f| f.deadline = f.now), Some(DeadlineOver));
     assert_eq!(refusal(|f| f.repeat_until = Some(f.now)), Some(RepeatWindowOver));
@@ -45,56 +45,68 @@
     assert_eq!(refusal(|f| f.worker.stage = None), Some(WorkerUnknown));
     assert_eq!(refusal(|f| f.worker.stage = Some(WorkerStage::Draining)), Some(WorkerChanged));
     assert_eq!(refusal(|f| f.worker.stage = Some(WorkerStage::Gone)), Some(WorkerChanged));
-    assert_eq!(refusal(|f| f.worker.operators = OperatorState::OutOfService), Some(WorkerOutOfService));
+    assert_eq!(refusal(|f| f.worker.operator_state = OperatorState::OutOfService), Some(WorkerOutOfService));
 }
 
 #[test]
-fn a_send_permit_is_not_kept() {
+fn a_send_permit_expires() {
     let now = Instant::now();
-    let made = || sendable(now).permit().expect("a permit");
-    assert_eq!(made().is_current(now), Ok(()));
-    assert_eq!(made().is_current(now + HOLD_UP), Err(SendRefusal::PermitOld));
+    let issued = || sendable(now).permit().expect("a permit");
+    assert_eq!(issued().check_age(now), Ok(()));
+    assert_eq!(issued().check_age(now + STALL_ALLOWANCE), Err(SendRefusal::PermitOld));
 }
 
 #[test]
-fn a_further_attempt_by_class_and_what_became_of_those_before() {
+fn further_attempts_depend_on_the_class_and_earlier_outcomes() {
     use EarlierAttempts::{MayHaveRun, NeverRan};
     let now = Instant::now();
     let (open, over) = (Some(now + SECOND), Some(now));
     let table = [
-        (SideEffect::None, NeverRan, None),
-        (SideEffect::None, MayHaveRun { repeat_until: None }, None),
-        (SideEffect::Harm, NeverRan, None),
-        (SideEffect::Harm, MayHaveRun { repeat_until: None }, Some(RetryRefusal::MayHaveRun)),
-        (SideEffect::NoneByKey, NeverRan, None),
-        (SideEffect::NoneByKey, MayHaveRun { repeat_until: open }, None),
-        (SideEffect::NoneByKey, MayHaveRun { repeat_until: over }, Some(RetryRefusal::RepeatWindowOver)),
-        (SideEffect::NoneByKey, MayHaveRun { repeat_until: None }, Some(RetryRefusal::RepeatWindowOver)),
+        (RepeatSafety::Idempotent, NeverRan, None),
+        (RepeatSafety::Idempotent, MayHaveRun { repeat_until: None }, None),
+        (RepeatSafety::NotIdempotent, NeverRan, None),
+        (RepeatSafety::NotIdempotent, MayHaveRun { repeat_until: None }, Some(RetryRefusal::MayHaveRun)),
+        (RepeatSafety::IdempotentByKey, NeverRan, None),
+        (RepeatSafety::IdempotentByKey, MayHaveRun { repeat_until: open }, None),
+        (
+            RepeatSafety::IdempotentByKey,
+            MayHaveRun { repeat_until: over },
+            Some(RetryRefusal::RepeatWindowOver),
+        ),
+        (
+            RepeatSafety::IdempotentByKey,
+            MayHaveRun { repeat_until: None },
+            Some(RetryRefusal::RepeatWindowOver),
+        ),
     ];
     for (effect, earlier, refusal) in table {
-        let facts = RetryFacts { now, effect, earlier, is_out: false };
+        let facts = RetryFacts { now, effect, earlier, has_attempt_in_flight: false };
         assert_eq!(facts.permit().err(), refusal, "{facts:?}");
-        let facts = RetryFacts { is_out: true, ..facts };
+        let facts = RetryFacts { has_attempt_in_flight: true, ..facts };
         assert_eq!(facts.permit().err(), Some(RetryRefusal::AnotherIsOut));
     }
 }
 
 #[test]
-fn a_connection_that_owes_an_answer_ends_only_for_its_client() {
+fn a_connection_that_owes_an_answer_is_closed_only_for_its_client() {
     use CloseReason::*;
     let closes = |state, reason| CloseFacts { state, reason }.permit().is_ok();
-    for reason in [PeerLeft, BadRequest] {
-        assert!(closes(ConnectionState::Owed, reason) && closes(ConnectionState::Answering, reason));
+    for reason in [ClientClosed, BadRequest] {
+        assert!(
+            closes(ConnectionState::AwaitingResponse, reason) && closes(ConnectionState::Responding, reason)
+        );
     }
-    for reason in [SlotNeeded, Stopping, ServerDone] {
-        assert!(!closes(ConnectionState::Owed, reason));
-        assert!(closes(ConnectionState::AtRest, reason) && closes(ConnectionState::Coming, reason));
+    for reason in [SlotNeeded, Stopping, ServerFinished] {
+        assert!(!closes(ConnectionState::AwaitingResponse, reason));
+        assert!(closes(ConnectionState::Idle, reason) && closes(ConnectionState::Receiving, reason));
     }
-    assert!(!closes(ConnectionState::Answering, SlotNeeded) && !closes(ConnectionState::Answering, Stopping));
+    assert!(
+        !closes(ConnectionState::Responding, SlotNeeded) && !closes(ConnectionState::Responding, Stopping)
+    );
 }
 
 #[test]
-fn a_request_starts_until_the_process_stops_unless_its_client_left() {
+fn a_request_starts_until_the_process_stops_unless_its_client_is_gone() {
     use ProcessState::*;
     let refused = |process, client_gone| StartFacts { process, client_gone }.permit().err();
     assert_eq!([Serving, Draining].map(|p| refused(p, false)), [None, None]);
@@ -103,18 +115,18 @@
 }
 
 #[test]
-fn the_audit_names_each_rule() {
+fn the_audit_detects_each_violation() {
     let now = Instant::now() + SECOND;
     let audit = SendAudit {
         now,
         list_valid: false,
-        unready: Some((now - SECOND, SECOND / 2)),
+        not_ready_since: Some((now - SECOND, SECOND / 2)),
         out_of_service: Some(now - SECOND),
         client_gone: Some(now - SECOND),
         deadline: now - SECOND,
         repeat_until: Some(now - SECOND),
         passed_on: Some(SECOND),
-        out: 2,
+        attempts_in_flight: 2,
     };
     let all = [
         Violation::DrainedWorker,
@@ -130,9 +142,9 @@
 }
 
 proptest! {
-    /// Whatever is known: what has a permit and is written at once breaks no rule.
+    /// For any facts: a write that is permitted and performed immediately violates no rule.
     #[test]
-    fn what_is_permitted_breaks_no_rule(
+    fn a_permitted_write_violates_no_rule(
         list in prop_oneof![Just(ListValidity::Valid), Just(ListValidity::Unconfirmed), Just(ListValidity::Expired)],
         stage in 0..4u8, out in any::<bool>(), waits in any::<bool>(),
         deadline in 0..2000u64, window in proptest::option::of(0..2000u64),
@@ -147,10 +159,10 @@
             list,
             worker: WorkerFacts {
                 stage: stages[usize::from(stage)],
-                decided_at: WorkerStage::Ready,
-                operators: if in_service { OperatorState::InService } else { OperatorState::OutOfService },
+                stage_when_decided: WorkerStage::Ready,
+                operator_state: if in_service { OperatorState::InService } else { OperatorState::OutOfService },
             },
-            attempt: if out { AttemptState::Out } else { AttemptState::Over },
+            attempt: if out { AttemptState::InFlight } else { AttemptState::Ended },
             client: if waits { ClientState::Waiting } else { ClientState::Gone },
             deadline: at(deadline),
             repeat_until: window.map(at),
@@ -159,13 +171,13 @@
         let audit = SendAudit {
             now,
             list_valid: list == ListValidity::Valid,
-            unready: (stage > 1).then_some((start, SECOND / 2)),
+            not_ready_since: (stage > 1).then_some((start, SECOND / 2)),
             out_of_service: (!in_service).then_some(start),
             client_gone: (!waits).then_some(start),
             deadline: at(deadline),
             repeat_until: window.map(at),
             passed_on: told.map(Duration::from_millis),
-            out: 1,
+            attempts_in_flight: 1,
         };
         if facts.permit().is_ok() {
             prop_assert_eq!(audit.violations().next(), None);
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! The wire's settings object, turned into the module's [`Settings`]. Unknown keys are skipped; absent
-//! ones get the defaults given here.
+//! Parses the platform's settings object into the module's [`Settings`]. Unknown keys are ignored; missing
+//! ones get the defaults defined here.
 
 use lineroute::{
     Allowed, Class, Discovery, Effect, Group, KindId, Micros, Prices, ReportSource, Rules, Settings, Tenant,
@@ -7,24 +7,25 @@
 };
 use serde::Deserialize;
 
-/// The module's settings, and what only a program on sockets needs beside them: names, which the
-/// sockets carry where the simulator's wire has positions, and the limit on connecting.
+/// The module's settings, and what only a program with real sockets needs: the names, which protocols use
+/// where the simulator's protocol has indices, and the connect timeout.
 #[derive(Clone, Debug)]
-pub struct Site {
+pub struct PlatformSettings {
     pub settings: Settings,
     pub classes: Vec<String>,
     pub tenants: Vec<String>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
     pub connect_timeout: Micros,
-    /// How long sends to a worker that drains may go on once that is told.
+    /// How long sends to a draining worker may continue after the drain was announced.
     pub drain_grace: Micros,
-    /// Dispatchers may send one another datagrams.
-    pub peers: bool,
-    /// The dispatcher's number in its tier.
-    pub number: Option<u32>,
-    /// What a full message of 256 bytes a request costs, delivered once, in parts of its worth.
-    pub peer_price: f64,
+    /// Whether dispatchers may send datagrams to each other.
+    pub peer_messages_allowed: bool,
+    /// Index of this dispatcher in its tier.
+    pub self_index: Option<u32>,
+    /// Price of a full message of 256 bytes per request, delivered once, as a fraction of the request's
+    /// worth.
+    pub peer_message_price: f64,
 }
 
 #[derive(Deserialize)]
@@ -111,7 +112,7 @@
 struct RawReport {
     #[serde(default)]
     source: Option<String>,
-    /// The names of the figures; absent: all that there are.
+    /// Names of the reported figures; `None` for all of them.
     #[serde(default)]
     fields: Option<Vec<String>>,
 }
@@ -133,7 +134,7 @@
 
 impl Default for RawAllowed {
     fn default() -> Self {
-        // What is not granted is not done.
+        // What is not granted is not allowed.
         RawAllowed {
             cancel: false,
             may_probe: false,
@@ -186,8 +187,8 @@
     tells_start: bool,
 }
 
-/// Figures of a report that count jobs, by the names of the settings and of the protocol.
-const COUNTS: [&str; 4] = ["concurrent", "depth", "inflight", "queue"];
+/// Report fields that count jobs, as named by the settings and by the protocol.
+const JOB_COUNT_FIELDS: [&str; 4] = ["concurrent", "depth", "inflight", "queue"];
 
 fn one() -> u32 {
     1
@@ -201,8 +202,8 @@
     (ms * 1000.0).round() as Micros
 }
 
-/// Reads and checks the settings; an error names the key.
-pub fn parse(text: &str) -> Result<Site, String> {
+/// Parses and validates the settings; an error names the key.
+pub fn parse(text: &str) -> Result<PlatformSettings, String> {
     let mut json = serde_json::Deserializer::from_str(text);
     let raw: Raw = serde_path_to_error::deserialize(&mut json).map_err(|e| {
         let path = e.path().to_string();
@@ -273,7 +274,7 @@
             .report
             .fields
             .as_ref()
-            .is_none_or(|f| f.iter().any(|f| COUNTS.contains(&f.as_str()))),
+            .is_none_or(|f| f.iter().any(|f| JOB_COUNT_FIELDS.contains(&f.as_str()))),
         progress_interval: micros(raw.specifics.progress_ms),
         tells_start: raw.specifics.tells_start,
         zone: raw.zone.map(ZoneId),
@@ -292,16 +293,16 @@
     settings.validate().map_err(|e| e.to_string())?;
     let class_names = raw.classes.iter().enumerate().map(|(i, c)| c.name.clone().unwrap_or(i.to_string()));
     let tenant_names = raw.tenants.iter().enumerate().map(|(i, t)| t.name.clone().unwrap_or(i.to_string()));
-    Ok(Site {
+    Ok(PlatformSettings {
         classes: class_names.collect(),
         tenants: tenant_names.collect(),
         zones: raw.azs,
         kinds: raw.skus,
         connect_timeout: micros(raw.allowed.connect_timeout_ms),
         drain_grace: micros(raw.rules.drain_grace_ms),
-        peers: raw.allowed.peers,
-        number: raw.self_index,
-        peer_price: raw.prices.peer,
+        peer_messages_allowed: raw.allowed.peers,
+        self_index: raw.self_index,
+        peer_message_price: raw.prices.peer,
         settings,
     })
 }
