--- a/fleet/src/consensus.rs
+++ b/fleet/src/consensus.rs
@@ -44,9 +44,9 @@
     /// A majority has confirmed this leader since the confirmation with this number was requested.
     Confirmed(u64),
     /// The whole ledger was replaced by a snapshot.
-    Replaced,
+    SnapshotInstalled,
     /// This voter became the leader (`true`) or ceased to be the leader (`false`).
-    Leads(bool),
+    LeadershipChanged(bool),
     /// Persisting failed: this voter sends nothing more until the process is restarted.
     Failed(String),
 }
@@ -56,7 +56,7 @@
     number: u64,
     /// Whether the store was given a change under this number. If not, the entry only has to wait for the ones before
     /// it.
-    keeps: bool,
+    stored: bool,
     since: usize,
     messages: Vec<raft::eraftpb::Message>,
 }
@@ -184,14 +184,14 @@
     pub fn handle_persisted(&mut self, number: u64, result: Result<(), String>) {
         match result {
             Ok(()) => self.catch_engine_panic(|replica| replica.persisted(number)),
-            Err(words) => self.fail(words),
+            Err(reason) => self.fail(reason),
         }
     }
 
-    fn fail(&mut self, words: String) {
+    fn fail(&mut self, reason: String) {
         if self.failed.is_none() {
-            self.failed = Some(words.clone());
-            self.events.push(ConsensusEvent::Failed(words));
+            self.failed = Some(reason.clone());
+            self.events.push(ConsensusEvent::Failed(reason));
         }
         self.pending.clear();
         self.was_leader = false;
@@ -202,7 +202,7 @@
         if self.failed.is_some() {
             return;
         }
-        while let Some(pending) = self.pending.pop_front_if(|p| p.number <= number || !p.keeps) {
+        while let Some(pending) = self.pending.pop_front_if(|p| p.number <= number || !p.stored) {
             self.node.on_persist_ready(pending.number);
             self.queue_messages(pending.messages);
         }
@@ -250,7 +250,11 @@
     ///
     /// # Errors
     /// This voter does not lead, or another change is in progress.
-    pub fn change(&mut self, replica_id: ReplicaId, step: ConfigurationStep) -> Result<(), String> {
+    pub fn change_configuration(
+        &mut self,
+        replica_id: ReplicaId,
+        step: ConfigurationStep,
+    ) -> Result<(), String> {
         if !self.leads() {
             return Err("this voter does not lead".into());
         }
@@ -268,7 +272,7 @@
 
     /// Processes everything that the engine has ready. Only messages that depend on a change that is not durable yet
     /// are held back.
-    pub fn settle(&mut self) {
+    pub fn process(&mut self) {
         self.catch_engine_panic(RaftReplica::process_ready);
     }
 
@@ -276,8 +280,8 @@
         self.randomize_election_timeout();
         while self.failed.is_none() && self.node.has_ready() {
             let ready = self.node.ready();
-            if let Err(words) = self.process_one(ready) {
-                return self.fail(words);
+            if let Err(reason) = self.process_one(ready) {
+                return self.fail(reason);
             }
             self.randomize_election_timeout();
         }
@@ -289,15 +293,15 @@
     fn process_one(&mut self, mut ready: Ready) -> Result<(), String> {
         let change = durable_change(&ready);
         let number = ready.number();
-        let keeps = self.must_keep(&change);
-        let written = self.append(number, &change, keeps)?;
+        let stored = self.must_persist(&change);
+        let written = self.persist(number, &change, stored)?;
         self.node.mut_store().apply(&change);
         if let Some(snapshot) = &change.snapshot {
             self.install_snapshot(snapshot);
         }
         self.queue_messages(ready.take_messages());
         let messages = ready.take_persisted_messages();
-        self.pending.push_back(Pending { number, keeps, since: self.ticks, messages });
+        self.pending.push_back(Pending { number, stored, since: self.ticks, messages });
         for read in ready.take_read_states() {
             let asked = <[u8; 8]>::try_from(read.request_ctx.as_slice()).map(u64::from_be_bytes);
             self.pending_reads.extend(asked.ok().map(|asked| (read.index, asked)));
@@ -317,7 +321,7 @@
     fn install_snapshot(&mut self, snapshot: &Snapshot) {
         self.ledger = Ledger::decode(&snapshot.data).unwrap_or_default();
         self.applied = snapshot.index;
-        self.events.push(ConsensusEvent::Replaced);
+        self.events.push(ConsensusEvent::SnapshotInstalled);
     }
 
     /// Reports all sent snapshots to the engine as delivered. Delivery is not observable, and without a report the
@@ -344,13 +348,13 @@
             self.pending_reads.clear();
         }
         if std::mem::replace(&mut self.was_leader, leads) != leads {
-            self.events.push(ConsensusEvent::Leads(leads));
+            self.events.push(ConsensusEvent::LeadershipChanged(leads));
         }
     }
 
     /// Whether a change must be persisted. The commit index alone may be lost, because the other replicas send it
     /// again; everything else must not.
-    fn must_keep(&self, change: &LogChange) -> bool {
+    fn must_persist(&self, change: &LogChange) -> bool {
         let old = self.node.store().hard_state;
         let voted = change
             .hard_state
@@ -358,15 +362,15 @@
         change.snapshot.is_some() || !change.entries.is_empty() || voted
     }
 
-    fn append(&mut self, number: u64, change: &LogChange, must: bool) -> Result<WriteStatus, String> {
+    fn persist(&mut self, number: u64, change: &LogChange, required: bool) -> Result<WriteStatus, String> {
         if change.snapshot.is_some() {
             // The engine continues from a snapshot only once that is durable, so this waits for the snapshot and for
             // all changes before it.
-            let mut whole = self.node.store().clone();
-            whole.apply(change);
-            return self.store.replace(&whole.to_change()).map(|()| WriteStatus::Durable);
+            let mut full = self.node.store().clone();
+            full.apply(change);
+            return self.store.replace(&full.to_change()).map(|()| WriteStatus::Durable);
         }
-        match must {
+        match required {
             true => self.store.append(number, change),
             // There is nothing to persist, but the messages may depend on changes that are still being written.
             false if self.pending.is_empty() => Ok(WriteStatus::Durable),
--- a/fleet/src/frame.rs
+++ b/fleet/src/frame.rs
@@ -184,8 +184,12 @@
         }
         let (frame, rest) = postcard::take_from_bytes::<Frame>(bytes).ok()?;
         let fits = match &frame {
-            Frame::LeaseRequest(ask) => {
-                ask.renew.len() + ask.want.len() + ask.watch.len() + ask.release.len() + ask.settle.len()
+            Frame::LeaseRequest(request) => {
+                request.renew.len()
+                    + request.want.len()
+                    + request.watch.len()
+                    + request.release.len()
+                    + request.settle.len()
                     <= MAX_RESOURCES_PER_REQUEST
             }
             _ => true,
--- a/fleet/src/leader.rs
+++ b/fleet/src/leader.rs
@@ -29,7 +29,7 @@
 
 struct Pending {
     from: Member,
-    ask: LeaseRequest,
+    request: LeaseRequest,
     wait: Wait,
 }
 
@@ -45,79 +45,83 @@
     /// Number of the last requested quorum confirmation, and when it was requested.
     quorum_number: u64,
     quorum_asked_at: Option<Time>,
-    began: bool,
-    order: Option<(Member, Member)>,
+    token_floor_proposed: bool,
+    replacement: Option<(Member, Member)>,
     configuration_step_at: Time,
 }
 
 impl Leader {
     /// Starts the state of a new leader.
-    pub fn begin(now: Time) -> Leader {
-        Leader { granter: LeaseGranter::begin(now), ..Leader::default() }
+    pub fn new(now: Time) -> Leader {
+        Leader { granter: LeaseGranter::new(now), ..Leader::default() }
     }
 
     /// Handles a lease request. Returns a response if none of it needs a majority.
-    pub fn ask<D: LogStore>(
+    pub fn handle_request<D: LogStore>(
         &mut self,
         now: Time,
         from: Member,
-        ask: LeaseRequest,
+        request: LeaseRequest,
         replica: &mut RaftReplica<D>,
         timing: &Timing,
     ) -> Option<LeaseResponse> {
-        if let Some(dead) =
-            replica.ledger().latest_dead(ask.incarnation.member).filter(|dead| ask.incarnation <= *dead)
+        if let Some(dead) = replica
+            .ledger()
+            .latest_dead(request.incarnation.member)
+            .filter(|dead| request.incarnation <= *dead)
         {
             return Some(LeaseResponse {
-                number: ask.number,
+                number: request.number,
                 outcome: LeaseOutcome::DeclaredDead(dead.number),
             });
         }
-        if self.pending.len() >= MAX_PENDING_REQUESTS || ask.incarnation.member != from {
+        if self.pending.len() >= MAX_PENDING_REQUESTS || request.incarnation.member != from {
             return None;
         }
         // A member has one open request at a time, so a new one replaces the old one.
         self.pending.retain(|p| p.from != from);
         let mut last = None;
-        let commands = ask
+        let commands = request
             .release
             .iter()
             .map(|(resource, token)| Command::Release { resource: resource.clone(), token: *token });
         let commands = commands.chain(
-            ask.settle
+            request
+                .settle
                 .iter()
                 .map(|(incarnation, token)| Command::Settle { incarnation: *incarnation, token: *token }),
         );
         for command in commands {
             last = replica.propose(command).or(last);
         }
-        for resource in &ask.want {
-            let of_other = resource.is_incarnation() && *resource != Resource::incarnation(ask.incarnation);
+        for resource in &request.want {
+            let other_incarnation =
+                resource.is_incarnation() && *resource != Resource::incarnation(request.incarnation);
             let held = replica.ledger().grant(resource);
-            let has = held.is_some_and(|g| g.holder == ask.incarnation);
-            let free = self.granter.is_free(resource, replica.ledger(), now, timing);
-            if of_other || has || !free || self.proposed.contains_key(resource) {
+            let already_held = held.is_some_and(|g| g.holder == request.incarnation);
+            let free = self.granter.is_grantable(resource, replica.ledger(), now, timing);
+            if other_incarnation || already_held || !free || self.proposed.contains_key(resource) {
                 continue;
             }
             let expect = held.map_or(0, |g| g.token);
-            let command = Command::Grant { resource: resource.clone(), holder: ask.incarnation, expect };
+            let command = Command::Grant { resource: resource.clone(), holder: request.incarnation, expect };
             if let Some(index) = replica.propose(command) {
                 self.proposed.insert(resource.clone(), index);
                 last = Some(index);
             }
         }
         let wait = last.map_or(Wait::Quorum(self.quorum_number + 1), Wait::Entry);
-        self.pending.push(Pending { from, ask, wait });
+        self.pending.push(Pending { from, request, wait });
         None
     }
 
     /// Requests a quorum confirmation if a request waits for one and none is in progress.
     pub fn confirm<D: LogStore>(&mut self, now: Time, replica: &mut RaftReplica<D>, timing: &Timing) {
-        let late = self.quorum_asked_at.is_some_and(|at| now >= at + timing.tick_interval * 4);
-        if self.quorum_asked_at.is_some() && !late {
+        let overdue = self.quorum_asked_at.is_some_and(|at| now >= at + timing.tick_interval * 4);
+        if self.quorum_asked_at.is_some() && !overdue {
             return;
         }
-        if late || self.pending.iter().any(|p| p.wait == Wait::Quorum(self.quorum_number + 1)) {
+        if overdue || self.pending.iter().any(|p| p.wait == Wait::Quorum(self.quorum_number + 1)) {
             self.quorum_number += 1;
             self.quorum_asked_at = Some(now);
             replica.confirm(self.quorum_number);
@@ -125,7 +129,7 @@
     }
 
     /// A majority has confirmed the leadership since the confirmation with this number was requested.
-    pub fn confirmed<D: LogStore>(
+    pub fn handle_confirmation<D: LogStore>(
         &mut self,
         now: Time,
         number: u64,
@@ -139,7 +143,7 @@
     }
 
     /// The entry at this index was applied.
-    pub fn applied<D: LogStore>(
+    pub fn handle_applied<D: LogStore>(
         &mut self,
         now: Time,
         index: u64,
@@ -148,7 +152,7 @@
         timing: &Timing,
     ) -> Vec<(Member, LeaseResponse)> {
         if let Effect::Granted(resource, _) = effect {
-            self.granter.renewed(resource, now, timing);
+            self.granter.record_renewal(resource, now, timing);
         }
         self.proposed.retain(|_, at| *at > index);
         self.declaring_dead.retain(|_, at| *at > index);
@@ -165,43 +169,47 @@
         let (now_ready, rest): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.pending).into_iter().partition(|p| ready(p.wait));
         self.pending = rest;
-        let answers = now_ready.into_iter().map(|p| (p.from, self.response(now, p.ask, replica, timing)));
+        let answers = now_ready.into_iter().map(|p| (p.from, self.response(now, p.request, replica, timing)));
         answers.collect()
     }
 
     fn response<D: LogStore>(
         &mut self,
         now: Time,
-        ask: LeaseRequest,
+        request: LeaseRequest,
         replica: &RaftReplica<D>,
         timing: &Timing,
     ) -> LeaseResponse {
         let ledger = replica.ledger();
-        let number = ask.number;
-        if let Some(dead) = ledger.latest_dead(ask.incarnation.member).filter(|dead| ask.incarnation <= *dead)
+        let number = request.number;
+        if let Some(dead) =
+            ledger.latest_dead(request.incarnation.member).filter(|dead| request.incarnation <= *dead)
         {
             return LeaseResponse { number, outcome: LeaseOutcome::DeclaredDead(dead.number) };
         }
         let (mut resources, mut others) = (Vec::new(), Vec::new());
-        let renew = ask.renew.into_iter().map(|(resource, token)| (resource, Some(token)));
-        let known = ask.want.into_iter().chain(ask.watch).map(|resource| (resource, None));
+        let renew = request.renew.into_iter().map(|(resource, token)| (resource, Some(token)));
+        let known = request.want.into_iter().chain(request.watch).map(|resource| (resource, None));
         for (resource, token) in renew.chain(known) {
             let Some(grant) = ledger.grant(&resource) else { continue };
             // A lease that is being granted to another member no longer has a holder.
-            let going = self.proposed.contains_key(&resource);
-            if grant.holder == ask.incarnation && token.is_none_or(|t| t == grant.token) && !going {
-                self.granter.renewed(&resource, now, timing);
+            let being_granted = self.proposed.contains_key(&resource);
+            if grant.holder == request.incarnation && token.is_none_or(|t| t == grant.token) && !being_granted
+            {
+                self.granter.record_renewal(&resource, now, timing);
                 resources.push((resource, grant.token));
-            } else if grant.holder != ask.incarnation && !self.granter.has_expired(&resource, now, timing) {
+            } else if grant.holder != request.incarnation && !self.granter.has_expired(&resource, now, timing)
+            {
                 // A member whose lease has expired no longer owns the resource, even if the ledger still lists it.
                 others.push((resource, grant.holder, grant.token));
             }
         }
-        let open = |incarnation: &&Incarnation| {
+        let available = |incarnation: &&Incarnation| {
             let resource = Resource::orphaned_work(**incarnation);
-            self.granter.is_free(&resource, ledger, now, timing)
+            self.granter.is_grantable(&resource, ledger, now, timing)
         };
-        let orphaned_work = ledger.orphaned_work().iter().filter(open).take(MAX_OFFERED).copied().collect();
+        let orphaned_work =
+            ledger.orphaned_work().iter().filter(available).take(MAX_OFFERED).copied().collect();
         let mut voters: Vec<Member> =
             replica.configuration().0.iter().filter_map(|s| member_of(*s)).collect();
         voters.sort_unstable();
@@ -218,12 +226,12 @@
         members: &Members,
         timing: &Timing,
     ) {
-        if !self.began {
+        if !self.token_floor_proposed {
             // If the fleet was set up anew, its tokens must be greater than those of the previous fleet.
-            self.began = replica.propose(Command::Begin { floor }).is_some();
+            self.token_floor_proposed = replica.propose(Command::Begin { floor }).is_some();
         }
         self.confirm(now, replica, timing);
-        self.granter.forget(replica.ledger(), now);
+        self.granter.prune(replica.ledger(), now);
         self.declare_dead(now, replica, members, timing);
         if now >= self.configuration_step_at {
             self.configuration_step_at = now + timing.renewal_interval();
@@ -252,8 +260,8 @@
     }
 
     /// Sets the operator's order to replace one voter by another. It is carried out step by step.
-    pub fn order(&mut self, old: Member, new: Member) {
-        self.order = Some((old, new));
+    pub fn set_replacement(&mut self, old: Member, new: Member) {
+        self.replacement = Some((old, new));
     }
 
     /// Proposes the next step towards a configuration with each member's current replica: add it as a learner, remove
@@ -268,20 +276,20 @@
         let lags: HashMap<ReplicaId, u64> = replica.lags().into_iter().collect();
         for (member, replica_id) in uninitialized.iter().map(|(m, s)| (*m, *s)) {
             if voters.contains(&replica_id) {
-                if self.order.is_some_and(|(_, new)| new == member) {
-                    self.order = None;
+                if self.replacement.is_some_and(|(_, new)| new == member) {
+                    self.replacement = None;
                 }
                 continue;
             }
-            let replaced = match self.order {
+            let replaced = match self.replacement {
                 Some((old, new)) if new == member => old,
                 _ => member,
             };
             let old = voters.iter().copied().find(|s| member_of(*s) == Some(replaced));
-            let learns = learners.contains(&replica_id);
+            let is_learner = learners.contains(&replica_id);
             // A learner without a predecessor was added by an earlier step and is promoted. Any other replica without
             // a predecessor belongs to a member that is not a voter.
-            let step = match (learns, old) {
+            let step = match (is_learner, old) {
                 (false, Some(_)) => Some((replica_id, ConfigurationStep::AddLearner)),
                 (true, Some(old)) if lags.get(&replica_id).is_some_and(|lag| *lag <= MAX_LAG_TO_VOTE) => {
                     Some((old, ConfigurationStep::Remove))
@@ -290,7 +298,7 @@
                 _ => None,
             };
             if let Some((replica_id, step)) = step {
-                let _ = replica.change(replica_id, step);
+                let _ = replica.change_configuration(replica_id, step);
                 return;
             }
         }
--- a/fleet/src/lease.rs
+++ b/fleet/src/lease.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 /// Maximum number of requests whose responses are still accepted.
-const MOST_OPEN: usize = 32;
+const MAX_OPEN_REQUESTS: usize = 32;
 
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 struct Held {
@@ -18,9 +18,9 @@
 pub struct Leases {
     held: BTreeMap<Resource, Held>,
     /// The time at which each unanswered request was sent.
-    asked: BTreeMap<u64, Time>,
+    open_requests: BTreeMap<u64, Time>,
     /// The time of the last clock check.
-    seen: Time,
+    last_check: Time,
 }
 
 impl Leases {
@@ -28,40 +28,40 @@
     /// are dropped; otherwise those that have expired. Returns the lost resources and whether the process was
     /// suspended.
     pub fn check_clock(&mut self, now: Time, timing: &Timing) -> (Vec<Resource>, bool) {
-        let stopped = now.saturating_sub(self.seen) > timing.stall_threshold();
-        self.seen = self.seen.max(now);
-        if stopped {
+        let suspended = now.saturating_sub(self.last_check) > timing.stall_threshold();
+        self.last_check = self.last_check.max(now);
+        if suspended {
             // Responses to requests from before the suspension are too old to be trusted.
-            self.asked.clear();
+            self.open_requests.clear();
         }
-        let over = |held: &Held| stopped || held.until <= now;
+        let over = |held: &Held| suspended || held.until <= now;
         let lost: Vec<Resource> = self.held.iter().filter(|(_, h)| over(h)).map(|(t, _)| t.clone()).collect();
         self.held.retain(|_, h| !over(h));
-        (lost, stopped)
+        (lost, suspended)
     }
 
     /// Records that a request is sent.
-    pub fn ask(&mut self, number: u64, now: Time) {
-        self.asked.insert(number, now);
-        while self.asked.len() > MOST_OPEN {
-            self.asked.pop_first();
+    pub fn record_request(&mut self, number: u64, now: Time) {
+        self.open_requests.insert(number, now);
+        while self.open_requests.len() > MAX_OPEN_REQUESTS {
+            self.open_requests.pop_first();
         }
     }
 
     /// Applies a response. The leases count from the time of the request, not from now. Returns the newly held
     /// resources.
-    pub fn granted(
+    pub fn apply_response(
         &mut self,
         number: u64,
         resources: &[(Resource, Token)],
         timing: &Timing,
     ) -> Vec<(Resource, Token)> {
-        let Some(asked) = self.asked.remove(&number) else { return Vec::new() };
+        let Some(asked) = self.open_requests.remove(&number) else { return Vec::new() };
         let until = asked + timing.lease_validity();
         let mut new = Vec::new();
         for (resource, token) in resources {
             let old = self.held.get(resource).copied();
-            if old.is_some_and(|old| old.token > *token) || until <= self.seen {
+            if old.is_some_and(|old| old.token > *token) || until <= self.last_check {
                 continue;
             }
             if old.is_none_or(|old| old.token < *token) {
@@ -76,7 +76,7 @@
     /// Returns the token under which an operation on a resource may begin right now, or `None` if it may not. If the
     /// last clock check is too long ago, the process was suspended and no operation is permitted.
     pub fn permit(&self, resource: &Resource, now: Time, timing: &Timing) -> Option<Token> {
-        let awake = now.saturating_sub(self.seen) <= timing.stall_threshold();
+        let awake = now.saturating_sub(self.last_check) <= timing.stall_threshold();
         self.held.get(resource).filter(|held| awake && now < held.until).map(|held| held.token)
     }
 
@@ -86,8 +86,8 @@
     }
 
     /// Gives up all resources and returns them.
-    pub fn drop_all(&mut self) -> Vec<Resource> {
-        self.asked.clear();
+    pub fn clear(&mut self) -> Vec<Resource> {
+        self.open_requests.clear();
         std::mem::take(&mut self.held).into_keys().collect()
     }
 
@@ -110,9 +110,9 @@
         let (timing, resource) = (Timing::default(), Resource::new("probe/a").expect("a name"));
         let mut leases = Leases::default();
         leases.check_clock(ms(0), &timing);
-        leases.ask(1, ms(100));
+        leases.record_request(1, ms(100));
         leases.check_clock(ms(400), &timing);
-        assert_eq!(leases.granted(1, &[(resource.clone(), 7)], &timing), [(resource.clone(), 7)]);
+        assert_eq!(leases.apply_response(1, &[(resource.clone(), 7)], &timing), [(resource.clone(), 7)]);
         (leases, resource, timing)
     }
 
@@ -142,14 +142,14 @@
     #[test]
     fn an_answer_to_what_was_asked_before_a_stop_grants_nothing() {
         let (mut leases, resource, timing) = held();
-        leases.ask(2, ms(420));
+        leases.record_request(2, ms(420));
         leases.check_clock(ms(1000), &timing);
-        assert!(leases.granted(2, &[(resource.clone(), 7)], &timing).is_empty());
+        assert!(leases.apply_response(2, &[(resource.clone(), 7)], &timing).is_empty());
         assert_eq!(leases.permit(&resource, ms(1000), &timing), None);
         // Neither a response without a request nor one that arrives after its lease has expired grants anything.
-        assert!(leases.granted(9, &[(resource.clone(), 8)], &timing).is_empty());
-        leases.ask(3, ms(1000));
+        assert!(leases.apply_response(9, &[(resource.clone(), 8)], &timing).is_empty());
+        leases.record_request(3, ms(1000));
         (1..6).for_each(|n| drop(leases.check_clock(ms(1000 + n * 400), &timing)));
-        assert!(leases.granted(3, &[(resource, 8)], &timing).is_empty());
+        assert!(leases.apply_response(3, &[(resource, 8)], &timing).is_empty());
     }
 }
--- a/fleet/src/lease_client.rs
+++ b/fleet/src/lease_client.rs
@@ -19,20 +19,20 @@
     releases: Vec<(Resource, Token)>,
     settles: Vec<(Incarnation, Token)>,
     /// Current holders of the wanted resources.
-    others: BTreeMap<Resource, (Incarnation, Token)>,
+    holders: BTreeMap<Resource, (Incarnation, Token)>,
     voters: Vec<Member>,
     leader: Option<Member>,
     /// The unanswered request: its number, when it was sent, and to which member.
     open: Option<(u64, Time, Member)>,
     number: u64,
     next_at: Time,
-    turn: usize,
+    next_voter: usize,
     /// The time since which no leader has answered.
     unanswered_since: Option<Time>,
     /// Whether the last request tried to acquire a resource.
-    waits: bool,
+    waiting: bool,
     /// Wanted resources without an owner, and since when they have none.
-    free: BTreeMap<Resource, Time>,
+    unowned: BTreeMap<Resource, Time>,
 }
 
 /// The result of a response.
@@ -47,23 +47,23 @@
 
 impl LeaseClient {
     /// Creates a client that uses these voters until a response names others.
-    pub fn new(voters: Vec<Member>, turn: usize) -> LeaseClient {
+    pub fn new(voters: Vec<Member>, next_voter: usize) -> LeaseClient {
         LeaseClient {
             wanted: BTreeSet::new(),
             recovers: false,
             offered: Vec::new(),
             releases: Vec::new(),
             settles: Vec::new(),
-            others: BTreeMap::new(),
+            holders: BTreeMap::new(),
             voters,
             leader: None,
             open: None,
             number: 0,
             next_at: Time::ZERO,
-            turn,
+            next_voter,
             unanswered_since: None,
-            waits: false,
-            free: BTreeMap::new(),
+            waiting: false,
+            unowned: BTreeMap::new(),
         }
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// Discards the open request and pending releases when a new incarnation begins.
-    pub fn reborn(&mut self) {
+    pub fn reset(&mut self) {
         (self.open, self.next_at) = (None, Time::ZERO);
         self.releases.clear();
         self.settles.clear();
@@ -104,7 +104,7 @@
         &mut self,
         now: Time,
         me: Incarnation,
-        here: &[Member],
+        active: &[Member],
         leases: &Leases,
         timing: &Timing,
     ) -> Option<(Member, LeaseRequest)> {
@@ -123,8 +123,8 @@
             return None;
         }
         let to = self.leader.unwrap_or_else(|| {
-            self.turn += 1;
-            self.voters[self.turn % self.voters.len()]
+            self.next_voter += 1;
+            self.voters[self.next_voter % self.voters.len()]
         });
         let held: BTreeSet<&Resource> = leases.all().map(|(resource, ..)| resource).collect();
         let own = Resource::incarnation(me);
@@ -142,15 +142,15 @@
         for resource in wanted.filter(|t| !held.contains(t)) {
             // The highest-ranked candidates may all have failed without this being known yet. After half a lease,
             // every member may request the resource.
-            let late =
-                self.free.get(&resource).is_some_and(|since| now >= *since + timing.lease_duration / 2);
-            match late || is_candidate(&resource, me.member, here, self.leader) {
+            let overdue =
+                self.unowned.get(&resource).is_some_and(|since| now >= *since + timing.lease_duration / 2);
+            match overdue || is_candidate(&resource, me.member, active, self.leader) {
                 true => want.push(resource),
                 false => watch.push(resource),
             }
         }
         watch.truncate(MAX_RESOURCES_PER_REQUEST / 8);
-        self.waits = !want.is_empty();
+        self.waiting = !want.is_empty();
         let mut renew: Vec<(Resource, Token)> =
             leases.all().map(|(t, token, _)| (t.clone(), token)).collect();
         renew.truncate(MAX_RESOURCES_PER_REQUEST / 2);
@@ -193,22 +193,23 @@
                     self.voters = voters;
                 }
                 self.offered = orphaned_work;
-                self.others = others
+                self.holders = others
                     .into_iter()
                     .map(|(resource, incarnation, token)| (resource, (incarnation, token)))
                     .collect();
                 let has = |resource: &Resource| resources.iter().any(|(t, _)| t == resource);
-                let free = |t: &&Resource| !has(t) && !self.others.contains_key(t);
+                let free = |t: &&Resource| !has(t) && !self.holders.contains_key(t);
                 let free: Vec<Resource> = self.wanted.iter().filter(free).cloned().collect();
-                self.free.retain(|resource, _| free.contains(resource));
+                self.unowned.retain(|resource, _| free.contains(resource));
                 for resource in free {
-                    self.free.entry(resource).or_insert(now);
+                    self.unowned.entry(resource).or_insert(now);
                 }
-                let lacks = self.wanted.iter().any(|t| !has(t) && !self.others.contains_key(t));
+                let lacks = self.wanted.iter().any(|t| !has(t) && !self.holders.contains_key(t));
                 // A member waiting for a resource retries more often, since this determines how long the resource
                 // stays without an owner.
-                let wants = lacks || self.waits;
-                self.next_at = now + if wants { timing.retry_interval() } else { timing.renewal_interval() };
+                let acquiring = lacks || self.waiting;
+                self.next_at =
+                    now + if acquiring { timing.retry_interval() } else { timing.renewal_interval() };
                 LeaseReply::Held(open, resources)
             }
         }
@@ -216,7 +217,7 @@
 
     /// The holder of a resource, as of the last response from the leader.
     pub fn holder(&self, resource: &Resource) -> Option<(Incarnation, Token)> {
-        self.others.get(resource).copied()
+        self.holders.get(resource).copied()
     }
 
     /// The time since which no leader has answered; `None` while one does.
@@ -235,14 +236,14 @@
     }
 }
 
-fn take<T>(from: &mut Vec<T>, most: usize) -> Vec<T> {
-    let rest = from.split_off(from.len().min(most));
+fn take<T>(from: &mut Vec<T>, max: usize) -> Vec<T> {
+    let rest = from.split_off(from.len().min(max));
     std::mem::replace(from, rest)
 }
 
 /// Whether a member ranks high enough to request a resource. Each resource has its own ranking. The leader is last in
 /// all of them, so that the owner of a resource and the member that grants it do not fail together.
-fn is_candidate(resource: &Resource, me: Member, here: &[Member], leader: Option<Member>) -> bool {
+fn is_candidate(resource: &Resource, me: Member, active: &[Member], leader: Option<Member>) -> bool {
     let rank = |member: Member| {
         let mut hasher = blake3::Hasher::new();
         hasher.update(resource.name().as_bytes());
@@ -252,7 +253,7 @@
         (Some(member) == leader, number)
     };
     let mine = rank(me);
-    here.iter().filter(|m| **m != me && rank(**m) < mine).count() < CANDIDATES_PER_RESOURCE
+    active.iter().filter(|m| **m != me && rank(**m) < mine).count() < CANDIDATES_PER_RESOURCE
 }
 
 #[cfg(test)]
@@ -260,14 +261,14 @@
     use super::*;
 
     #[test]
-    fn few_are_candidates_for_a_thing_and_the_leader_last() {
-        let here: Vec<Member> = (0..50).map(Member).collect();
+    fn few_members_are_candidates_for_a_resource_and_the_leader_is_last() {
+        let active: Vec<Member> = (0..50).map(Member).collect();
         for name in ["probe/a", "probe/b", "ledger"] {
             let resource = Resource::new(name).expect("a name");
             let first: Vec<Member> =
-                here.iter().copied().filter(|m| is_candidate(&resource, *m, &here, None)).collect();
+                active.iter().copied().filter(|m| is_candidate(&resource, *m, &active, None)).collect();
             assert_eq!(first.len(), CANDIDATES_PER_RESOURCE, "{name}");
-            assert!(!is_candidate(&resource, first[0], &here, Some(first[0])));
+            assert!(!is_candidate(&resource, first[0], &active, Some(first[0])));
             // A lone member requests everything.
             assert!(is_candidate(&resource, first[0], &first[..1], Some(first[0])));
         }
--- a/fleet/src/ledger.rs
+++ b/fleet/src/ledger.rs
@@ -23,11 +23,10 @@
 /// A command to be agreed on by the voters.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Command {
-    /// From now on, tokens are greater than this value.
-    /// Raises the token counter at the start of a leader's term.
+    /// Raises the token counter at the start of a leader's term: from now on, tokens are greater than `floor`.
     Begin {
-        /// The wall-clock time at the start of the leader's term, as a number that grows faster than tokens are
-        /// issued.
+        /// Derived from the wall-clock time at which the leader's process started, so that it grows faster than
+        /// tokens are issued.
         floor: Token,
     },
     /// Grants a resource if its current token is still `expect` (0 if it has no holder).
--- a/fleet/src/link.rs
+++ b/fleet/src/link.rs
@@ -22,25 +22,25 @@
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum LinkError {
     /// The peer does not speak the link protocol.
-    #[error("it does not speak as members do")]
+    #[error("the peer does not speak the link protocol")]
     Malformed,
     /// The peer uses another version of the frame format.
-    #[error("it speaks version {0} of the frames, this member speaks {VERSION}")]
+    #[error("the peer uses frame version {0}, this member uses version {VERSION}")]
     UnsupportedVersion(u16),
     /// The peer does not know the key.
-    #[error("its key is another")]
+    #[error("the peer has a different key")]
     WrongKey,
     /// The peer closed the link before it had proved knowledge of the key. It may have a different key.
-    #[error("it ended the link before it proved that it knows the key")]
+    #[error("the peer closed the link before it had proved that it knows the key")]
     ClosedBeforeProof,
     /// The peer is not the expected member.
-    #[error("it is member {0}, which is not the member that was called, or is not in the member list")]
+    #[error("the peer is member {0}, which is not the expected member or is not in the member list")]
     UnexpectedMember(u16),
     /// A frame exceeds the size limit.
-    #[error("a frame of {0} bytes, {MAX_FRAME_BYTES} are the most")]
+    #[error("frame of {0} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes")]
     FrameTooLong(usize),
     /// A frame was modified, or is out of sequence.
-    #[error("a frame whose tag does not fit it")]
+    #[error("frame with a wrong tag")]
     BadTag,
 }
 
@@ -106,8 +106,8 @@
     bytes: Vec<u8>,
 }
 
-fn frame(words: &impl Serialize) -> Vec<u8> {
-    let body = postcard::to_stdvec(words).unwrap_or_default();
+fn encode_handshake(message: &impl Serialize) -> Vec<u8> {
+    let body = postcard::to_stdvec(message).unwrap_or_default();
     let mut out = MAGIC.to_vec();
     out.extend_from_slice(&VERSION.to_be_bytes());
     out.extend_from_slice(&(body.len() as u16).to_be_bytes());
@@ -116,7 +116,9 @@
 }
 
 /// Takes one complete handshake message from the front of the buffer. Returns `None` until it is complete.
-fn unframe<T: for<'de> Deserialize<'de>>(bytes: &mut Vec<u8>) -> Result<Option<(T, Vec<u8>)>, LinkError> {
+fn decode_handshake<T: for<'de> Deserialize<'de>>(
+    bytes: &mut Vec<u8>,
+) -> Result<Option<(T, Vec<u8>)>, LinkError> {
     let known = bytes.len().min(MAGIC.len());
     if bytes[..known] != MAGIC[..known] {
         return Err(LinkError::Malformed);
@@ -136,27 +138,27 @@
         return Ok(None);
     }
     let whole: Vec<u8> = bytes.drain(..8 + size).collect();
-    let words = postcard::from_bytes(&whole[8..]).map_err(|_| LinkError::Malformed)?;
-    Ok(Some((words, whole)))
+    let message = postcard::from_bytes(&whole[8..]).map_err(|_| LinkError::Malformed)?;
+    Ok(Some((message, whole)))
 }
 
 /// The handshake so far and the role of the side that signs it. Both sides prove knowledge of the key over this.
-fn transcript(role: &[u8], hello: &[u8], welcome: &Welcome) -> Vec<u8> {
-    let bare = Welcome { proof: [0; TAG_BYTES], ..welcome.clone() };
+fn handshake_transcript(role: &[u8], hello: &[u8], welcome: &Welcome) -> Vec<u8> {
+    let unsigned = Welcome { proof: [0; TAG_BYTES], ..welcome.clone() };
     let mut all = role.to_vec();
     all.extend_from_slice(hello);
-    all.extend_from_slice(&frame(&bare));
+    all.extend_from_slice(&encode_handshake(&unsigned));
     all
 }
 
-fn session(keys: &KeyRing, talk: &[u8]) -> [u8; 32] {
+fn link_key(keys: &KeyRing, transcript: &[u8]) -> [u8; 32] {
     let mut out = [0; 32];
-    out[..TAG_BYTES].copy_from_slice(&keys.seal(&[b"first ", talk].concat()));
-    out[TAG_BYTES..].copy_from_slice(&keys.seal(&[b"second", talk].concat()));
+    out[..TAG_BYTES].copy_from_slice(&keys.seal(&[b"first ", transcript].concat()));
+    out[TAG_BYTES..].copy_from_slice(&keys.seal(&[b"second", transcript].concat()));
     out
 }
 
-fn check(peer: Incarnation, members: u16) -> Result<(), LinkError> {
+fn check_member(peer: Incarnation, members: u16) -> Result<(), LinkError> {
     if peer.member.0 < members {
         Ok(())
     } else {
@@ -175,7 +177,7 @@
 impl ClientHandshake {
     /// Starts a handshake with a member. Returns the first bytes to send. `nonce` must be fresh.
     pub fn new(identity: LocalIdentity, to: Member, nonce: [u8; 16]) -> (ClientHandshake, Vec<u8>) {
-        let hello = frame(&Hello {
+        let hello = encode_handshake(&Hello {
             incarnation: identity.incarnation,
             nonce,
             member_list_digest: identity.member_list_digest,
@@ -190,21 +192,21 @@
     /// The peer is not acceptable and the link must be closed.
     pub fn receive(&mut self, bytes: &[u8]) -> Result<Option<(Vec<u8>, Peer, Sealer)>, LinkError> {
         self.bytes.extend_from_slice(bytes);
-        let Some((welcome, _)) = unframe::<Welcome>(&mut self.bytes)? else { return Ok(None) };
+        let Some((welcome, _)) = decode_handshake::<Welcome>(&mut self.bytes)? else { return Ok(None) };
         let keys = &self.identity.keys;
-        if !keys.opens(&transcript(b"called", &self.hello, &welcome), &welcome.proof) {
+        if !keys.opens(&handshake_transcript(b"called", &self.hello, &welcome), &welcome.proof) {
             return Err(LinkError::WrongKey);
         }
-        check(welcome.incarnation, self.identity.members)?;
+        check_member(welcome.incarnation, self.identity.members)?;
         if welcome.incarnation.member != self.to {
             return Err(LinkError::UnexpectedMember(welcome.incarnation.member.0));
         }
-        let talk = transcript(b"caller", &self.hello, &welcome);
+        let transcript = handshake_transcript(b"caller", &self.hello, &welcome);
         let same_member_list = welcome.member_list_digest == self.identity.member_list_digest;
         let Welcome { incarnation, known, here, .. } = welcome;
         let peer = Peer { incarnation, known_incarnation: known, duplicate: here, same_member_list };
-        let sealer = Sealer { key: session(keys, &talk), count: 0 };
-        Ok(Some((keys.seal(&talk).to_vec(), peer, sealer)))
+        let sealer = Sealer { key: link_key(keys, &transcript), count: 0 };
+        Ok(Some((keys.seal(&transcript).to_vec(), peer, sealer)))
     }
 }
 
@@ -213,7 +215,7 @@
     identity: LocalIdentity,
     nonce: [u8; 16],
     bytes: Vec<u8>,
-    talk: Option<(Vec<u8>, Peer)>,
+    transcript: Option<(Vec<u8>, Peer)>,
 }
 
 /// Progress of the accepting side.
@@ -229,7 +231,7 @@
 impl ServerHandshake {
     /// Accepts a connection. `nonce` must be fresh.
     pub fn new(identity: LocalIdentity, nonce: [u8; 16]) -> ServerHandshake {
-        ServerHandshake { identity, nonce, bytes: Vec::new(), talk: None }
+        ServerHandshake { identity, nonce, bytes: Vec::new(), transcript: None }
     }
 
     /// Handles received bytes. `known` returns the newest known incarnation of a member; `here` returns whether a
@@ -245,17 +247,17 @@
     ) -> Result<HandshakeStep, LinkError> {
         self.bytes.extend_from_slice(bytes);
         let keys = &self.identity.keys;
-        let Some((talk, peer)) = &self.talk else {
-            let Some((hello, whole)) = unframe::<Hello>(&mut self.bytes)? else {
+        let Some((transcript, peer)) = &self.transcript else {
+            let Some((hello, whole)) = decode_handshake::<Hello>(&mut self.bytes)? else {
                 return Ok(HandshakeStep::Incomplete);
             };
-            check(hello.incarnation, self.identity.members)?;
+            check_member(hello.incarnation, self.identity.members)?;
             let (incarnation, nonce, member_list_digest) =
                 (self.identity.incarnation, self.nonce, self.identity.member_list_digest);
             let (known, here) = (known(hello.incarnation.member), here(hello.incarnation));
             let mut welcome =
                 Welcome { incarnation, nonce, member_list_digest, known, here, proof: [0; TAG_BYTES] };
-            welcome.proof = keys.seal(&transcript(b"called", &whole, &welcome));
+            welcome.proof = keys.seal(&handshake_transcript(b"called", &whole, &welcome));
             let same_member_list = hello.member_list_digest == member_list_digest;
             let peer = Peer {
                 incarnation: hello.incarnation,
@@ -263,16 +265,16 @@
                 duplicate: false,
                 same_member_list,
             };
-            self.talk = Some((transcript(b"caller", &whole, &welcome), peer));
-            return Ok(HandshakeStep::Send(frame(&welcome)));
+            self.transcript = Some((handshake_transcript(b"caller", &whole, &welcome), peer));
+            return Ok(HandshakeStep::Send(encode_handshake(&welcome)));
         };
         let Some(proof) = self.bytes.first_chunk::<TAG_BYTES>() else { return Ok(HandshakeStep::Incomplete) };
-        if !keys.opens(talk, proof) {
+        if !keys.opens(transcript, proof) {
             return Err(LinkError::WrongKey);
         }
         // The key of the link is derived from the key that the connecting side proved. During a key rotation that may
         // be the second one.
-        let key = keys.either(talk, proof, |one| session(one, talk));
+        let key = keys.either(transcript, proof, |one| link_key(one, transcript));
         let rest = self.bytes.split_off(TAG_BYTES);
         Ok(HandshakeStep::Established(*peer, Opener { key, count: 0, bytes: rest }))
     }
@@ -319,8 +321,8 @@
             return Ok(None);
         }
         let body = self.bytes[4 + TAG_BYTES..whole].to_vec();
-        let fits = blake3::Hash::from_bytes(widen(&tag(&self.key, self.count, &body)))
-            == blake3::Hash::from_bytes(widen(&self.bytes[4..4 + TAG_BYTES]));
+        let fits = blake3::Hash::from_bytes(padded(&tag(&self.key, self.count, &body)))
+            == blake3::Hash::from_bytes(padded(&self.bytes[4..4 + TAG_BYTES]));
         if !fits {
             return Err(LinkError::BadTag);
         }
@@ -331,7 +333,7 @@
 }
 
 /// Pads a tag to a hash, because hashes are compared in constant time.
-fn widen(tag: &[u8]) -> [u8; 32] {
+fn padded(tag: &[u8]) -> [u8; 32] {
     let mut out = [0; 32];
     out[..TAG_BYTES].copy_from_slice(tag);
     out
--- a/fleet/src/members.rs
+++ b/fleet/src/members.rs
@@ -71,7 +71,7 @@
 }
 
 /// Encodes gossip messages in the same compact format as all frames.
-struct Compact;
+struct PostcardCodec;
 
 #[derive(Debug)]
 struct Malformed(postcard::Error);
@@ -84,7 +84,7 @@
 
 impl std::error::Error for Malformed {}
 
-fn put(value: &impl serde::Serialize, mut to: impl BufMut) -> Result<(), Malformed> {
+fn encode(value: &impl serde::Serialize, mut to: impl BufMut) -> Result<(), Malformed> {
     let bytes = postcard::to_stdvec(value).map_err(Malformed)?;
     if to.remaining_mut() < bytes.len() {
         return Err(Malformed(postcard::Error::SerializeBufferFull));
@@ -93,7 +93,7 @@
     Ok(())
 }
 
-fn get<T: for<'de> serde::Deserialize<'de>>(mut from: impl Buf) -> Result<T, Malformed> {
+fn decode<T: for<'de> serde::Deserialize<'de>>(mut from: impl Buf) -> Result<T, Malformed> {
     let bytes = from.chunk();
     let (value, rest) = postcard::take_from_bytes(bytes).map_err(Malformed)?;
     let taken = bytes.len() - rest.len();
@@ -101,15 +101,15 @@
     Ok(value)
 }
 
-impl Codec<Incarnation> for Compact {
+impl Codec<Incarnation> for PostcardCodec {
     type Error = Malformed;
 
     fn encode_header(&mut self, header: &Header<Incarnation>, to: impl BufMut) -> Result<(), Malformed> {
-        put(header, to)
+        encode(header, to)
     }
 
     fn decode_header(&mut self, from: impl Buf) -> Result<Header<Incarnation>, Malformed> {
-        get(from)
+        decode(from)
     }
 
     fn encode_member(
@@ -117,71 +117,71 @@
         member: &foca::Member<Incarnation>,
         to: impl BufMut,
     ) -> Result<(), Malformed> {
-        put(member, to)
+        encode(member, to)
     }
 
     fn decode_member(&mut self, from: impl Buf) -> Result<foca::Member<Incarnation>, Malformed> {
-        get(from)
+        decode(from)
     }
 }
 
 /// A scheduled timer of the gossip protocol, ordered so that the heap yields the earliest first.
-struct Due(Time, u64, Timer<Incarnation>);
+struct ScheduledTimer(Time, u64, Timer<Incarnation>);
 
-impl PartialEq for Due {
-    fn eq(&self, other: &Due) -> bool {
+impl PartialEq for ScheduledTimer {
+    fn eq(&self, other: &ScheduledTimer) -> bool {
         (self.0, self.1) == (other.0, other.1)
     }
 }
 
-impl Eq for Due {}
+impl Eq for ScheduledTimer {}
 
-impl PartialOrd for Due {
-    fn partial_cmp(&self, other: &Due) -> Option<std::cmp::Ordering> {
+impl PartialOrd for ScheduledTimer {
+    fn partial_cmp(&self, other: &ScheduledTimer) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
-    fn cmp(&self, other: &Due) -> std::cmp::Ordering {
+impl Ord for ScheduledTimer {
+    fn cmp(&self, other: &ScheduledTimer) -> std::cmp::Ordering {
         (other.0, other.1).cmp(&(self.0, self.1))
     }
 }
 
 /// Effects requested by the gossip protocol, collected until they are carried out.
 #[derive(Default)]
-struct Asked {
+struct QueuedEffects {
     now: Time,
     count: u64,
-    timers: BinaryHeap<Due>,
-    out: Vec<(Member, Vec<u8>)>,
-    news: Vec<OwnedNotification<Incarnation>>,
+    timers: BinaryHeap<ScheduledTimer>,
+    messages: Vec<(Member, Vec<u8>)>,
+    notifications: Vec<OwnedNotification<Incarnation>>,
 }
 
-impl Runtime<Incarnation> for &mut Asked {
+impl Runtime<Incarnation> for &mut QueuedEffects {
     fn notify(&mut self, notification: foca::Notification<'_, Incarnation>) {
-        self.news.push(notification.to_owned());
+        self.notifications.push(notification.to_owned());
     }
 
     fn send_to(&mut self, to: Incarnation, data: &[u8]) {
-        self.out.push((to.member, data.to_vec()));
+        self.messages.push((to.member, data.to_vec()));
     }
 
     fn submit_after(&mut self, event: Timer<Incarnation>, after: Duration) {
         self.count += 1;
-        self.timers.push(Due(self.now + after, self.count, event));
+        self.timers.push(ScheduledTimer(self.now + after, self.count, event));
     }
 }
 
 /// The membership list.
 pub struct Members {
-    foca: Foca<Incarnation, Compact, StdRng, NoCustomBroadcast>,
-    asked: Asked,
+    foca: Foca<Incarnation, PostcardCodec, StdRng, NoCustomBroadcast>,
+    effects: QueuedEffects,
     seen: BTreeMap<Member, MemberStatus>,
     me: Incarnation,
     changes: Vec<MembershipChange>,
-    refused: u64,
-    gone: bool,
+    malformed_messages: u64,
+    has_left: bool,
     join_at: Time,
     next: usize,
 }
@@ -197,13 +197,13 @@
             why: "nothing was heard of it",
         };
         Members {
-            foca: Foca::new(me, config(count, timing), StdRng::seed_from_u64(seed), Compact),
-            asked: Asked::default(),
+            foca: Foca::new(me, config(count, timing), StdRng::seed_from_u64(seed), PostcardCodec),
+            effects: QueuedEffects::default(),
             seen: all.map(|m| (m, unheard.clone())).collect(),
             me,
             changes: Vec::new(),
-            refused: 0,
-            gone: false,
+            malformed_messages: 0,
+            has_left: false,
             join_at: Time::ZERO,
             next: seed as usize % usize::from(count.max(1)),
         }
@@ -216,24 +216,24 @@
 
     /// Handles a received gossip message.
     pub fn receive(&mut self, now: Time, bytes: &[u8]) {
-        self.asked.now = now;
-        if !self.gone && self.foca.handle_data(bytes, &mut self.asked).is_err() {
-            self.refused += 1;
+        self.effects.now = now;
+        if !self.has_left && self.foca.handle_data(bytes, &mut self.effects).is_err() {
+            self.malformed_messages += 1;
         }
-        self.read();
+        self.process_notifications();
     }
 
     /// Runs due timers, and contacts members that are not active.
     pub fn tick(&mut self, now: Time) {
-        self.asked.now = now;
-        if self.gone {
+        self.effects.now = now;
+        if self.has_left {
             return;
         }
-        while self.asked.timers.peek().is_some_and(|due| due.0 <= now) {
-            let Some(Due(_, _, event)) = self.asked.timers.pop() else { break };
-            let _ = self.foca.handle_timer(event, &mut self.asked);
+        while self.effects.timers.peek().is_some_and(|due| due.0 <= now) {
+            let Some(ScheduledTimer(_, _, event)) = self.effects.timers.pop() else { break };
+            let _ = self.foca.handle_timer(event, &mut self.effects);
         }
-        // A member that knows nobody, or whose view lacks some members, announces itself to one missing member at a
+        // A member that knows nobody, or that others may have lost sight of, announces itself to one missing member at a
         // time.
         if now >= self.join_at {
             let alone = self.foca.num_members() == 0;
@@ -242,11 +242,11 @@
             if !missing.is_empty() {
                 self.next = (self.next + 1) % missing.len();
                 let to = Incarnation { member: missing[self.next], number: 0 };
-                let _ = self.foca.announce(to, &mut self.asked);
+                let _ = self.foca.announce(to, &mut self.effects);
             }
             self.join_at = now + if alone { Duration::from_millis(200) } else { Duration::from_secs(2) };
         }
-        self.read();
+        self.process_notifications();
     }
 
     /// Continues under an incarnation newer than `after`, unless the current one already is.
@@ -254,26 +254,26 @@
         if self.me.number > after {
             return;
         }
-        self.asked.now = now;
+        self.effects.now = now;
         let incarnation = Incarnation { number: after + 1, ..self.me };
-        if self.foca.change_identity(incarnation, &mut self.asked).is_ok() {
+        if self.foca.change_identity(incarnation, &mut self.effects).is_ok() {
             self.me = incarnation;
             self.changes.push(MembershipChange::NewIncarnation(incarnation));
         }
-        self.read();
+        self.process_notifications();
     }
 
     /// Announces that this process leaves.
     pub fn leave(&mut self, now: Time) {
-        self.asked.now = now;
-        if !std::mem::replace(&mut self.gone, true) {
-            let _ = self.foca.leave_cluster(&mut self.asked);
+        self.effects.now = now;
+        if !std::mem::replace(&mut self.has_left, true) {
+            let _ = self.foca.leave_cluster(&mut self.effects);
         }
-        self.read();
+        self.process_notifications();
     }
 
     /// Handles the announcement that a member leaves.
-    pub fn left(&mut self, now: Time, incarnation: Incarnation) {
+    pub fn handle_leave(&mut self, now: Time, incarnation: Incarnation) {
         let known = self.seen.get(&incarnation.member).and_then(|s| s.incarnation);
         if incarnation.member != self.me.member && known.is_none_or(|known| known <= incarnation) {
             self.set(now, incarnation, MemberState::Left, "it said that it goes");
@@ -298,11 +298,11 @@
     }
 
     /// Converts gossip notifications to membership changes.
-    fn read(&mut self) {
-        let now = self.asked.now;
+    fn process_notifications(&mut self) {
+        let now = self.effects.now;
         let mut own = None;
-        for news in std::mem::take(&mut self.asked.news) {
-            match news {
+        for notification in std::mem::take(&mut self.effects.notifications) {
+            match notification {
                 OwnedNotification::MemberUp(incarnation) => {
                     self.set(now, incarnation, MemberState::Alive, "it was heard of")
                 }
@@ -327,7 +327,7 @@
             }
         }
         // Suspicion has no notification and is read from the member list.
-        let told: Vec<(Incarnation, MemberState)> = self
+        let states: Vec<(Incarnation, MemberState)> = self
             .foca
             .iter_members()
             .map(|m| {
@@ -337,7 +337,7 @@
                 )
             })
             .collect();
-        for (incarnation, state) in told {
+        for (incarnation, state) in states {
             let why = match state {
                 MemberState::Suspect if own == Some(incarnation) => {
                     "it did not answer this member, nor others for it"
@@ -351,7 +351,7 @@
 
     /// Takes the outgoing gossip messages and their receivers.
     pub fn take_messages(&mut self) -> Vec<(Member, Vec<u8>)> {
-        std::mem::take(&mut self.asked.out)
+        std::mem::take(&mut self.effects.messages)
     }
 
     /// Takes the membership changes since the last call.
@@ -367,7 +367,7 @@
     /// The state of a member.
     pub fn state(&self, member: Member) -> MemberState {
         if member == self.me.member {
-            return if self.gone { MemberState::Left } else { MemberState::Alive };
+            return if self.has_left { MemberState::Left } else { MemberState::Alive };
         }
         self.seen.get(&member).map_or(MemberState::Unheard, |s| s.state)
     }
@@ -376,7 +376,7 @@
     pub fn active(&self) -> Vec<Member> {
         let mut all: Vec<Member> =
             self.seen.iter().filter(|(_, s)| is_active(s.state)).map(|(m, _)| *m).collect();
-        if !self.gone {
+        if !self.has_left {
             all.push(self.me.member);
         }
         all.sort_unstable();
@@ -384,8 +384,8 @@
     }
 
     /// Number of malformed messages received.
-    pub fn refused(&self) -> u64 {
-        self.refused
+    pub fn malformed_messages(&self) -> u64 {
+        self.malformed_messages
     }
 }
 
@@ -394,23 +394,29 @@
 }
 
 fn config(count: u16, timing: &Timing) -> Config {
-    let some = |n| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
+    let non_zero = |n| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
     // Each update is transmitted about three times the logarithm of the number of members.
-    let spread = 3 * (u16::BITS - count.leading_zeros()) + 4;
+    let transmissions = 3 * (u16::BITS - count.leading_zeros()) + 4;
     Config {
         probe_period: timing.probe_interval,
         probe_rtt: timing.probe_interval * 2 / 5,
-        num_indirect_probes: some(3),
-        max_transmissions: NonZeroU8::new(spread as u8).unwrap_or(NonZeroU8::MIN),
+        num_indirect_probes: non_zero(3),
+        max_transmissions: NonZeroU8::new(transmissions as u8).unwrap_or(NonZeroU8::MIN),
         suspect_to_down_after: timing.suspicion_timeout,
         remove_down_after: Some(Duration::from_secs(600)),
-        max_packet_size: some(MAX_MESSAGE_BYTES),
+        max_packet_size: non_zero(MAX_MESSAGE_BYTES),
         notify_down_members: true,
-        periodic_announce: Some(PeriodicParams { frequency: Duration::from_secs(20), num_members: some(1) }),
+        periodic_announce: Some(PeriodicParams {
+            frequency: Duration::from_secs(20),
+            num_members: non_zero(1),
+        }),
         periodic_announce_to_down_members: Some(PeriodicParams {
             frequency: Duration::from_secs(2),
-            num_members: some(1),
+            num_members: non_zero(1),
+        }),
+        periodic_gossip: Some(PeriodicParams {
+            frequency: timing.probe_interval / 2,
+            num_members: non_zero(2),
         }),
-        periodic_gossip: Some(PeriodicParams { frequency: timing.probe_interval / 2, num_members: some(2) }),
     }
 }
--- a/fleet/src/node.rs
+++ b/fleet/src/node.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// How often replicas outside the consensus group announce themselves.
-const ANNOUNCE_EVERY: Duration = Duration::from_millis(250);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Configuration of a node.
 #[derive(Clone, Debug)]
@@ -95,7 +95,7 @@
     fencing_tokens: FencingTokens,
     stale_reports: u64,
     leader: Option<Member>,
-    out: Vec<(Member, Frame)>,
+    outgoing: Vec<(Member, Frame)>,
     events: Vec<Event>,
     now: Time,
 }
@@ -113,9 +113,9 @@
             Some(RecoveredReplica { replica_id, log: Some(log), disk }) => {
                 match RaftReplica::new(replica_id, log, disk, timing, seed.rotate_left(17)) {
                     Ok(replica) => Participation::Active(Box::new(replica)),
-                    Err(words) => {
-                        events.push(Event::ReplicaFailed(words.clone()));
-                        Participation::Failed(words)
+                    Err(reason) => {
+                        events.push(Event::ReplicaFailed(reason.clone()));
+                        Participation::Failed(reason)
                     }
                 }
             }
@@ -131,7 +131,7 @@
             fencing_tokens: FencingTokens::default(),
             stale_reports: 0,
             leader: None,
-            out: Vec::new(),
+            outgoing: Vec::new(),
             events,
             now: Time::ZERO,
             config,
@@ -147,7 +147,7 @@
         if let Participation::Active(replica) = &mut self.participation {
             replica.tick();
         }
-        self.settle(now);
+        self.process_consensus(now);
         if let (Some(leading), Participation::Active(replica)) = (&mut self.leading, &mut self.participation)
         {
             let uninitialized = self.announcements.iter().map(|(m, r)| (*m, r.replica_id)).collect();
@@ -159,9 +159,9 @@
                 &self.config.timing,
             );
         }
-        self.settle(now);
+        self.process_consensus(now);
         self.request_leases(now);
-        self.changes();
+        self.process_membership();
     }
 
     /// Handles a frame from another member, received over an authenticated link.
@@ -169,7 +169,9 @@
         self.drop_expired_leases(now);
         match frame {
             Frame::Swim(bytes) => self.members.receive(now, &bytes),
-            Frame::Leave(incarnation) if incarnation.member == from => self.members.left(now, incarnation),
+            Frame::Leave(incarnation) if incarnation.member == from => {
+                self.members.handle_leave(now, incarnation)
+            }
             Frame::Leave(_) => {}
             Frame::Raft(message) if member_of(message.from) == Some(from) => self.step(now, &message),
             Frame::Raft(_) => {}
@@ -177,22 +179,24 @@
                 self.receive_announcement(from, announcement)
             }
             Frame::Announcement(_) => {}
-            Frame::LeaseRequest(ask) => self.asked(now, from, ask),
-            Frame::LeaseResponse(answer) => self.answered(now, from, answer),
-            Frame::HealthCheckRequest(look) => self.events.push(Event::HealthCheckRequested(from, look)),
+            Frame::LeaseRequest(request) => self.handle_lease_request(now, from, request),
+            Frame::LeaseResponse(response) => self.handle_lease_response(now, from, response),
+            Frame::HealthCheckRequest(request) => {
+                self.events.push(Event::HealthCheckRequested(from, request))
+            }
             Frame::OwnerReport(report) => match self.fencing_tokens.admits(&report.resource, report.token) {
                 true => self.events.push(Event::OwnerReport(from, report)),
                 false => self.stale_reports += 1,
             },
         }
-        self.changes();
+        self.process_membership();
     }
 
     /// Another member knows a newer incarnation of this member, so this process continues under an even newer one.
     pub fn handle_known_incarnation(&mut self, now: Time, number: u64) {
         if number > self.members.me().number {
             self.members.begin_incarnation(now, number);
-            self.changes();
+            self.process_membership();
         }
     }
 
@@ -201,27 +205,27 @@
         self.drop_expired_leases(now);
         if let Participation::Active(replica) = &mut self.participation {
             replica.handle_persisted(number, result);
-            self.settle(now);
+            self.process_consensus(now);
         }
-        self.changes();
+        self.process_membership();
     }
 
     /// Drops expired leases, and all leases if the process was suspended. Every entry point calls this first.
     fn drop_expired_leases(&mut self, now: Time) {
         let gap = now.saturating_sub(self.now);
         self.now = self.now.max(now);
-        let (lost, stopped) = self.leases.check_clock(now, &self.config.timing);
-        if stopped && gap < now {
+        let (lost, suspended) = self.leases.check_clock(now, &self.config.timing);
+        if suspended && gap < now {
             self.events.push(Event::Stalled(gap));
         }
-        let why = if stopped { "this process was stopped" } else { "it was not renewed in time" };
+        let why = if suspended { "this process was suspended" } else { "the lease was not renewed in time" };
         self.events.extend(lost.into_iter().map(|resource| Event::Lost(resource, why)));
     }
 
     fn step(&mut self, now: Time, message: &RaftMessage) {
         if let Participation::Active(replica) = &mut self.participation {
             replica.step(message);
-            self.settle(now);
+            self.process_consensus(now);
         }
     }
 
@@ -230,7 +234,7 @@
         if now < self.announce_at {
             return;
         }
-        self.announce_at = now + ANNOUNCE_EVERY;
+        self.announce_at = now + ANNOUNCE_INTERVAL;
         let (replica_id, configured) = match &self.participation {
             Participation::Uninitialized(replica_id, _) => (*replica_id, Vec::new()),
             Participation::Active(replica) => {
@@ -252,7 +256,7 @@
         to.dedup();
         let announcement = ReplicaAnnouncement { replica_id, configured };
         let others = to.into_iter().filter(|m| *m != self.config.incarnation.member);
-        self.out.extend(others.map(|m| (m, Frame::Announcement(announcement.clone()))));
+        self.outgoing.extend(others.map(|m| (m, Frame::Announcement(announcement.clone()))));
         self.start_replica();
     }
 
@@ -309,41 +313,41 @@
                 self.events.push(Event::ReplicaStarted);
                 self.announce_at = Time::ZERO;
             }
-            Err(words) => {
-                self.events.push(Event::ReplicaFailed(words.clone()));
-                self.participation = Participation::Failed(words);
+            Err(reason) => {
+                self.events.push(Event::ReplicaFailed(reason.clone()));
+                self.participation = Participation::Failed(reason);
             }
         }
     }
 
     /// Processes the events of the replica until there are no more.
-    fn settle(&mut self, now: Time) {
+    fn process_consensus(&mut self, now: Time) {
         let timing = self.config.timing;
         let Participation::Active(replica) = &mut self.participation else { return };
-        let mut answers = Vec::new();
+        let mut responses = Vec::new();
         loop {
-            replica.settle();
+            replica.process();
             let events = replica.take_events();
             if events.is_empty() {
                 break;
             }
             for event in events {
                 match event {
-                    ConsensusEvent::Leads(true) => self.leading = Some(Leader::begin(now)),
-                    ConsensusEvent::Leads(false) => self.leading = None,
-                    ConsensusEvent::Replaced => {}
-                    ConsensusEvent::Failed(words) => {
+                    ConsensusEvent::LeadershipChanged(true) => self.leading = Some(Leader::new(now)),
+                    ConsensusEvent::LeadershipChanged(false) => self.leading = None,
+                    ConsensusEvent::SnapshotInstalled => {}
+                    ConsensusEvent::Failed(reason) => {
                         self.leading = None;
-                        self.events.push(Event::ReplicaFailed(words));
+                        self.events.push(Event::ReplicaFailed(reason));
                     }
                     ConsensusEvent::Applied(index, effect) => {
                         if let Some(leading) = &mut self.leading {
-                            answers.extend(leading.applied(now, index, &effect, replica, &timing));
+                            responses.extend(leading.handle_applied(now, index, &effect, replica, &timing));
                         }
                     }
                     ConsensusEvent::Confirmed(number) => {
                         if let Some(leading) = &mut self.leading {
-                            answers.extend(leading.confirmed(now, number, replica, &timing));
+                            responses.extend(leading.handle_confirmation(now, number, replica, &timing));
                         }
                     }
                 }
@@ -357,65 +361,65 @@
         for message in messages {
             // A message to this member itself is addressed to an earlier replica whose disk was lost.
             if let Some(to) = member_of(message.to).filter(|m| *m != me) {
-                self.out.push((to, Frame::Raft(message)));
+                self.outgoing.push((to, Frame::Raft(message)));
             }
         }
-        for (to, answer) in answers {
-            self.reply(now, to, answer);
+        for (to, response) in responses {
+            self.reply(now, to, response);
         }
     }
 
-    fn reply(&mut self, now: Time, to: Member, answer: LeaseResponse) {
+    fn reply(&mut self, now: Time, to: Member, response: LeaseResponse) {
         match to == self.config.incarnation.member {
-            true => self.answered(now, to, answer),
-            false => self.out.push((to, Frame::LeaseResponse(answer))),
+            true => self.handle_lease_response(now, to, response),
+            false => self.outgoing.push((to, Frame::LeaseResponse(response))),
         }
     }
 
-    fn asked(&mut self, now: Time, from: Member, ask: crate::frame::LeaseRequest) {
-        let number = ask.number;
-        let elsewhere =
+    fn handle_lease_request(&mut self, now: Time, from: Member, request: crate::frame::LeaseRequest) {
+        let number = request.number;
+        let not_leader =
             |leader| Some(LeaseResponse { number, outcome: crate::frame::LeaseOutcome::NotLeader(leader) });
-        let answer = match (&mut self.leading, &mut self.participation) {
+        let response = match (&mut self.leading, &mut self.participation) {
             (Some(leading), Participation::Active(replica)) => {
-                leading.ask(now, from, ask, replica, &self.config.timing)
+                leading.handle_request(now, from, request, replica, &self.config.timing)
             }
-            (None, Participation::Active(replica)) => elsewhere(replica.leader().and_then(member_of)),
-            _ => elsewhere(None),
+            (None, Participation::Active(replica)) => not_leader(replica.leader().and_then(member_of)),
+            _ => not_leader(None),
         };
-        if let Some(answer) = answer {
-            self.reply(now, from, answer);
+        if let Some(response) = response {
+            self.reply(now, from, response);
         }
-        self.settle(now);
+        self.process_consensus(now);
     }
 
     fn request_leases(&mut self, now: Time) {
         let here = self.members.active();
         let me = self.members.me();
         let asked = self.lease_client.next_request(now, me, &here, &self.leases, &self.config.timing);
-        let Some((to, ask)) = asked else { return };
-        self.leases.ask(ask.number, now);
-        for (resource, _) in &ask.release {
+        let Some((to, request)) = asked else { return };
+        self.leases.record_request(request.number, now);
+        for (resource, _) in &request.release {
             self.leases.remove(resource);
         }
         match to == me.member {
-            true => self.asked(now, to, ask),
-            false => self.out.push((to, Frame::LeaseRequest(ask))),
+            true => self.handle_lease_request(now, to, request),
+            false => self.outgoing.push((to, Frame::LeaseRequest(request))),
         }
     }
 
-    fn answered(&mut self, now: Time, from: Member, answer: LeaseResponse) {
+    fn handle_lease_response(&mut self, now: Time, from: Member, response: LeaseResponse) {
         let timing = self.config.timing;
-        match self.lease_client.receive(now, from, answer.number, answer.outcome, &timing) {
+        match self.lease_client.receive(now, from, response.number, response.outcome, &timing) {
             LeaseReply::Nothing => {}
             LeaseReply::Held(number, resources) => {
                 let held: Vec<Resource> = self.leases.all().map(|(resource, ..)| resource.clone()).collect();
                 let gone = held.into_iter().filter(|h| self.lease_client.holder(h).is_some());
                 for resource in gone.collect::<Vec<_>>() {
                     self.leases.remove(&resource);
-                    self.events.push(Event::Lost(resource, "another owns it"));
+                    self.events.push(Event::Lost(resource, "another member owns the resource"));
                 }
-                let new = self.leases.granted(number, &resources, &timing);
+                let new = self.leases.apply_response(number, &resources, &timing);
                 self.events.extend(new.into_iter().map(|(resource, token)| Event::Acquired(resource, token)));
             }
             LeaseReply::DeclaredDead(number) => self.members.begin_incarnation(now, number),
@@ -427,18 +431,19 @@
     }
 
     /// Passes on gossip messages and membership changes.
-    fn changes(&mut self) {
-        self.out.extend(self.members.take_messages().into_iter().map(|(to, bytes)| (to, Frame::Swim(bytes))));
+    fn process_membership(&mut self) {
+        self.outgoing
+            .extend(self.members.take_messages().into_iter().map(|(to, bytes)| (to, Frame::Swim(bytes))));
         for change in self.members.take_changes() {
             match change {
                 MembershipChange::Member(member, seen) => {
                     self.events.push(Event::MemberChanged(member, seen))
                 }
                 MembershipChange::NewIncarnation(incarnation) => {
-                    let lost = self.leases.drop_all();
+                    let lost = self.leases.clear();
                     let why = "this process was declared dead";
                     self.events.extend(lost.into_iter().map(|resource| Event::Lost(resource, why)));
-                    self.lease_client.reborn();
+                    self.lease_client.reset();
                     self.events.push(Event::NewIncarnation(incarnation));
                 }
             }
@@ -457,7 +462,7 @@
     pub fn release(&mut self, resource: &Resource) {
         if let Some(token) = self.leases.remove(resource) {
             self.lease_client.release(resource.clone(), token);
-            self.events.push(Event::Lost(resource.clone(), "it was given back"));
+            self.events.push(Event::Lost(resource.clone(), "the resource was released"));
         }
     }
 
@@ -471,7 +476,7 @@
         let resource = Resource::orphaned_work(incarnation);
         if let Some(token) = self.leases.remove(&resource) {
             self.lease_client.settle(incarnation, token);
-            self.events.push(Event::Lost(resource, "it is settled"));
+            self.events.push(Event::Lost(resource, "the recovery is complete"));
         }
     }
 
@@ -497,7 +502,7 @@
         let report = OwnerReport { resource: resource.clone(), token, payload };
         let me = self.members.me().member;
         let others = self.members.active().into_iter().filter(|m| *m != me);
-        self.out.extend(others.map(|m| (m, Frame::OwnerReport(report.clone()))));
+        self.outgoing.extend(others.map(|m| (m, Frame::OwnerReport(report.clone()))));
         true
     }
 
@@ -508,7 +513,7 @@
         else {
             return false;
         };
-        self.out.push((
+        self.outgoing.push((
             owner.member,
             Frame::HealthCheckRequest(HealthCheckRequest { resource: resource.clone(), payload }),
         ));
@@ -530,7 +535,7 @@
         if votes(new) {
             return Err("the one to come votes already".into());
         }
-        leading.order(old, new);
+        leading.set_replacement(old, new);
         Ok(())
     }
 
@@ -541,14 +546,14 @@
         self.request_leases(now);
         let me = self.members.me();
         let others = self.members.active().into_iter().filter(|m| *m != me.member);
-        self.out.extend(others.map(|m| (m, Frame::Leave(me))));
+        self.outgoing.extend(others.map(|m| (m, Frame::Leave(me))));
         self.members.leave(now);
-        self.changes();
+        self.process_membership();
     }
 
     /// Takes the outgoing frames.
     pub fn take_frames(&mut self) -> Vec<(Member, Frame)> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outgoing)
     }
 
     /// Takes the events since the last call.
--- a/fleet/tests/model.rs
+++ b/fleet/tests/model.rs
@@ -32,15 +32,16 @@
     steps: u8,
     ledger: Ledger,
     granter: LeaseGranter,
-    led: u8,
+    leader_changes: u8,
     owners: [Owner; 2],
     fencing_tokens: FencingTokens,
-    /// The highest token written, in true order, and whether a write with a smaller one passed the fence later.
+    /// The highest token written, in true order, and whether the fence later let a smaller one
+    /// pass, or refused one.
     highest: Token,
-    passed_late: bool,
-    refused: bool,
+    stale_write_passed: bool,
+    stale_write_refused: bool,
     /// Whether an owner was permitted to act under a token that was no longer the newest granted.
-    let_act: bool,
+    stale_permit: bool,
 }
 
 #[derive(Clone, Debug, Default, Hash, PartialEq, Eq)]
@@ -48,21 +49,21 @@
     leases: Leases,
     number: u64,
     /// An open request, and a response under way.
-    asked: Option<u64>,
-    answered: Option<(u64, Token)>,
+    open_request: Option<u64>,
+    response: Option<(u64, Token)>,
     /// The owner has obtained a permit but has not written yet.
-    looked: Option<Token>,
+    permit: Option<Token>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Step {
-    Time,
+    AdvanceTime,
     Tick(usize),
-    LeaseRequest(usize),
-    Serve(usize),
-    Hear(usize),
-    Lose(usize),
-    Look(usize),
+    SendRequest(usize),
+    HandleRequest(usize),
+    ReceiveResponse(usize),
+    LoseMessage(usize),
+    ObtainPermit(usize),
     Write(usize),
     NewLeader,
 }
@@ -87,35 +88,35 @@
             steps: 0,
             ledger: Ledger::default(),
             granter: LeaseGranter::default(),
-            led: 0,
+            leader_changes: 0,
             owners: Default::default(),
             fencing_tokens: FencingTokens::default(),
             highest: 0,
-            passed_late: false,
-            refused: false,
-            let_act: false,
+            stale_write_passed: false,
+            stale_write_refused: false,
+            stale_permit: false,
         }]
     }
 
     fn actions(&self, state: &State, steps: &mut Vec<Step>) {
         if state.steps < STEPS {
-            steps.push(Step::Time);
+            steps.push(Step::AdvanceTime);
         }
-        if state.led == 0 && state.steps > 1 {
+        if state.leader_changes == 0 && state.steps > 1 {
             steps.push(Step::NewLeader);
         }
         for (i, owner) in state.owners.iter().enumerate() {
             steps.push(Step::Tick(i));
-            if owner.number < REQUESTS && owner.asked.is_none() && owner.answered.is_none() {
-                steps.push(Step::LeaseRequest(i));
+            if owner.number < REQUESTS && owner.open_request.is_none() && owner.response.is_none() {
+                steps.push(Step::SendRequest(i));
             }
-            if owner.asked.is_some() {
-                steps.extend([Step::Serve(i), Step::Lose(i)]);
+            if owner.open_request.is_some() {
+                steps.extend([Step::HandleRequest(i), Step::LoseMessage(i)]);
             }
-            if owner.answered.is_some() {
-                steps.push(Step::Hear(i));
+            if owner.response.is_some() {
+                steps.push(Step::ReceiveResponse(i));
             }
-            steps.push(if owner.looked.is_some() { Step::Write(i) } else { Step::Look(i) });
+            steps.push(if owner.permit.is_some() { Step::Write(i) } else { Step::ObtainPermit(i) });
         }
     }
 
@@ -123,25 +124,25 @@
         let (mut state, timing) = (last.clone(), timing());
         let true_time = STEP * u32::from(state.steps);
         match step {
-            Step::Time => state.steps += 1,
-            Step::NewLeader => (state.granter, state.led) = (LeaseGranter::begin(true_time), 1),
+            Step::AdvanceTime => state.steps += 1,
+            Step::NewLeader => (state.granter, state.leader_changes) = (LeaseGranter::new(true_time), 1),
             Step::Tick(i) => {
                 let now = self.clock(i, state.steps);
                 state.owners[i].leases.check_clock(now, &timing);
             }
-            Step::LeaseRequest(i) => {
+            Step::SendRequest(i) => {
                 let now = self.clock(i, state.steps);
                 let owner = &mut state.owners[i];
                 owner.number += 1;
-                owner.leases.ask(owner.number, now);
-                owner.asked = Some(owner.number);
+                owner.leases.record_request(owner.number, now);
+                owner.open_request = Some(owner.number);
             }
-            Step::Serve(i) => {
-                let number = state.owners[i].asked.take()?;
+            Step::HandleRequest(i) => {
+                let number = state.owners[i].open_request.take()?;
                 let held = state.ledger.grant(&resource());
                 let token = match held {
                     Some(grant) if grant.holder == incarnation(i) => Some(grant.token),
-                    _ if state.granter.is_free(&resource(), &state.ledger, true_time, &timing) => {
+                    _ if state.granter.is_grantable(&resource(), &state.ledger, true_time, &timing) => {
                         let expect = held.map_or(0, |g| g.token);
                         let command = Command::Grant { resource: resource(), holder: incarnation(i), expect };
                         match state.ledger.apply(command) {
@@ -152,26 +153,26 @@
                     _ => None,
                 };
                 if let Some(token) = token {
-                    state.granter.renewed(&resource(), true_time, &timing);
-                    state.owners[i].answered = Some((number, token));
+                    state.granter.record_renewal(&resource(), true_time, &timing);
+                    state.owners[i].response = Some((number, token));
                 }
             }
-            Step::Hear(i) => {
-                let (number, token) = state.owners[i].answered.take()?;
-                state.owners[i].leases.granted(number, &[(resource(), token)], &timing);
+            Step::ReceiveResponse(i) => {
+                let (number, token) = state.owners[i].response.take()?;
+                state.owners[i].leases.apply_response(number, &[(resource(), token)], &timing);
             }
-            Step::Lose(i) => (state.owners[i].asked, state.owners[i].answered) = (None, None),
-            Step::Look(i) => {
+            Step::LoseMessage(i) => (state.owners[i].open_request, state.owners[i].response) = (None, None),
+            Step::ObtainPermit(i) => {
                 let now = self.clock(i, state.steps);
                 let token = state.owners[i].leases.permit(&resource(), now, &timing)?;
-                state.let_act |= state.ledger.grant(&resource()).is_none_or(|g| g.token != token);
-                state.owners[i].looked = Some(token);
+                state.stale_permit |= state.ledger.grant(&resource()).is_none_or(|g| g.token != token);
+                state.owners[i].permit = Some(token);
             }
             Step::Write(i) => {
-                let token = state.owners[i].looked.take()?;
+                let token = state.owners[i].permit.take()?;
                 let passes = state.fencing_tokens.admits(&resource(), token);
-                state.passed_late |= passes && token < state.highest;
-                state.refused |= !passes;
+                state.stale_write_passed |= passes && token < state.highest;
+                state.stale_write_refused |= !passes;
                 state.highest = state.highest.max(token);
             }
         }
@@ -180,23 +181,27 @@
 
     fn properties(&self) -> Vec<Property<Fleet>> {
         vec![
-            Property::always("one owner by true time", |fleet: &Fleet, s: &State| {
+            Property::always("at most one owner at any true time", |fleet: &Fleet, s: &State| {
                 let may = |i: usize| {
                     let now = fleet.clock(i, s.steps);
                     s.owners[i].leases.permit(&resource(), now, &timing()).is_some()
                 };
                 !(may(0) && may(1))
             }),
-            Property::always("nobody is let act under an old token", |_, s: &State| !s.let_act),
-            Property::always("an old write never passes the fence", |_, s: &State| !s.passed_late),
-            Property::sometimes("the fence refuses a write that came late", |_, s: &State| s.refused),
-            Property::sometimes("the second owner acts", |_, s: &State| s.owners[1].looked.is_some()),
+            Property::always("no owner is permitted to act under an old token", |_, s: &State| {
+                !s.stale_permit
+            }),
+            Property::always("a write with an old token never passes the fence", |_, s: &State| {
+                !s.stale_write_passed
+            }),
+            Property::sometimes("the fence refuses a late write", |_, s: &State| s.stale_write_refused),
+            Property::sometimes("the second owner acts", |_, s: &State| s.owners[1].permit.is_some()),
         ]
     }
 }
 
 #[test]
-fn lease_fence_and_stop_hold_in_all_runs() {
+fn leases_and_fencing_are_safe_under_suspension() {
     // The first owner's clock is the slowest permitted, the second's the fastest.
     let rates = [980, 1020];
     let checked = Fleet { rates }.checker().threads(4).target_max_depth(15).spawn_bfs().join();
