--- a/dispatcher/src/fleet/api.rs
+++ b/dispatcher/src/fleet/api.rs
@@ -90,7 +90,7 @@
                 state: state_word(seen.state).into(),
                 born: seen.incarnation.map(|l| l.number),
                 since_ms: now.saturating_sub(seen.since).as_millis() as u64,
-                why: seen.why.into(),
+                why: seen.reason.into(),
                 votes: status.voters.contains(&member),
                 lag: lag(member),
             })
--- a/dispatcher/src/fleet/mod.rs
+++ b/dispatcher/src/fleet/mod.rs
@@ -211,9 +211,9 @@
                 let (name, born) = (self.name(member), seen.incarnation.map_or(0, |l| l.number));
                 match seen.state {
                     MemberState::Dead | MemberState::Suspect => {
-                        warn!(member = name, born, cause = seen.why, "fleet: {}", state_word(seen.state));
+                        warn!(member = name, born, cause = seen.reason, "fleet: {}", state_word(seen.state));
                     }
-                    state => info!(member = name, born, cause = seen.why, "fleet: {}", state_word(state)),
+                    state => info!(member = name, born, cause = seen.reason, "fleet: {}", state_word(state)),
                 }
             }
             Event::NewIncarnation(incarnation) => {
--- a/fleet/src/frame.rs
+++ b/fleet/src/frame.rs
@@ -94,7 +94,7 @@
     /// Leases to renew.
     pub renew: Vec<(Resource, Token)>,
     /// Resources to acquire.
-    pub want: Vec<Resource>,
+    pub acquire: Vec<Resource>,
     /// Resources whose owner the member wants to know, without acquiring them.
     pub watch: Vec<Resource>,
     /// Leases to release.
@@ -186,7 +186,7 @@
         let fits = match &frame {
             Frame::LeaseRequest(request) => {
                 request.renew.len()
-                    + request.want.len()
+                    + request.acquire.len()
                     + request.watch.len()
                     + request.release.len()
                     + request.settle.len()
--- a/fleet/src/leader.rs
+++ b/fleet/src/leader.rs
@@ -94,7 +94,7 @@
         for command in commands {
             last = replica.propose(command).or(last);
         }
-        for resource in &request.want {
+        for resource in &request.acquire {
             let other_incarnation =
                 resource.is_incarnation() && *resource != Resource::incarnation(request.incarnation);
             let held = replica.ledger().grant(resource);
@@ -103,8 +103,9 @@
             if other_incarnation || already_held || !free || self.proposed.contains_key(resource) {
                 continue;
             }
-            let expect = held.map_or(0, |g| g.token);
-            let command = Command::Grant { resource: resource.clone(), holder: request.incarnation, expect };
+            let expected_token = held.map_or(0, |g| g.token);
+            let command =
+                Command::Grant { resource: resource.clone(), holder: request.incarnation, expected_token };
             if let Some(index) = replica.propose(command) {
                 self.proposed.insert(resource.clone(), index);
                 last = Some(index);
@@ -189,7 +190,7 @@
         }
         let (mut resources, mut others) = (Vec::new(), Vec::new());
         let renew = request.renew.into_iter().map(|(resource, token)| (resource, Some(token)));
-        let known = request.want.into_iter().chain(request.watch).map(|resource| (resource, None));
+        let known = request.acquire.into_iter().chain(request.watch).map(|resource| (resource, None));
         for (resource, token) in renew.chain(known) {
             let Some(grant) = ledger.grant(&resource) else { continue };
             // A lease that is being granted to another member no longer has a holder.
@@ -228,7 +229,7 @@
     ) {
         if !self.token_floor_proposed {
             // If the fleet was set up anew, its tokens must be greater than those of the previous fleet.
-            self.token_floor_proposed = replica.propose(Command::Begin { floor }).is_some();
+            self.token_floor_proposed = replica.propose(Command::RaiseTokenFloor { floor }).is_some();
         }
         self.confirm(now, replica, timing);
         self.granter.prune(replica.ledger(), now);
--- a/fleet/src/lease_client.rs
+++ b/fleet/src/lease_client.rs
@@ -128,9 +128,9 @@
         });
         let held: BTreeSet<&Resource> = leases.all().map(|(resource, ..)| resource).collect();
         let own = Resource::incarnation(me);
-        let mut want: Vec<Resource> = Vec::new();
+        let mut acquire: Vec<Resource> = Vec::new();
         if !held.contains(&own) {
-            want.push(own);
+            acquire.push(own);
         }
         let orphaned_work = self
             .offered
@@ -145,21 +145,24 @@
             let overdue =
                 self.unowned.get(&resource).is_some_and(|since| now >= *since + timing.lease_duration / 2);
             match overdue || is_candidate(&resource, me.member, active, self.leader) {
-                true => want.push(resource),
+                true => acquire.push(resource),
                 false => watch.push(resource),
             }
         }
         watch.truncate(MAX_RESOURCES_PER_REQUEST / 8);
-        self.waiting = !want.is_empty();
+        self.waiting = !acquire.is_empty();
         let mut renew: Vec<(Resource, Token)> =
             leases.all().map(|(t, token, _)| (t.clone(), token)).collect();
         renew.truncate(MAX_RESOURCES_PER_REQUEST / 2);
-        want.truncate(MAX_RESOURCES_PER_REQUEST / 4);
+        acquire.truncate(MAX_RESOURCES_PER_REQUEST / 4);
         let release = take(&mut self.releases, MAX_RESOURCES_PER_REQUEST / 8);
         let settle = take(&mut self.settles, MAX_RESOURCES_PER_REQUEST / 8);
         self.number += 1;
         self.open = Some((self.number, now, to));
-        Some((to, LeaseRequest { incarnation: me, number: self.number, renew, want, watch, release, settle }))
+        Some((
+            to,
+            LeaseRequest { incarnation: me, number: self.number, renew, acquire, watch, release, settle },
+        ))
     }
 
     /// Handles a response.
--- a/fleet/src/ledger.rs
+++ b/fleet/src/ledger.rs
@@ -24,19 +24,19 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Command {
     /// Raises the token counter at the start of a leader's term: from now on, tokens are greater than `floor`.
-    Begin {
+    RaiseTokenFloor {
         /// Derived from the wall-clock time at which the leader's process started, so that it grows faster than
         /// tokens are issued.
         floor: Token,
     },
-    /// Grants a resource if its current token is still `expect` (0 if it has no holder).
+    /// Grants a resource if its current token is still `expected_token` (0 if it has no holder).
     Grant {
         /// The resource to grant.
         resource: Resource,
         /// The new holder.
         holder: Incarnation,
         /// The token that the proposer has seen.
-        expect: Token,
+        expected_token: Token,
     },
     /// The owner releases a resource.
     Release {
@@ -78,7 +78,7 @@
 #[derive(Clone, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Ledger {
     /// The last granted token.
-    last: Token,
+    last_token: Token,
     grants: BTreeMap<Resource, Grant>,
     /// For each member, the newest incarnation declared dead. All earlier ones are dead as well.
     dead: BTreeMap<Member, u64>,
@@ -90,18 +90,18 @@
     /// Applies a command.
     pub fn apply(&mut self, command: Command) -> Effect {
         match command {
-            Command::Begin { floor } => {
-                self.last = self.last.max(floor);
+            Command::RaiseTokenFloor { floor } => {
+                self.last_token = self.last_token.max(floor);
                 Effect::Stale
             }
-            Command::Grant { resource, holder, expect } => {
+            Command::Grant { resource, holder, expected_token } => {
                 let held = self.grants.get(&resource).map_or(0, |g| g.token);
                 let full = held == 0 && self.grants.len() >= MAX_RESOURCES;
-                if held != expect || full || self.is_dead(holder) || !self.may_recover(&resource) {
+                if held != expected_token || full || self.is_dead(holder) || !self.may_recover(&resource) {
                     return Effect::Stale;
                 }
-                self.last += 1;
-                let grant = Grant { token: self.last, holder };
+                self.last_token += 1;
+                let grant = Grant { token: self.last_token, holder };
                 self.grants.insert(resource.clone(), grant);
                 Effect::Granted(resource, grant)
             }
@@ -170,8 +170,8 @@
     }
 
     /// The last granted token.
-    pub fn last(&self) -> Token {
-        self.last
+    pub fn last_token(&self) -> Token {
+        self.last_token
     }
 
     /// Encodes the ledger for a snapshot.
@@ -196,8 +196,8 @@
         Incarnation { member: Member(member), number }
     }
 
-    fn grant(resource: &Resource, holder: Incarnation, expect: Token) -> Command {
-        Command::Grant { resource: resource.clone(), holder, expect }
+    fn grant(resource: &Resource, holder: Incarnation, expected_token: Token) -> Command {
+        Command::Grant { resource: resource.clone(), holder, expected_token }
     }
 
     #[test]
--- a/fleet/src/link.rs
+++ b/fleet/src/link.rs
@@ -60,9 +60,9 @@
     nonce: [u8; 16],
     member_list_digest: [u8; 16],
     /// The newest incarnation of the connecting member known to the accepting side.
-    known: Option<u64>,
+    known_incarnation: Option<u64>,
     /// Whether another process has recently sent frames as the same member.
-    here: bool,
+    duplicate: bool,
     proof: [u8; TAG_BYTES],
 }
 
@@ -203,8 +203,8 @@
         }
         let transcript = handshake_transcript(b"caller", &self.hello, &welcome);
         let same_member_list = welcome.member_list_digest == self.identity.member_list_digest;
-        let Welcome { incarnation, known, here, .. } = welcome;
-        let peer = Peer { incarnation, known_incarnation: known, duplicate: here, same_member_list };
+        let Welcome { incarnation, known_incarnation, duplicate, .. } = welcome;
+        let peer = Peer { incarnation, known_incarnation, duplicate, same_member_list };
         let sealer = Sealer { key: link_key(keys, &transcript), count: 0 };
         Ok(Some((keys.seal(&transcript).to_vec(), peer, sealer)))
     }
@@ -234,16 +234,16 @@
         ServerHandshake { identity, nonce, bytes: Vec::new(), transcript: None }
     }
 
-    /// Handles received bytes. `known` returns the newest known incarnation of a member; `here` returns whether a
-    /// process other than this incarnation's has recently sent frames as the same member.
+    /// Handles received bytes. `known_incarnation` returns the newest known incarnation of a member; `duplicate`
+    /// returns whether a process other than this incarnation's has recently sent frames as the same member.
     ///
     /// # Errors
     /// The peer is not acceptable and the link must be closed.
     pub fn receive(
         &mut self,
         bytes: &[u8],
-        known: impl Fn(Member) -> Option<u64>,
-        here: impl Fn(Incarnation) -> bool,
+        known_incarnation: impl Fn(Member) -> Option<u64>,
+        duplicate: impl Fn(Incarnation) -> bool,
     ) -> Result<HandshakeStep, LinkError> {
         self.bytes.extend_from_slice(bytes);
         let keys = &self.identity.keys;
@@ -254,9 +254,16 @@
             check_member(hello.incarnation, self.identity.members)?;
             let (incarnation, nonce, member_list_digest) =
                 (self.identity.incarnation, self.nonce, self.identity.member_list_digest);
-            let (known, here) = (known(hello.incarnation.member), here(hello.incarnation));
-            let mut welcome =
-                Welcome { incarnation, nonce, member_list_digest, known, here, proof: [0; TAG_BYTES] };
+            let (known_incarnation, duplicate) =
+                (known_incarnation(hello.incarnation.member), duplicate(hello.incarnation));
+            let mut welcome = Welcome {
+                incarnation,
+                nonce,
+                member_list_digest,
+                known_incarnation,
+                duplicate,
+                proof: [0; TAG_BYTES],
+            };
             welcome.proof = keys.seal(&handshake_transcript(b"called", &whole, &welcome));
             let same_member_list = hello.member_list_digest == member_list_digest;
             let peer = Peer {
--- a/fleet/src/members.rs
+++ b/fleet/src/members.rs
@@ -42,7 +42,7 @@
     /// The time of the last state change, by the clock of this process.
     pub since: Time,
     /// The reason for the last state change.
-    pub why: &'static str,
+    pub reason: &'static str,
 }
 
 /// A membership change.
@@ -194,7 +194,7 @@
             incarnation: None,
             state: MemberState::Unheard,
             since: Time::ZERO,
-            why: "nothing was heard of it",
+            reason: "nothing was heard of it",
         };
         Members {
             foca: Foca::new(me, config(count, timing), StdRng::seed_from_u64(seed), PostcardCodec),
@@ -233,8 +233,8 @@
             let Some(ScheduledTimer(_, _, event)) = self.effects.timers.pop() else { break };
             let _ = self.foca.handle_timer(event, &mut self.effects);
         }
-        // A member that knows nobody, or that others may have lost sight of, announces itself to one missing member at a
-        // time.
+        // A member that knows nobody, or that others may have lost sight of, announces itself to one missing member
+        // at a time.
         if now >= self.join_at {
             let alone = self.foca.num_members() == 0;
             let missing: Vec<Member> =
@@ -280,7 +280,7 @@
         }
     }
 
-    fn set(&mut self, now: Time, incarnation: Incarnation, state: MemberState, why: &'static str) {
+    fn set(&mut self, now: Time, incarnation: Incarnation, state: MemberState, reason: &'static str) {
         let Some(seen) = self.seen.get_mut(&incarnation.member) else { return };
         if seen.incarnation.is_some_and(|known| known > incarnation)
             || (seen.incarnation == Some(incarnation) && seen.state == state)
@@ -293,7 +293,7 @@
         {
             return;
         }
-        *seen = MemberStatus { incarnation: Some(incarnation), state, since: now, why };
+        *seen = MemberStatus { incarnation: Some(incarnation), state, since: now, reason };
         self.changes.push(MembershipChange::Member(incarnation.member, seen.clone()));
     }
 
@@ -308,12 +308,12 @@
                 }
                 OwnedNotification::MemberDown(incarnation) => {
                     let ours = own == Some(incarnation);
-                    let why = if ours {
+                    let reason = if ours {
                         "it answered neither this member nor others"
                     } else {
                         "others declared it"
                     };
-                    self.set(now, incarnation, MemberState::Dead, why);
+                    self.set(now, incarnation, MemberState::Dead, reason);
                 }
                 OwnedNotification::Rename(_, new) => {
                     self.set(now, new, MemberState::Alive, "it began a new incarnation")
@@ -338,14 +338,14 @@
             })
             .collect();
         for (incarnation, state) in states {
-            let why = match state {
+            let reason = match state {
                 MemberState::Suspect if own == Some(incarnation) => {
                     "it did not answer this member, nor others for it"
                 }
                 MemberState::Suspect => "others had no answer from it",
                 _ => "it answers",
             };
-            self.set(now, incarnation, state, why);
+            self.set(now, incarnation, state, reason);
         }
     }
 
--- a/fleet/tests/model.rs
+++ b/fleet/tests/model.rs
@@ -143,8 +143,9 @@
                 let token = match held {
                     Some(grant) if grant.holder == incarnation(i) => Some(grant.token),
                     _ if state.granter.is_grantable(&resource(), &state.ledger, true_time, &timing) => {
-                        let expect = held.map_or(0, |g| g.token);
-                        let command = Command::Grant { resource: resource(), holder: incarnation(i), expect };
+                        let expected_token = held.map_or(0, |g| g.token);
+                        let command =
+                            Command::Grant { resource: resource(), holder: incarnation(i), expected_token };
                         match state.ledger.apply(command) {
                             Effect::Granted(_, grant) => Some(grant.token),
                             _ => None,
--- a/fleet/tests/wire_format.rs
+++ b/fleet/tests/wire_format.rs
@@ -61,7 +61,7 @@
         incarnation: INCARNATION,
         number: 1,
         renew: vec![(Resource::incarnation(INCARNATION), 2)],
-        want: vec![Resource::orphaned_work(INCARNATION)],
+        acquire: vec![Resource::orphaned_work(INCARNATION)],
         watch: vec![probe()],
         release: vec![(probe(), 3)],
         settle: vec![(INCARNATION, 4)],
@@ -97,8 +97,11 @@
 #[test]
 fn log_entries_and_the_ledger_keep_their_bytes() {
     let commands = [
-        (Command::Begin { floor: 100 }, "0064"),
-        (Command::Grant { resource: probe(), holder: INCARNATION, expect: 0 }, "010770726f62652f6103ac0200"),
+        (Command::RaiseTokenFloor { floor: 100 }, "0064"),
+        (
+            Command::Grant { resource: probe(), holder: INCARNATION, expected_token: 0 },
+            "010770726f62652f6103ac0200",
+        ),
         (Command::Release { resource: probe(), token: 5 }, "020770726f62652f6105"),
         (Command::DeclareDead { incarnation: INCARNATION }, "0303ac02"),
         (Command::Settle { incarnation: INCARNATION, token: 6 }, "0403ac0206"),
