--- a/fleet/src/node.rs
+++ b/fleet/src/node.rs
@@ -210,7 +210,7 @@
         self.process_membership();
     }
 
-    /// Drops expired leases, and all leases if the process was suspended. Every entry point calls this first.
+    /// Drops expired leases, or all leases if the process was suspended. Runs before anything else is handled.
     fn drop_expired_leases(&mut self, now: Time) {
         let gap = now.saturating_sub(self.now);
         self.now = self.now.max(now);
@@ -303,8 +303,8 @@
         else {
             return;
         };
-        let kept = disk.replace(&log.to_change());
-        let replica = kept.and_then(|()| {
+        let replaced = disk.replace(&log.to_change());
+        let replica = replaced.and_then(|()| {
             RaftReplica::new(replica_id, log, disk, &self.config.timing, self.config.seed.rotate_left(17))
         });
         match replica {
