--- a/work/src/replica_set.rs
+++ b/work/src/replica_set.rs
@@ -35,7 +35,7 @@
     /// The newest version that the holder has acknowledged, and the newest one sent to it.
     acked: u64,
     sent: u64,
-    /// When the first unacknowledged version was sent, and when to resend.
+    /// When the first unacknowledged version was sent, or the holder last made progress; and when to resend.
     unacked_since: Option<Time>,
     resend_at: Time,
     full: bool,
