--- a/fleet/src/leader.rs
+++ b/fleet/src/leader.rs
@@ -1,5 +1,5 @@
-//! What the leader of the consensus group does: it answers lease requests once a majority confirms, grants, declares
-//! incarnations over, and replaces replicas.
+//! The duties of the leader of the consensus group: it answers lease requests once a majority has confirmed its
+//! leadership, grants leases, declares incarnations dead, and replaces replicas.
 
 use crate::consensus::{member_of, ConfigurationStep, RaftReplica, ReplicaId};
 use crate::frame::{LeaseOutcome, LeaseRequest, LeaseResponse};
@@ -11,121 +11,126 @@
 use crate::{Incarnation, Member, Resource, Time};
 use std::collections::{BTreeMap, HashMap};
 
-/// Requests that wait; further ones are let drop, and asked again by those who asked.
+/// Maximum number of pending requests. Further ones are dropped; the requesting members retry.
 const MAX_PENDING_REQUESTS: usize = 4096;
-/// Orphaned work that one answer offers.
+/// Maximum number of orphaned incarnations offered in one response.
 const MAX_OFFERED: usize = 16;
-/// A learner that lacks no more entries than this may vote.
+/// A learner may become a voter when it is no more than this many entries behind.
 const MAX_LAG_TO_VOTE: u64 = 64;
 
-/// What a request waits for.
+/// What a pending request waits for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Wait {
-    /// An entry that it led to: applied, a majority has it.
+    /// The entry at this index, proposed for the request. Once it is applied, a majority has it.
     Entry(u64),
-    /// A majority confirms that this one still leads.
+    /// A confirmation by a majority that this member still leads.
     Quorum(u64),
 }
 
 struct Pending {
     from: Member,
-    ask: LeaseRequest,
+    request: LeaseRequest,
     wait: Wait,
 }
 
-/// The state of a leader: it is dropped with its leadership.
+/// State of a leader, dropped when it loses leadership.
 #[derive(Default)]
 pub struct Leader {
     granter: LeaseGranter,
     pending: Vec<Pending>,
-    /// Resources that a command under way would change.
+    /// Resources affected by a proposed command, with the index of its entry.
     proposed: HashMap<Resource, u64>,
-    /// Incarnations that are being declared dead.
+    /// Incarnations proposed to be declared dead, with the index of the entry.
     declaring_dead: HashMap<Incarnation, u64>,
-    /// The quorum confirmation that was asked for last, and when.
+    /// Number of the last requested quorum confirmation, and when it was requested.
     quorum_number: u64,
     quorum_asked_at: Option<Time>,
-    began: bool,
-    order: Option<(Member, Member)>,
+    token_floor_proposed: bool,
+    replacement: Option<(Member, Member)>,
     configuration_step_at: Time,
 }
 
 impl Leader {
-    /// Begins to lead.
-    pub fn begin(now: Time) -> Leader {
-        Leader { granter: LeaseGranter::begin(now), ..Leader::default() }
+    /// Starts the state of a new leader.
+    pub fn new(now: Time) -> Leader {
+        Leader { granter: LeaseGranter::new(now), ..Leader::default() }
     }
 
-    /// Handles a lease request; a response where it needs no majority.
-    pub fn ask<D: LogStore>(
+    /// Handles a lease request. Returns a response if none of it needs a majority.
+    pub fn handle_request<D: LogStore>(
         &mut self,
         now: Time,
         from: Member,
-        ask: LeaseRequest,
+        request: LeaseRequest,
         replica: &mut RaftReplica<D>,
         timing: &Timing,
     ) -> Option<LeaseResponse> {
-        if let Some(dead) =
-            replica.ledger().latest_dead(ask.incarnation.member).filter(|dead| ask.incarnation <= *dead)
+        if let Some(dead) = replica
+            .ledger()
+            .latest_dead(request.incarnation.member)
+            .filter(|dead| request.incarnation <= *dead)
         {
             return Some(LeaseResponse {
-                number: ask.number,
+                number: request.number,
                 outcome: LeaseOutcome::DeclaredDead(dead.number),
             });
         }
-        if self.pending.len() >= MAX_PENDING_REQUESTS || ask.incarnation.member != from {
+        if self.pending.len() >= MAX_PENDING_REQUESTS || request.incarnation.member != from {
             return None;
         }
-        // A member has one request open: an older one of it is not waited for any more.
+        // A member has one open request at a time, so a new one replaces the old one.
         self.pending.retain(|p| p.from != from);
         let mut last = None;
-        let commands = ask
+        let commands = request
             .release
             .iter()
             .map(|(resource, token)| Command::Release { resource: resource.clone(), token: *token });
         let commands = commands.chain(
-            ask.settle
+            request
+                .settle
                 .iter()
                 .map(|(incarnation, token)| Command::Settle { incarnation: *incarnation, token: *token }),
         );
         for command in commands {
             last = replica.propose(command).or(last);
         }
-        for resource in &ask.want {
-            let of_other = resource.is_incarnation() && *resource != Resource::incarnation(ask.incarnation);
+        for resource in &request.acquire {
+            let other_incarnation =
+                resource.is_incarnation() && *resource != Resource::incarnation(request.incarnation);
             let held = replica.ledger().grant(resource);
-            let has = held.is_some_and(|g| g.holder == ask.incarnation);
-            let free = self.granter.is_free(resource, replica.ledger(), now, timing);
-            if of_other || has || !free || self.proposed.contains_key(resource) {
+            let already_held = held.is_some_and(|g| g.holder == request.incarnation);
+            let free = self.granter.is_grantable(resource, replica.ledger(), now, timing);
+            if other_incarnation || already_held || !free || self.proposed.contains_key(resource) {
                 continue;
             }
-            let expect = held.map_or(0, |g| g.token);
-            let command = Command::Grant { resource: resource.clone(), holder: ask.incarnation, expect };
+            let expected_token = held.map_or(0, |g| g.token);
+            let command =
+                Command::Grant { resource: resource.clone(), holder: request.incarnation, expected_token };
             if let Some(index) = replica.propose(command) {
                 self.proposed.insert(resource.clone(), index);
                 last = Some(index);
             }
         }
         let wait = last.map_or(Wait::Quorum(self.quorum_number + 1), Wait::Entry);
-        self.pending.push(Pending { from, ask, wait });
+        self.pending.push(Pending { from, request, wait });
         None
     }
 
-    /// Asks a majority to confirm the leadership, if somebody waits for it and none is under way.
+    /// Requests a quorum confirmation if a request waits for one and none is in progress.
     pub fn confirm<D: LogStore>(&mut self, now: Time, replica: &mut RaftReplica<D>, timing: &Timing) {
-        let late = self.quorum_asked_at.is_some_and(|at| now >= at + timing.tick_interval * 4);
-        if self.quorum_asked_at.is_some() && !late {
+        let overdue = self.quorum_asked_at.is_some_and(|at| now >= at + timing.tick_interval * 4);
+        if self.quorum_asked_at.is_some() && !overdue {
             return;
         }
-        if late || self.pending.iter().any(|p| p.wait == Wait::Quorum(self.quorum_number + 1)) {
+        if overdue || self.pending.iter().any(|p| p.wait == Wait::Quorum(self.quorum_number + 1)) {
             self.quorum_number += 1;
             self.quorum_asked_at = Some(now);
             replica.confirm(self.quorum_number);
         }
     }
 
-    /// A majority has confirmed, since it was asked under this number.
-    pub fn confirmed<D: LogStore>(
+    /// A majority has confirmed the leadership since the confirmation with this number was requested.
+    pub fn handle_confirmation<D: LogStore>(
         &mut self,
         now: Time,
         number: u64,
@@ -138,8 +143,8 @@
         self.answer_ready(now, replica, timing, |wait| matches!(wait, Wait::Quorum(n) if n <= number))
     }
 
-    /// An entry was applied.
-    pub fn applied<D: LogStore>(
+    /// The entry at this index was applied.
+    pub fn handle_applied<D: LogStore>(
         &mut self,
         now: Time,
         index: u64,
@@ -148,7 +153,7 @@
         timing: &Timing,
     ) -> Vec<(Member, LeaseResponse)> {
         if let Effect::Granted(resource, _) = effect {
-            self.granter.renewed(resource, now, timing);
+            self.granter.record_renewal(resource, now, timing);
         }
         self.proposed.retain(|_, at| *at > index);
         self.declaring_dead.retain(|_, at| *at > index);
@@ -165,43 +170,47 @@
         let (now_ready, rest): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.pending).into_iter().partition(|p| ready(p.wait));
         self.pending = rest;
-        let answers = now_ready.into_iter().map(|p| (p.from, self.response(now, p.ask, replica, timing)));
+        let answers = now_ready.into_iter().map(|p| (p.from, self.response(now, p.request, replica, timing)));
         answers.collect()
     }
 
     fn response<D: LogStore>(
         &mut self,
         now: Time,
-        ask: LeaseRequest,
+        request: LeaseRequest,
         replica: &RaftReplica<D>,
         timing: &Timing,
     ) -> LeaseResponse {
         let ledger = replica.ledger();
-        let number = ask.number;
-        if let Some(dead) = ledger.latest_dead(ask.incarnation.member).filter(|dead| ask.incarnation <= *dead)
+        let number = request.number;
+        if let Some(dead) =
+            ledger.latest_dead(request.incarnation.member).filter(|dead| request.incarnation <= *dead)
         {
             return LeaseResponse { number, outcome: LeaseOutcome::DeclaredDead(dead.number) };
         }
         let (mut resources, mut others) = (Vec::new(), Vec::new());
-        let renew = ask.renew.into_iter().map(|(resource, token)| (resource, Some(token)));
-        let known = ask.want.into_iter().chain(ask.watch).map(|resource| (resource, None));
+        let renew = request.renew.into_iter().map(|(resource, token)| (resource, Some(token)));
+        let known = request.acquire.into_iter().chain(request.watch).map(|resource| (resource, None));
         for (resource, token) in renew.chain(known) {
             let Some(grant) = ledger.grant(&resource) else { continue };
-            // What is being granted to another is held by nobody any more.
-            let going = self.proposed.contains_key(&resource);
-            if grant.holder == ask.incarnation && token.is_none_or(|t| t == grant.token) && !going {
-                self.granter.renewed(&resource, now, timing);
+            // A lease that is being granted to another member no longer has a holder.
+            let being_granted = self.proposed.contains_key(&resource);
+            if grant.holder == request.incarnation && token.is_none_or(|t| t == grant.token) && !being_granted
+            {
+                self.granter.record_renewal(&resource, now, timing);
                 resources.push((resource, grant.token));
-            } else if grant.holder != ask.incarnation && !self.granter.has_expired(&resource, now, timing) {
-                // Whose lease has run out owns it no longer, whatever the ledger says.
+            } else if grant.holder != request.incarnation && !self.granter.has_expired(&resource, now, timing)
+            {
+                // A member whose lease has expired no longer owns the resource, even if the ledger still lists it.
                 others.push((resource, grant.holder, grant.token));
             }
         }
-        let open = |incarnation: &&Incarnation| {
+        let available = |incarnation: &&Incarnation| {
             let resource = Resource::orphaned_work(**incarnation);
-            self.granter.is_free(&resource, ledger, now, timing)
+            self.granter.is_grantable(&resource, ledger, now, timing)
         };
-        let orphaned_work = ledger.orphaned_work().iter().filter(open).take(MAX_OFFERED).copied().collect();
+        let orphaned_work =
+            ledger.orphaned_work().iter().filter(available).take(MAX_OFFERED).copied().collect();
         let mut voters: Vec<Member> =
             replica.configuration().0.iter().filter_map(|s| member_of(*s)).collect();
         voters.sort_unstable();
@@ -209,7 +218,7 @@
         LeaseResponse { number, outcome: LeaseOutcome::Held { resources, others, orphaned_work, voters } }
     }
 
-    /// What a leader does by itself: deaths declared, and one step of a change of replicas.
+    /// Periodic work of a leader: declares incarnations dead and advances the configuration by one step.
     pub fn tick<D: LogStore>(
         &mut self,
         now: Time,
@@ -218,12 +227,12 @@
         members: &Members,
         timing: &Timing,
     ) {
-        if !self.began {
-            // Tokens of a fleet that was founded anew must be greater than those of the old one.
-            self.began = replica.propose(Command::Begin { floor }).is_some();
+        if !self.token_floor_proposed {
+            // If the fleet was set up anew, its tokens must be greater than those of the previous fleet.
+            self.token_floor_proposed = replica.propose(Command::RaiseTokenFloor { floor }).is_some();
         }
         self.confirm(now, replica, timing);
-        self.granter.forget(replica.ledger(), now);
+        self.granter.prune(replica.ledger(), now);
         self.declare_dead(now, replica, members, timing);
         if now >= self.configuration_step_at {
             self.configuration_step_at = now + timing.renewal_interval();
@@ -231,7 +240,7 @@
         }
     }
 
-    /// Proposes to declare those incarnations over whose members are gone and whose leases have run out.
+    /// Proposes to declare dead the incarnations whose members are gone and whose leases have expired.
     fn declare_dead<D: LogStore>(
         &mut self,
         now: Time,
@@ -251,12 +260,13 @@
         }
     }
 
-    /// An operator's order: the one votes no longer, the other does. Carried out a step at a time.
-    pub fn order(&mut self, old: Member, new: Member) {
-        self.order = Some((old, new));
+    /// Sets the operator's order to replace one voter by another. It is carried out step by step.
+    pub fn set_replacement(&mut self, old: Member, new: Member) {
+        self.replacement = Some((old, new));
     }
 
-    /// One step towards each member's present replica: it learns, the old one leaves, it votes.
+    /// Proposes the next step towards a configuration with each member's current replica: add it as a learner, remove
+    /// the old replica, promote the learner.
     fn advance_configuration<D: LogStore>(
         &mut self,
         uninitialized: &BTreeMap<Member, ReplicaId>,
@@ -267,19 +277,20 @@
         let lags: HashMap<ReplicaId, u64> = replica.lags().into_iter().collect();
         for (member, replica_id) in uninitialized.iter().map(|(m, s)| (*m, *s)) {
             if voters.contains(&replica_id) {
-                if self.order.is_some_and(|(_, new)| new == member) {
-                    self.order = None;
+                if self.replacement.is_some_and(|(_, new)| new == member) {
+                    self.replacement = None;
                 }
                 continue;
             }
-            let replaced = match self.order {
+            let replaced = match self.replacement {
                 Some((old, new)) if new == member => old,
                 _ => member,
             };
             let old = voters.iter().copied().find(|s| member_of(*s) == Some(replaced));
-            let learns = learners.contains(&replica_id);
-            // A replica without a predecessor was told to learn, or is none of the voters.
-            let step = match (learns, old) {
+            let is_learner = learners.contains(&replica_id);
+            // A learner without a predecessor was added by an earlier step and is promoted. Any other replica without
+            // a predecessor belongs to a member that is not a voter.
+            let step = match (is_learner, old) {
                 (false, Some(_)) => Some((replica_id, ConfigurationStep::AddLearner)),
                 (true, Some(old)) if lags.get(&replica_id).is_some_and(|lag| *lag <= MAX_LAG_TO_VOTE) => {
                     Some((old, ConfigurationStep::Remove))
@@ -288,14 +299,14 @@
                 _ => None,
             };
             if let Some((replica_id, step)) = step {
-                let _ = replica.change(replica_id, step);
+                let _ = replica.change_configuration(replica_id, step);
                 return;
             }
         }
     }
 }
 
-/// Whether an incarnation has ended, as far as gossip tells.
+/// Whether an incarnation has ended, according to gossip.
 fn is_gone(incarnation: &Incarnation, members: &Members) -> bool {
     if incarnation.member == members.me().member {
         return incarnation.number < members.me().number;
@@ -304,7 +315,7 @@
     seen.is_some_and(|s| {
         s.incarnation.is_some_and(|known| known > *incarnation)
             || (s.incarnation == Some(*incarnation) && matches!(s.state, MemberState::Dead | MemberState::Left))
-            // After a restart of all, one that never comes back is never heard of either.
+            // After a restart of the whole fleet, a member that never comes back is never heard of either.
             || s.state == MemberState::Unheard
     })
 }
--- a/fleet/src/lease.rs
+++ b/fleet/src/lease.rs
@@ -1,11 +1,11 @@
-//! What this process holds, and until when by its own clock.
+//! The leases held by this process and their expiry according to its own clock.
 
 use crate::timing::Timing;
 use crate::{Resource, Time, Token};
 use std::collections::BTreeMap;
 
-/// Requests whose answers are still believed.
-const MOST_OPEN: usize = 32;
+/// Maximum number of requests whose responses are still accepted.
+const MAX_OPEN_REQUESTS: usize = 32;
 
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 struct Held {
@@ -17,49 +17,51 @@
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 pub struct Leases {
     held: BTreeMap<Resource, Held>,
-    /// When each request that has no answer yet was asked.
-    asked: BTreeMap<u64, Time>,
-    /// When this process last checked its clock as it should.
-    seen: Time,
+    /// The time at which each unanswered request was sent.
+    open_requests: BTreeMap<u64, Time>,
+    /// The time of the last clock check.
+    last_check: Time,
 }
 
 impl Leases {
-    /// Checks the clock: what was held through a time in which this process did not run is dropped, all
-    /// of it, before anything else is done. Tells what was lost, and whether to a stop.
+    /// Checks the clock before anything else is done. If the process was suspended since the last check, all leases
+    /// are dropped; otherwise those that have expired. Returns the lost resources and whether the process was
+    /// suspended.
     pub fn check_clock(&mut self, now: Time, timing: &Timing) -> (Vec<Resource>, bool) {
-        let stopped = now.saturating_sub(self.seen) > timing.stall_threshold();
-        self.seen = self.seen.max(now);
-        if stopped {
-            // Answers to what was asked before the stop are as old as it is.
-            self.asked.clear();
+        let suspended = now.saturating_sub(self.last_check) > timing.stall_threshold();
+        self.last_check = self.last_check.max(now);
+        if suspended {
+            // Responses to requests from before the suspension are too old to be trusted.
+            self.open_requests.clear();
         }
-        let over = |held: &Held| stopped || held.until <= now;
+        let over = |held: &Held| suspended || held.until <= now;
         let lost: Vec<Resource> = self.held.iter().filter(|(_, h)| over(h)).map(|(t, _)| t.clone()).collect();
         self.held.retain(|_, h| !over(h));
-        (lost, stopped)
+        (lost, suspended)
     }
 
-    /// A request goes out.
-    pub fn ask(&mut self, number: u64, now: Time) {
-        self.asked.insert(number, now);
-        while self.asked.len() > MOST_OPEN {
-            self.asked.pop_first();
+    /// Records that a request is sent.
+    pub fn record_request(&mut self, number: u64, now: Time) {
+        self.open_requests.insert(number, now);
+        while self.open_requests.len() > MAX_OPEN_REQUESTS {
+            self.open_requests.pop_first();
         }
     }
 
-    /// Its answer has come: what it grants counts from the request, not from now. Tells what is newly held.
-    pub fn granted(
+    /// Applies a response. The leases count from the time of the request, not from now. Returns the newly held
+    /// resources.
+    pub fn apply_response(
         &mut self,
         number: u64,
         resources: &[(Resource, Token)],
         timing: &Timing,
     ) -> Vec<(Resource, Token)> {
-        let Some(asked) = self.asked.remove(&number) else { return Vec::new() };
+        let Some(asked) = self.open_requests.remove(&number) else { return Vec::new() };
         let until = asked + timing.lease_validity();
         let mut new = Vec::new();
         for (resource, token) in resources {
             let old = self.held.get(resource).copied();
-            if old.is_some_and(|old| old.token > *token) || until <= self.seen {
+            if old.is_some_and(|old| old.token > *token) || until <= self.last_check {
                 continue;
             }
             if old.is_none_or(|old| old.token < *token) {
@@ -71,25 +73,25 @@
         new
     }
 
-    /// Under which token an operation for a resource may begin at this very moment; nothing if it may not. A process
-    /// that has not checked its clock for longer than it should was stopped, and may do nothing.
+    /// Returns the token under which an operation on a resource may begin right now, or `None` if it may not. If the
+    /// last clock check is too long ago, the process was suspended and no operation is permitted.
     pub fn permit(&self, resource: &Resource, now: Time, timing: &Timing) -> Option<Token> {
-        let awake = now.saturating_sub(self.seen) <= timing.stall_threshold();
+        let awake = now.saturating_sub(self.last_check) <= timing.stall_threshold();
         self.held.get(resource).filter(|held| awake && now < held.until).map(|held| held.token)
     }
 
-    /// Gives a resource up; under which token it was held.
+    /// Gives up a resource. Returns the token under which it was held.
     pub fn remove(&mut self, resource: &Resource) -> Option<Token> {
         self.held.remove(resource).map(|held| held.token)
     }
 
-    /// Gives everything up; what that was.
-    pub fn drop_all(&mut self) -> Vec<Resource> {
-        self.asked.clear();
+    /// Gives up all resources and returns them.
+    pub fn clear(&mut self) -> Vec<Resource> {
+        self.open_requests.clear();
         std::mem::take(&mut self.held).into_keys().collect()
     }
 
-    /// All that is held: resource, token, until when.
+    /// Iterates over all held resources, with token and expiry.
     pub fn all(&self) -> impl Iterator<Item = (&Resource, Token, Time)> {
         self.held.iter().map(|(resource, held)| (resource, held.token, held.until))
     }
@@ -108,45 +110,46 @@
         let (timing, resource) = (Timing::default(), Resource::new("probe/a").expect("a name"));
         let mut leases = Leases::default();
         leases.check_clock(ms(0), &timing);
-        leases.ask(1, ms(100));
+        leases.record_request(1, ms(100));
         leases.check_clock(ms(400), &timing);
-        assert_eq!(leases.granted(1, &[(resource.clone(), 7)], &timing), [(resource.clone(), 7)]);
+        assert_eq!(leases.apply_response(1, &[(resource.clone(), 7)], &timing), [(resource.clone(), 7)]);
         (leases, resource, timing)
     }
 
     #[test]
-    fn a_lease_counts_from_the_request_less_the_drift() {
+    fn a_lease_counts_from_the_request_less_the_clock_drift() {
         let (mut leases, resource, timing) = held();
         for now in [800, 1200, 1560] {
             leases.check_clock(ms(now), &timing);
             assert_eq!(leases.permit(&resource, ms(now), &timing), Some(7), "{now}");
         }
-        // 100 ms + 1,500 ms less 2 in 100.
+        // Expiry: 100 ms + 1,500 ms less 2%.
         assert_eq!(leases.permit(&resource, ms(1569), &timing), Some(7));
         assert_eq!(leases.permit(&resource, ms(1570), &timing), None);
         assert_eq!(leases.check_clock(ms(1570), &timing), (vec![resource], false));
     }
 
     #[test]
-    fn a_process_that_was_stopped_may_do_nothing_even_before_it_notices() {
+    fn a_suspended_process_has_no_permits_even_before_it_checks_the_clock() {
         let (mut leases, resource, timing) = held();
-        // Its next look would come at 450; it was stopped until 1000, and the lease would last until 1570.
+        // The next clock check is due at 450 ms, but the process is suspended until 1,000 ms. The lease would last
+        // until 1,570 ms.
         assert_eq!(leases.permit(&resource, ms(1000), &timing), None);
         assert_eq!(leases.check_clock(ms(1000), &timing), (vec![resource.clone()], true));
         assert_eq!(leases.permit(&resource, ms(1000), &timing), None);
     }
 
     #[test]
-    fn an_answer_to_what_was_asked_before_a_stop_grants_nothing() {
+    fn a_response_to_a_request_from_before_a_suspension_grants_nothing() {
         let (mut leases, resource, timing) = held();
-        leases.ask(2, ms(420));
+        leases.record_request(2, ms(420));
         leases.check_clock(ms(1000), &timing);
-        assert!(leases.granted(2, &[(resource.clone(), 7)], &timing).is_empty());
+        assert!(leases.apply_response(2, &[(resource.clone(), 7)], &timing).is_empty());
         assert_eq!(leases.permit(&resource, ms(1000), &timing), None);
-        // Nor does one that was never asked, or that comes when its lease is over.
-        assert!(leases.granted(9, &[(resource.clone(), 8)], &timing).is_empty());
-        leases.ask(3, ms(1000));
+        // Neither a response without a request nor one that arrives after its lease has expired grants anything.
+        assert!(leases.apply_response(9, &[(resource.clone(), 8)], &timing).is_empty());
+        leases.record_request(3, ms(1000));
         (1..6).for_each(|n| drop(leases.check_clock(ms(1000 + n * 400), &timing)));
-        assert!(leases.granted(3, &[(resource, 8)], &timing).is_empty());
+        assert!(leases.apply_response(3, &[(resource, 8)], &timing).is_empty());
     }
 }
--- a/fleet/src/lease_client.rs
+++ b/fleet/src/lease_client.rs
@@ -1,5 +1,6 @@
-//! The lease client: what this process wants to own, and its requests to the leader. One request at a time
-//! covers all its leases, so that what a member costs does not grow with the fleet or with what it owns.
+//! The lease client: keeps the resources that this process wants to own and builds its requests to the leader. One
+//! request at a time covers all leases, so the cost per member does not grow with the size of the fleet or with the
+//! number of leases.
 
 use crate::frame::{LeaseOutcome, LeaseRequest, MAX_RESOURCES_PER_REQUEST};
 use crate::lease::Leases;
@@ -7,66 +8,66 @@
 use crate::{Incarnation, Member, Resource, Time, Token};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// So many members request a resource, the first by its rank; the others leave it to them.
+/// Number of members that request a resource, chosen by rank. The other members only watch it.
 const CANDIDATES_PER_RESOURCE: usize = 2;
 
-/// The client's side of the leases of one process.
+/// Lease client of one process.
 pub struct LeaseClient {
     wanted: BTreeSet<Resource>,
     recovers: bool,
     offered: Vec<Incarnation>,
     releases: Vec<(Resource, Token)>,
     settles: Vec<(Incarnation, Token)>,
-    /// Who has what this one would have.
-    others: BTreeMap<Resource, (Incarnation, Token)>,
+    /// Current holders of the wanted resources.
+    holders: BTreeMap<Resource, (Incarnation, Token)>,
     voters: Vec<Member>,
     leader: Option<Member>,
-    /// The request that has no answer yet, when it was asked, and of whom.
+    /// The unanswered request: its number, when it was sent, and to which member.
     open: Option<(u64, Time, Member)>,
     number: u64,
     next_at: Time,
-    turn: usize,
-    /// Since when no leader has answered.
+    next_voter: usize,
+    /// The time since which no leader has answered.
     unanswered_since: Option<Time>,
-    /// This one stands in line for something.
-    waits: bool,
-    /// Since when nobody has what this one would have.
-    free: BTreeMap<Resource, Time>,
+    /// Whether the last request tried to acquire a resource.
+    waiting: bool,
+    /// Wanted resources without an owner, and since when they have none.
+    unowned: BTreeMap<Resource, Time>,
 }
 
-/// What a response came to.
+/// The result of a response.
 pub enum LeaseReply {
-    /// Nothing that is of this request.
+    /// The response does not belong to the open request, or grants nothing.
     Nothing,
-    /// These are held from the moment of the request on.
+    /// These leases are held, counted from the time of the request with this number.
     Held(u64, Vec<(Resource, Token)>),
-    /// This process was declared dead; incarnations up to this one are over.
+    /// This process was declared dead, along with every incarnation up to this one.
     DeclaredDead(u64),
 }
 
 impl LeaseClient {
-    /// A client of these voters, as long as it hears of no others.
-    pub fn new(voters: Vec<Member>, turn: usize) -> LeaseClient {
+    /// Creates a client that uses these voters until a response names others.
+    pub fn new(voters: Vec<Member>, next_voter: usize) -> LeaseClient {
         LeaseClient {
             wanted: BTreeSet::new(),
             recovers: false,
             offered: Vec::new(),
             releases: Vec::new(),
             settles: Vec::new(),
-            others: BTreeMap::new(),
+            holders: BTreeMap::new(),
             voters,
             leader: None,
             open: None,
             number: 0,
             next_at: Time::ZERO,
-            turn,
+            next_voter,
             unanswered_since: None,
-            waits: false,
-            free: BTreeMap::new(),
+            waiting: false,
+            unowned: BTreeMap::new(),
         }
     }
 
-    /// Would own a resource from now on, or no longer.
+    /// Sets whether this process wants to own a resource.
     pub fn set_wanted(&mut self, resource: Resource, wanted: bool) {
         match wanted {
             true => drop(self.wanted.insert(resource)),
@@ -74,36 +75,36 @@
         }
     }
 
-    /// Would recover orphaned work.
+    /// Sets whether this process recovers orphaned work.
     pub fn set_recovers(&mut self, recovers: bool) {
         self.recovers = recovers;
     }
 
-    /// Gives a resource back with the next request.
+    /// Releases a resource with the next request.
     pub fn release(&mut self, resource: Resource, token: Token) {
         self.releases.push((resource, token));
         self.next_at = Time::ZERO;
     }
 
-    /// Is done with orphaned work.
+    /// Reports with the next request that the recovery of orphaned work is complete.
     pub fn settle(&mut self, incarnation: Incarnation, token: Token) {
         self.settles.push((incarnation, token));
         self.next_at = Time::ZERO;
     }
 
-    /// A new incarnation asks anew.
-    pub fn reborn(&mut self) {
+    /// Discards the open request and pending releases when a new incarnation begins.
+    pub fn reset(&mut self) {
         (self.open, self.next_at) = (None, Time::ZERO);
         self.releases.clear();
         self.settles.clear();
     }
 
-    /// The next request, if it is time for one, and whom to ask. `here` are the members that take part.
+    /// Returns the next request and its receiver, if one is due. `active` lists the active members.
     pub fn next_request(
         &mut self,
         now: Time,
         me: Incarnation,
-        here: &[Member],
+        active: &[Member],
         leases: &Leases,
         timing: &Timing,
     ) -> Option<(Member, LeaseRequest)> {
@@ -111,7 +112,7 @@
             if now < asked + timing.retry_interval() * 2 {
                 return None;
             }
-            // Whoever does not answer is not asked first again.
+            // A member that does not answer is not tried first again.
             self.unanswered_since.get_or_insert(asked);
             if self.leader == Some(of) {
                 self.leader = None;
@@ -122,14 +123,14 @@
             return None;
         }
         let to = self.leader.unwrap_or_else(|| {
-            self.turn += 1;
-            self.voters[self.turn % self.voters.len()]
+            self.next_voter += 1;
+            self.voters[self.next_voter % self.voters.len()]
         });
         let held: BTreeSet<&Resource> = leases.all().map(|(resource, ..)| resource).collect();
         let own = Resource::incarnation(me);
-        let mut want: Vec<Resource> = Vec::new();
+        let mut acquire: Vec<Resource> = Vec::new();
         if !held.contains(&own) {
-            want.push(own);
+            acquire.push(own);
         }
         let orphaned_work = self
             .offered
@@ -139,25 +140,29 @@
         let wanted = self.wanted.iter().cloned().chain(orphaned_work);
         let mut watch: Vec<Resource> = Vec::new();
         for resource in wanted.filter(|t| !held.contains(t)) {
-            // Those at the head of a line may all be gone, and not be known to be: then it is anybody's.
-            let late =
-                self.free.get(&resource).is_some_and(|since| now >= *since + timing.lease_duration / 2);
-            match late || is_candidate(&resource, me.member, here, self.leader) {
-                true => want.push(resource),
+            // The highest-ranked candidates may all have failed without this being known yet. After half a lease,
+            // every member may request the resource.
+            let overdue =
+                self.unowned.get(&resource).is_some_and(|since| now >= *since + timing.lease_duration / 2);
+            match overdue || is_candidate(&resource, me.member, active, self.leader) {
+                true => acquire.push(resource),
                 false => watch.push(resource),
             }
         }
         watch.truncate(MAX_RESOURCES_PER_REQUEST / 8);
-        self.waits = !want.is_empty();
+        self.waiting = !acquire.is_empty();
         let mut renew: Vec<(Resource, Token)> =
             leases.all().map(|(t, token, _)| (t.clone(), token)).collect();
         renew.truncate(MAX_RESOURCES_PER_REQUEST / 2);
-        want.truncate(MAX_RESOURCES_PER_REQUEST / 4);
+        acquire.truncate(MAX_RESOURCES_PER_REQUEST / 4);
         let release = take(&mut self.releases, MAX_RESOURCES_PER_REQUEST / 8);
         let settle = take(&mut self.settles, MAX_RESOURCES_PER_REQUEST / 8);
         self.number += 1;
         self.open = Some((self.number, now, to));
-        Some((to, LeaseRequest { incarnation: me, number: self.number, renew, want, watch, release, settle }))
+        Some((
+            to,
+            LeaseRequest { incarnation: me, number: self.number, renew, acquire, watch, release, settle },
+        ))
     }
 
     /// Handles a response.
@@ -191,55 +196,57 @@
                     self.voters = voters;
                 }
                 self.offered = orphaned_work;
-                self.others = others
+                self.holders = others
                     .into_iter()
                     .map(|(resource, incarnation, token)| (resource, (incarnation, token)))
                     .collect();
                 let has = |resource: &Resource| resources.iter().any(|(t, _)| t == resource);
-                let free = |t: &&Resource| !has(t) && !self.others.contains_key(t);
+                let free = |t: &&Resource| !has(t) && !self.holders.contains_key(t);
                 let free: Vec<Resource> = self.wanted.iter().filter(free).cloned().collect();
-                self.free.retain(|resource, _| free.contains(resource));
+                self.unowned.retain(|resource, _| free.contains(resource));
                 for resource in free {
-                    self.free.entry(resource).or_insert(now);
+                    self.unowned.entry(resource).or_insert(now);
                 }
-                let lacks = self.wanted.iter().any(|t| !has(t) && !self.others.contains_key(t));
-                // Whoever stands in line asks more often: it is on these that the time without an owner hangs.
-                let wants = lacks || self.waits;
-                self.next_at = now + if wants { timing.retry_interval() } else { timing.renewal_interval() };
+                let lacks = self.wanted.iter().any(|t| !has(t) && !self.holders.contains_key(t));
+                // A member waiting for a resource retries more often, since this determines how long the resource
+                // stays without an owner.
+                let acquiring = lacks || self.waiting;
+                self.next_at =
+                    now + if acquiring { timing.retry_interval() } else { timing.renewal_interval() };
                 LeaseReply::Held(open, resources)
             }
         }
     }
 
-    /// Who has a resource, as far as the leader last told this one.
+    /// The holder of a resource, as of the last response from the leader.
     pub fn holder(&self, resource: &Resource) -> Option<(Incarnation, Token)> {
-        self.others.get(resource).copied()
+        self.holders.get(resource).copied()
     }
 
-    /// Since when no leader has answered; nothing while one does.
+    /// The time since which no leader has answered; `None` while one does.
     pub fn unanswered_since(&self) -> Option<Time> {
         self.unanswered_since
     }
 
-    /// Who leads, as far as is known.
+    /// The leader, as far as known.
     pub fn leader(&self) -> Option<Member> {
         self.leader
     }
 
-    /// Who is asked.
+    /// The voters that requests are sent to.
     pub fn voters(&self) -> &[Member] {
         &self.voters
     }
 }
 
-fn take<T>(from: &mut Vec<T>, most: usize) -> Vec<T> {
-    let rest = from.split_off(from.len().min(most));
+fn take<T>(from: &mut Vec<T>, max: usize) -> Vec<T> {
+    let rest = from.split_off(from.len().min(max));
     std::mem::replace(from, rest)
 }
 
-/// Whether a member is among the first by rank that may request a resource. Each resource has a ranking of its own; the
-/// leader is the last in each, so that whoever owns something and whoever grants it do not go together.
-fn is_candidate(resource: &Resource, me: Member, here: &[Member], leader: Option<Member>) -> bool {
+/// Whether a member ranks high enough to request a resource. Each resource has its own ranking. The leader is last in
+/// all of them, so that the owner of a resource and the member that grants it do not fail together.
+fn is_candidate(resource: &Resource, me: Member, active: &[Member], leader: Option<Member>) -> bool {
     let rank = |member: Member| {
         let mut hasher = blake3::Hasher::new();
         hasher.update(resource.name().as_bytes());
@@ -249,7 +256,7 @@
         (Some(member) == leader, number)
     };
     let mine = rank(me);
-    here.iter().filter(|m| **m != me && rank(**m) < mine).count() < CANDIDATES_PER_RESOURCE
+    active.iter().filter(|m| **m != me && rank(**m) < mine).count() < CANDIDATES_PER_RESOURCE
 }
 
 #[cfg(test)]
@@ -257,15 +264,15 @@
     use super::*;
 
     #[test]
-    fn few_are_candidates_for_a_thing_and_the_leader_last() {
-        let here: Vec<Member> = (0..50).map(Member).collect();
+    fn few_members_are_candidates_for_a_resource_and_the_leader_is_last() {
+        let active: Vec<Member> = (0..50).map(Member).collect();
         for name in ["probe/a", "probe/b", "ledger"] {
             let resource = Resource::new(name).expect("a name");
             let first: Vec<Member> =
-                here.iter().copied().filter(|m| is_candidate(&resource, *m, &here, None)).collect();
+                active.iter().copied().filter(|m| is_candidate(&resource, *m, &active, None)).collect();
             assert_eq!(first.len(), CANDIDATES_PER_RESOURCE, "{name}");
-            assert!(!is_candidate(&resource, first[0], &here, Some(first[0])));
-            // The one who is alone takes all.
+            assert!(!is_candidate(&resource, first[0], &active, Some(first[0])));
+            // A lone member requests everything.
             assert!(is_candidate(&resource, first[0], &first[..1], Some(first[0])));
         }
     }
--- a/fleet/src/link.rs
+++ b/fleet/src/link.rs
@@ -1,9 +1,10 @@
-//! A link between two members as bytes: who is there is proven by the fleet's key before anything else is
-//! believed, and every frame after it. One side dials and speaks frames; the other only listens.
+//! The protocol of a link between two members, as bytes. Both sides authenticate with the fleet's key before anything
+//! else is accepted, and every later frame is authenticated too. Frames are sent in one direction only, from the
+//! connecting to the accepting side.
 //!
-//! `Hello` and `Welcome` say who is who with a fresh number each; `Proof` both ways shows that the key is known
-//! for just these numbers. Every frame then bears a tag over a key of this link alone, its place in the row and
-//! its bytes: nothing can be added, left out, altered, or played again.
+//! `Hello` and `Welcome` carry the identity of each side and a fresh nonce. Each side then proves knowledge of the
+//! key over the transcript of these messages. Every frame carries a tag computed with a key of this link from the
+//! frame's sequence number and content, so frames can't be inserted, dropped, modified or replayed.
 
 use crate::frame::{MAX_FRAME_BYTES, VERSION};
 use crate::{Incarnation, Member};
@@ -11,101 +12,102 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// What a link begins with: no other protocol does.
+/// The first bytes of a link, which distinguish it from other protocols.
 const MAGIC: [u8; 4] = *b"lrfl";
 const TAG_BYTES: usize = 16;
-/// Handshakes are short; whoever sends more is none of ours.
+/// Maximum size of a handshake message. Larger ones can't come from a member.
 const MAX_HANDSHAKE_BYTES: usize = 256;
 
-/// A link that can't be had or gone on with.
+/// A link that can't be established or continued.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum LinkError {
-    /// It is no member at all.
-    #[error("it does not speak as members do")]
+    /// The peer does not speak the link protocol.
+    #[error("the peer does not speak the link protocol")]
     Malformed,
-    /// It speaks another version.
-    #[error("it speaks version {0} of the frames, this member speaks {VERSION}")]
+    /// The peer uses another version of the frame format.
+    #[error("the peer uses frame version {0}, this member uses version {VERSION}")]
     UnsupportedVersion(u16),
-    /// It does not know the key.
-    #[error("its key is another")]
+    /// The peer does not know the key.
+    #[error("the peer has a different key")]
     WrongKey,
-    /// It went away before it had proved that it knows the key: its own key may be another.
-    #[error("it ended the link before it proved that it knows the key")]
+    /// The peer closed the link before it had proved knowledge of the key. It may have a different key.
+    #[error("the peer closed the link before it had proved that it knows the key")]
     ClosedBeforeProof,
-    /// It is not who it was taken for.
-    #[error("it is member {0}, which is not the member that was called, or is not in the member list")]
+    /// The peer is not the expected member.
+    #[error("the peer is member {0}, which is not the expected member or is not in the member list")]
     UnexpectedMember(u16),
-    /// A frame is too long.
-    #[error("a frame of {0} bytes, {MAX_FRAME_BYTES} are the most")]
+    /// A frame exceeds the size limit.
+    #[error("frame of {0} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes")]
     FrameTooLong(usize),
-    /// A frame was altered, or comes out of its row.
-    #[error("a frame whose tag does not fit it")]
+    /// A frame was modified, or is out of sequence.
+    #[error("frame with a wrong tag")]
     BadTag,
 }
 
-/// The first words of the one that dials.
+/// First message of the connecting side.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 struct Hello {
     incarnation: Incarnation,
     nonce: [u8; 16],
-    /// How many members its list has, and a digest of their names: lists that differ are told of.
+    /// Digest of the member list, so that members with different lists are reported.
     member_list_digest: [u8; 16],
 }
 
-/// The first message of the accepting side.
+/// First message of the accepting side.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 struct Welcome {
     incarnation: Incarnation,
     nonce: [u8; 16],
     member_list_digest: [u8; 16],
-    /// The newest incarnation that it knows of the caller.
-    known: Option<u64>,
-    /// Another process has just spoken to it as the same member.
-    here: bool,
+    /// The newest incarnation of the connecting member known to the accepting side.
+    known_incarnation: Option<u64>,
+    /// Whether another process has recently sent frames as the same member.
+    duplicate: bool,
     proof: [u8; TAG_BYTES],
 }
 
-/// Who one is, for its links.
+/// Identity of the local member, used for its links.
 #[derive(Clone, Debug)]
 pub struct LocalIdentity {
-    /// Its present incarnation.
+    /// Its current incarnation.
     pub incarnation: Incarnation,
-    /// How many members there are.
+    /// Number of members.
     pub members: u16,
-    /// A digest of all names.
+    /// Digest of the member list.
     pub member_list_digest: [u8; 16],
     /// The fleet's keys.
     pub keys: KeyRing,
 }
 
-/// What is known of the other side once the link stands.
+/// The peer of an established link.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Peer {
-    /// Who it is.
+    /// The peer's incarnation.
     pub incarnation: Incarnation,
-    /// The newest incarnation that it knows of this member; only the one that dialled is told.
+    /// The newest incarnation of the local member known to the peer. Only the connecting side receives it.
     pub known_incarnation: Option<u64>,
-    /// It has just heard another process as this member; only the one that dialled is told.
+    /// Whether the peer has recently received frames from another process as the local member. Only the connecting
+    /// side receives it.
     pub duplicate: bool,
-    /// Its list of members has the same names.
+    /// Whether the peer's member list has the same names.
     pub same_member_list: bool,
 }
 
-/// Bytes of frames that go out.
+/// Authenticates outgoing frames.
 pub struct Sealer {
     key: [u8; 32],
     count: u64,
 }
 
-/// Bytes of frames that come in.
+/// Verifies incoming frames.
 pub struct Opener {
     key: [u8; 32],
     count: u64,
     bytes: Vec<u8>,
 }
 
-fn frame(words: &impl Serialize) -> Vec<u8> {
-    let body = postcard::to_stdvec(words).unwrap_or_default();
+fn encode_handshake(message: &impl Serialize) -> Vec<u8> {
+    let body = postcard::to_stdvec(message).unwrap_or_default();
     let mut out = MAGIC.to_vec();
     out.extend_from_slice(&VERSION.to_be_bytes());
     out.extend_from_slice(&(body.len() as u16).to_be_bytes());
@@ -113,8 +115,10 @@
     out
 }
 
-/// Takes a whole handshake message off the front; nothing as long as it is not whole.
-fn unframe<T: for<'de> Deserialize<'de>>(bytes: &mut Vec<u8>) -> Result<Option<(T, Vec<u8>)>, LinkError> {
+/// Takes one complete handshake message from the front of the buffer. Returns `None` until it is complete.
+fn decode_handshake<T: for<'de> Deserialize<'de>>(
+    bytes: &mut Vec<u8>,
+) -> Result<Option<(T, Vec<u8>)>, LinkError> {
     let known = bytes.len().min(MAGIC.len());
     if bytes[..known] != MAGIC[..known] {
         return Err(LinkError::Malformed);
@@ -134,27 +138,27 @@
         return Ok(None);
     }
     let whole: Vec<u8> = bytes.drain(..8 + size).collect();
-    let words = postcard::from_bytes(&whole[8..]).map_err(|_| LinkError::Malformed)?;
-    Ok(Some((words, whole)))
+    let message = postcard::from_bytes(&whole[8..]).map_err(|_| LinkError::Malformed)?;
+    Ok(Some((message, whole)))
 }
 
-/// What both sides prove to know the key for: the whole talk so far, and who proves it.
-fn transcript(role: &[u8], hello: &[u8], welcome: &Welcome) -> Vec<u8> {
-    let bare = Welcome { proof: [0; TAG_BYTES], ..welcome.clone() };
+/// The handshake so far and the role of the side that signs it. Both sides prove knowledge of the key over this.
+fn handshake_transcript(role: &[u8], hello: &[u8], welcome: &Welcome) -> Vec<u8> {
+    let unsigned = Welcome { proof: [0; TAG_BYTES], ..welcome.clone() };
     let mut all = role.to_vec();
     all.extend_from_slice(hello);
-    all.extend_from_slice(&frame(&bare));
+    all.extend_from_slice(&encode_handshake(&unsigned));
     all
 }
 
-fn session(keys: &KeyRing, talk: &[u8]) -> [u8; 32] {
+fn link_key(keys: &KeyRing, transcript: &[u8]) -> [u8; 32] {
     let mut out = [0; 32];
-    out[..TAG_BYTES].copy_from_slice(&keys.seal(&[b"first ", talk].concat()));
-    out[TAG_BYTES..].copy_from_slice(&keys.seal(&[b"second", talk].concat()));
+    out[..TAG_BYTES].copy_from_slice(&keys.seal(&[b"first ", transcript].concat()));
+    out[TAG_BYTES..].copy_from_slice(&keys.seal(&[b"second", transcript].concat()));
     out
 }
 
-fn check(peer: Incarnation, members: u16) -> Result<(), LinkError> {
+fn check_member(peer: Incarnation, members: u16) -> Result<(), LinkError> {
     if peer.member.0 < members {
         Ok(())
     } else {
@@ -162,7 +166,7 @@
     }
 }
 
-/// The side that calls.
+/// The connecting side of a handshake.
 pub struct ClientHandshake {
     identity: LocalIdentity,
     to: Member,
@@ -171,9 +175,9 @@
 }
 
 impl ClientHandshake {
-    /// Calls on a member; the bytes that go out first. `nonce` must be fresh.
+    /// Starts a handshake with a member. Returns the first bytes to send. `nonce` must be fresh.
     pub fn new(identity: LocalIdentity, to: Member, nonce: [u8; 16]) -> (ClientHandshake, Vec<u8>) {
-        let hello = frame(&Hello {
+        let hello = encode_handshake(&Hello {
             incarnation: identity.incarnation,
             nonce,
             member_list_digest: identity.member_list_digest,
@@ -181,27 +185,28 @@
         (ClientHandshake { identity, to, hello: hello.clone(), bytes: Vec::new() }, hello)
     }
 
-    /// Bytes have come: once it is all there, the last words of the handshake, who is there, and the sealer.
+    /// Handles received bytes. Once the peer's message is complete, returns the last message of the handshake, the
+    /// peer, and the sealer for outgoing frames.
     ///
     /// # Errors
-    /// The other side is not one to go on with.
+    /// The peer is not acceptable and the link must be closed.
     pub fn receive(&mut self, bytes: &[u8]) -> Result<Option<(Vec<u8>, Peer, Sealer)>, LinkError> {
         self.bytes.extend_from_slice(bytes);
-        let Some((welcome, _)) = unframe::<Welcome>(&mut self.bytes)? else { return Ok(None) };
+        let Some((welcome, _)) = decode_handshake::<Welcome>(&mut self.bytes)? else { return Ok(None) };
         let keys = &self.identity.keys;
-        if !keys.verifies(&transcript(b"called", &self.hello, &welcome), &welcome.proof) {
+        if !keys.verifies(&handshake_transcript(b"called", &self.hello, &welcome), &welcome.proof) {
             return Err(LinkError::WrongKey);
         }
-        check(welcome.incarnation, self.identity.members)?;
+        check_member(welcome.incarnation, self.identity.members)?;
         if welcome.incarnation.member != self.to {
             return Err(LinkError::UnexpectedMember(welcome.incarnation.member.0));
         }
-        let talk = transcript(b"caller", &self.hello, &welcome);
+        let transcript = handshake_transcript(b"caller", &self.hello, &welcome);
         let same_member_list = welcome.member_list_digest == self.identity.member_list_digest;
-        let Welcome { incarnation, known, here, .. } = welcome;
-        let peer = Peer { incarnation, known_incarnation: known, duplicate: here, same_member_list };
-        let sealer = Sealer { key: session(keys, &talk), count: 0 };
-        Ok(Some((keys.seal(&talk).to_vec(), peer, sealer)))
+        let Welcome { incarnation, known_incarnation, duplicate, .. } = welcome;
+        let peer = Peer { incarnation, known_incarnation, duplicate, same_member_list };
+        let sealer = Sealer { key: link_key(keys, &transcript), count: 0 };
+        Ok(Some((keys.seal(&transcript).to_vec(), peer, sealer)))
     }
 }
 
@@ -210,49 +215,56 @@
     identity: LocalIdentity,
     nonce: [u8; 16],
     bytes: Vec<u8>,
-    talk: Option<(Vec<u8>, Peer)>,
+    transcript: Option<(Vec<u8>, Peer)>,
 }
 
 /// Progress of the accepting side.
 pub enum HandshakeStep {
-    /// More must come.
+    /// More bytes are needed.
     Incomplete,
-    /// These go out; more must come.
+    /// These bytes are to be sent; more bytes are needed.
     Send(Vec<u8>),
-    /// It stands.
+    /// The handshake is complete.
     Established(Peer, Opener),
 }
 
 impl ServerHandshake {
-    /// Somebody calls. `nonce` must be fresh.
+    /// Accepts a connection. `nonce` must be fresh.
     pub fn new(identity: LocalIdentity, nonce: [u8; 16]) -> ServerHandshake {
-        ServerHandshake { identity, nonce, bytes: Vec::new(), talk: None }
+        ServerHandshake { identity, nonce, bytes: Vec::new(), transcript: None }
     }
 
-    /// Bytes have come. `known` is the newest incarnation that is known of a member; `here` is whether another process
-    /// than that of an incarnation has just been heard as the same member.
+    /// Handles received bytes. `known_incarnation` returns the newest known incarnation of a member; `duplicate`
+    /// returns whether a process other than this incarnation's has recently sent frames as the same member.
     ///
     /// # Errors
-    /// The other side is not one to go on with.
+    /// The peer is not acceptable and the link must be closed.
     pub fn receive(
         &mut self,
         bytes: &[u8],
-        known: impl Fn(Member) -> Option<u64>,
-        here: impl Fn(Incarnation) -> bool,
+        known_incarnation: impl Fn(Member) -> Option<u64>,
+        duplicate: impl Fn(Incarnation) -> bool,
     ) -> Result<HandshakeStep, LinkError> {
         self.bytes.extend_from_slice(bytes);
         let keys = &self.identity.keys;
-        let Some((talk, peer)) = &self.talk else {
-            let Some((hello, whole)) = unframe::<Hello>(&mut self.bytes)? else {
+        let Some((transcript, peer)) = &self.transcript else {
+            let Some((hello, whole)) = decode_handshake::<Hello>(&mut self.bytes)? else {
                 return Ok(HandshakeStep::Incomplete);
             };
-            check(hello.incarnation, self.identity.members)?;
+            check_member(hello.incarnation, self.identity.members)?;
             let (incarnation, nonce, member_list_digest) =
                 (self.identity.incarnation, self.nonce, self.identity.member_list_digest);
-            let (known, here) = (known(hello.incarnation.member), here(hello.incarnation));
-            let mut welcome =
-                Welcome { incarnation, nonce, member_list_digest, known, here, proof: [0; TAG_BYTES] };
-            welcome.proof = keys.seal(&transcript(b"called", &whole, &welcome));
+            let (known_incarnation, duplicate) =
+                (known_incarnation(hello.incarnation.member), duplicate(hello.incarnation));
+            let mut welcome = Welcome {
+                incarnation,
+                nonce,
+                member_list_digest,
+                known_incarnation,
+                duplicate,
+                proof: [0; TAG_BYTES],
+            };
+            welcome.proof = keys.seal(&handshake_transcript(b"called", &whole, &welcome));
             let same_member_list = hello.member_list_digest == member_list_digest;
             let peer = Peer {
                 incarnation: hello.incarnation,
@@ -260,15 +272,16 @@
                 duplicate: false,
                 same_member_list,
             };
-            self.talk = Some((transcript(b"caller", &whole, &welcome), peer));
-            return Ok(HandshakeStep::Send(frame(&welcome)));
+            self.transcript = Some((handshake_transcript(b"caller", &whole, &welcome), peer));
+            return Ok(HandshakeStep::Send(encode_handshake(&welcome)));
         };
         let Some(proof) = self.bytes.first_chunk::<TAG_BYTES>() else { return Ok(HandshakeStep::Incomplete) };
-        if !keys.verifies(talk, proof) {
+        if !keys.verifies(transcript, proof) {
             return Err(LinkError::WrongKey);
         }
-        // The link's key comes of the key that the caller proved, which while keys are replaced may be the second.
-        let key = keys.with_matching_key(talk, proof, |one| session(one, talk));
+        // The key of the link is derived from the key that the connecting side proved. During a key rotation that may
+        // be the second one.
+        let key = keys.with_matching_key(transcript, proof, |one| link_key(one, transcript));
         let rest = self.bytes.split_off(TAG_BYTES);
         Ok(HandshakeStep::Established(*peer, Opener { key, count: 0, bytes: rest }))
     }
@@ -284,7 +297,7 @@
 }
 
 impl Sealer {
-    /// A frame as it goes out.
+    /// Returns the frame with its header, ready to be sent.
     pub fn seal(&mut self, frame: &[u8]) -> Vec<u8> {
         let mut out = (frame.len() as u32).to_be_bytes().to_vec();
         out.extend_from_slice(&tag(&self.key, self.count, frame));
@@ -295,15 +308,15 @@
 }
 
 impl Opener {
-    /// Bytes have come; more than one frame and a piece of the next is never kept.
+    /// Adds received bytes. The buffer holds at most one complete frame and a part of the next.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next frame that is whole.
+    /// Returns the next complete frame.
     ///
     /// # Errors
-    /// It is too long or not what was sent: the link must be ended.
+    /// The frame is too long or its tag is wrong; the link must be closed.
     pub fn next_frame(&mut self) -> Result<Option<Vec<u8>>, LinkError> {
         let Some(size) = self.bytes.first_chunk::<4>() else { return Ok(None) };
         let size = u32::from_be_bytes(*size) as usize;
@@ -315,8 +328,8 @@
             return Ok(None);
         }
         let body = self.bytes[4 + TAG_BYTES..whole].to_vec();
-        let fits = blake3::Hash::from_bytes(widen(&tag(&self.key, self.count, &body)))
-            == blake3::Hash::from_bytes(widen(&self.bytes[4..4 + TAG_BYTES]));
+        let fits = blake3::Hash::from_bytes(padded(&tag(&self.key, self.count, &body)))
+            == blake3::Hash::from_bytes(padded(&self.bytes[4..4 + TAG_BYTES]));
         if !fits {
             return Err(LinkError::BadTag);
         }
@@ -326,14 +339,14 @@
     }
 }
 
-/// Hashes are compared in constant time.
-fn widen(tag: &[u8]) -> [u8; 32] {
+/// Pads a tag to a hash, because hashes are compared in constant time.
+fn padded(tag: &[u8]) -> [u8; 32] {
     let mut out = [0; 32];
     out[..TAG_BYTES].copy_from_slice(tag);
     out
 }
 
-/// A digest of all names, in their order.
+/// Returns a digest of all member names, in order.
 pub fn member_list_digest(names: &[String]) -> [u8; 16] {
     let mut out = [0; 16];
     out.copy_from_slice(&blake3::hash(names.join("\n").as_bytes()).as_bytes()[..16]);
--- a/fleet/src/node.rs
+++ b/fleet/src/node.rs
@@ -1,5 +1,6 @@
-//! A member of the fleet, whole: gossip, lease requests, and where it has one, its Raft replica. Frames and the time
-//! go in; frames and events come out. Whoever drives it must call [`Node::tick`] every [`Timing::tick_interval`].
+//! A complete member of the fleet: gossip, lease client and, if it has one, its Raft replica. Frames and the current
+//! time are passed in; frames and events are returned. The caller must call [`Node::tick`] every
+//! [`Timing::tick_interval`].
 
 use crate::consensus::{member_of, ConsensusEvent, RaftReplica, ReplicaId};
 use crate::fence::FencingTokens;
@@ -14,34 +15,34 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Replicas that have not joined the consensus group yet announce themselves this often.
-const ANNOUNCE_EVERY: Duration = Duration::from_millis(250);
+/// How often replicas outside the consensus group announce themselves.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Who a node is.
+/// Configuration of a node.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
-    /// This process's incarnation.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
-    /// How many members there are.
+    /// Number of members.
     pub members: u16,
-    /// Those that vote when the fleet begins.
+    /// Initial voters of a new fleet.
     pub voters: Vec<Member>,
-    /// Spans that all members have alike.
+    /// Timing parameters, equal at all members.
     pub timing: Timing,
-    /// For all dice.
+    /// Seed of all random number generators.
     pub seed: u64,
-    /// Greater than any token of a fleet that was here before: the time of day, so that it grows by more than
-    /// tokens do.
+    /// Greater than any token of an earlier fleet with the same members. It is derived from the wall clock and so
+    /// grows faster than tokens are issued.
     pub floor: Token,
 }
 
-/// A replica as it was found on its disk at the start.
+/// A replica as recovered from its disk at startup.
 pub struct RecoveredReplica<D> {
-    /// Which replica it is.
+    /// Id of the replica.
     pub replica_id: ReplicaId,
-    /// The durable log; none on a disk that never took part.
+    /// The durable log; `None` if this disk has never been part of a consensus group.
     pub log: Option<Log>,
-    /// Where to persist from now on.
+    /// The store for further changes.
     pub disk: D,
 }
 
@@ -50,33 +51,33 @@
     NonVoter,
     Uninitialized(ReplicaId, D),
     Active(Box<RaftReplica<D>>),
-    /// Its durable state can't be used, and why.
+    /// The durable state is not usable, for this reason.
     Failed(String),
 }
 
-/// What has happened.
+/// An event for the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A member is seen otherwise than before.
+    /// The status of a member has changed.
     MemberChanged(Member, MemberStatus),
-    /// This process was declared dead. What it held is lost, and others may have what it had begun; it goes on
-    /// as this incarnation.
+    /// This process was declared dead and continues under this incarnation. Its leases are lost, and other members
+    /// may take over the work it had begun.
     NewIncarnation(Incarnation),
-    /// This process owns a resource from now on.
+    /// This process now owns a resource.
     Acquired(Resource, Token),
-    /// It does no longer.
+    /// This process no longer owns a resource, for this reason.
     Lost(Resource, &'static str),
-    /// It did not run for so long; all its leases are dropped.
+    /// The process did not run for this long. All leases are dropped.
     Stalled(Duration),
-    /// Who leads the voters, as far as this process is told.
+    /// The leader of the voters, as known to this process, has changed.
     LeaderChanged(Option<Member>),
-    /// An owner shares what it found, under a fence that holds.
+    /// An owner shared a result under a valid fencing token.
     OwnerReport(Member, OwnerReport),
-    /// Somebody asks this process, as an owner, for a health check.
+    /// A member asks this process, as an owner, for a health check.
     HealthCheckRequested(Member, HealthCheckRequest),
-    /// The replica of this member takes part from now on: the group is founded, or it has joined.
+    /// The replica of this member now takes part: the group was created, or the replica has joined it.
     ReplicaStarted,
-    /// This process has no vote until it is started again.
+    /// This process has no vote until it is restarted.
     ReplicaFailed(String),
 }
 
@@ -88,19 +89,19 @@
     pub(crate) lease_client: LeaseClient,
     pub(crate) participation: Participation<D>,
     leading: Option<Leader>,
-    /// Replicas that have never voted, by what their members say.
+    /// The latest announcement of each member whose replica is not known to be a voter.
     announcements: BTreeMap<Member, ReplicaAnnouncement>,
     announce_at: Time,
     fencing_tokens: FencingTokens,
     stale_reports: u64,
     leader: Option<Member>,
-    out: Vec<(Member, Frame)>,
+    outgoing: Vec<(Member, Frame)>,
     events: Vec<Event>,
     now: Time,
 }
 
 impl<D: LogStore> Node<D> {
-    /// A member that begins. `recovered` is its replica, where it has a disk for one.
+    /// Creates a member. `recovered` is its replica, if the member has a disk for one.
     pub fn new(config: NodeConfig, recovered: Option<RecoveredReplica<D>>) -> Node<D> {
         let NodeConfig { incarnation, members, timing, seed, .. } = &config;
         let mut events = Vec::new();
@@ -112,9 +113,9 @@
             Some(RecoveredReplica { replica_id, log: Some(log), disk }) => {
                 match RaftReplica::new(replica_id, log, disk, timing, seed.rotate_left(17)) {
                     Ok(replica) => Participation::Active(Box::new(replica)),
-                    Err(words) => {
-                        events.push(Event::ReplicaFailed(words.clone()));
-                        Participation::Failed(words)
+                    Err(reason) => {
+                        events.push(Event::ReplicaFailed(reason.clone()));
+                        Participation::Failed(reason)
                     }
                 }
             }
@@ -130,14 +131,15 @@
             fencing_tokens: FencingTokens::default(),
             stale_reports: 0,
             leader: None,
-            out: Vec::new(),
+            outgoing: Vec::new(),
             events,
             now: Time::ZERO,
             config,
         }
     }
 
-    /// Time has passed. Everything that is due is done; before all, what a stop has cost is dropped.
+    /// Advances the time and does everything that is due. Leases lost to a suspension of the process are dropped
+    /// first.
     pub fn tick(&mut self, now: Time) {
         self.drop_expired_leases(now);
         self.members.tick(now);
@@ -145,7 +147,7 @@
         if let Participation::Active(replica) = &mut self.participation {
             replica.tick();
         }
-        self.settle(now);
+        self.process_consensus(now);
         if let (Some(leading), Participation::Active(replica)) = (&mut self.leading, &mut self.participation)
         {
             let uninitialized = self.announcements.iter().map(|(m, r)| (*m, r.replica_id)).collect();
@@ -157,17 +159,19 @@
                 &self.config.timing,
             );
         }
-        self.settle(now);
+        self.process_consensus(now);
         self.request_leases(now);
-        self.changes();
+        self.process_membership();
     }
 
-    /// A frame of another member has come, over a link that is known to be its.
+    /// Handles a frame from another member, received over an authenticated link.
     pub fn receive(&mut self, now: Time, from: Member, frame: Frame) {
         self.drop_expired_leases(now);
         match frame {
             Frame::Swim(bytes) => self.members.receive(now, &bytes),
-            Frame::Leave(incarnation) if incarnation.member == from => self.members.left(now, incarnation),
+            Frame::Leave(incarnation) if incarnation.member == from => {
+                self.members.handle_leave(now, incarnation)
+            }
             Frame::Leave(_) => {}
             Frame::Raft(message) if member_of(message.from) == Some(from) => self.step(now, &message),
             Frame::Raft(_) => {}
@@ -175,66 +179,68 @@
                 self.receive_announcement(from, announcement)
             }
             Frame::Announcement(_) => {}
-            Frame::LeaseRequest(ask) => self.asked(now, from, ask),
-            Frame::LeaseResponse(answer) => self.answered(now, from, answer),
-            Frame::HealthCheckRequest(look) => self.events.push(Event::HealthCheckRequested(from, look)),
+            Frame::LeaseRequest(request) => self.handle_lease_request(now, from, request),
+            Frame::LeaseResponse(response) => self.handle_lease_response(now, from, response),
+            Frame::HealthCheckRequest(request) => {
+                self.events.push(Event::HealthCheckRequested(from, request))
+            }
             Frame::OwnerReport(report) => match self.fencing_tokens.admits(&report.resource, report.token) {
                 true => self.events.push(Event::OwnerReport(from, report)),
                 false => self.stale_reports += 1,
             },
         }
-        self.changes();
+        self.process_membership();
     }
 
-    /// Another member knows of a later incarnation of this one: it goes on as one that is later still.
+    /// Another member knows a newer incarnation of this member, so this process continues under an even newer one.
     pub fn handle_known_incarnation(&mut self, now: Time, number: u64) {
         if number > self.members.me().number {
             self.members.begin_incarnation(now, number);
-            self.changes();
+            self.process_membership();
         }
     }
 
-    /// The disk has kept all changes up to this number, or failed to.
+    /// Handles the result of persisting all changes up to this number.
     pub fn persisted(&mut self, now: Time, number: u64, result: Result<(), String>) {
         self.drop_expired_leases(now);
         if let Participation::Active(replica) = &mut self.participation {
             replica.handle_persisted(number, result);
-            self.settle(now);
+            self.process_consensus(now);
         }
-        self.changes();
+        self.process_membership();
     }
 
-    /// Drops what a stop has cost. Everything begins with this.
+    /// Drops expired leases, or all leases if the process was suspended. Runs before anything else is handled.
     fn drop_expired_leases(&mut self, now: Time) {
         let gap = now.saturating_sub(self.now);
         self.now = self.now.max(now);
-        let (lost, stopped) = self.leases.check_clock(now, &self.config.timing);
-        if stopped && gap < now {
+        let (lost, suspended) = self.leases.check_clock(now, &self.config.timing);
+        if suspended && gap < now {
             self.events.push(Event::Stalled(gap));
         }
-        let why = if stopped { "this process was stopped" } else { "it was not renewed in time" };
+        let why = if suspended { "this process was suspended" } else { "the lease was not renewed in time" };
         self.events.extend(lost.into_iter().map(|resource| Event::Lost(resource, why)));
     }
 
     fn step(&mut self, now: Time, message: &RaftMessage) {
         if let Participation::Active(replica) = &mut self.participation {
             replica.step(message);
-            self.settle(now);
+            self.process_consensus(now);
         }
     }
 
-    /// Announces this member's replica, as long as somebody may not know it.
+    /// Announces this member's replica while some member may not know it.
     fn announce(&mut self, now: Time) {
         if now < self.announce_at {
             return;
         }
-        self.announce_at = now + ANNOUNCE_EVERY;
+        self.announce_at = now + ANNOUNCE_INTERVAL;
         let (replica_id, configured) = match &self.participation {
             Participation::Uninitialized(replica_id, _) => (*replica_id, Vec::new()),
             Participation::Active(replica) => {
                 let (voters, learners) = replica.configuration();
                 let configured: Vec<ReplicaId> = voters.iter().chain(learners).copied().collect();
-                // Where all replicas take part there is nothing to announce.
+                // Once all known replicas take part there is nothing to announce.
                 if !self.announcements.values().any(|a| a.configured.is_empty()) {
                     return;
                 }
@@ -250,7 +256,7 @@
         to.dedup();
         let announcement = ReplicaAnnouncement { replica_id, configured };
         let others = to.into_iter().filter(|m| *m != self.config.incarnation.member);
-        self.out.extend(others.map(|m| (m, Frame::Announcement(announcement.clone()))));
+        self.outgoing.extend(others.map(|m| (m, Frame::Announcement(announcement.clone()))));
         self.start_replica();
     }
 
@@ -269,14 +275,15 @@
         self.start_replica();
     }
 
-    /// A replica that never voted takes part once the others' agreement names it, or once all voters are here and
-    /// none of them has ever voted. A disk that was lost is another replica, and so takes part in nothing by itself.
+    /// Starts a replica that has never taken part, either when another replica's configuration names it, or when all
+    /// voters have announced replicas that have never taken part. A replacement for a lost disk has a new replica id,
+    /// so it can't start by itself.
     fn start_replica(&mut self) {
         let Participation::Uninitialized(replica_id, _) = &self.participation else { return };
         let replica_id = *replica_id;
         let me = self.config.incarnation.member;
         let log = if self.announcements.values().any(|a| a.configured.contains(&replica_id)) {
-            // It is told everything by the others.
+            // The replica receives the whole state from the others.
             Log::default()
         } else {
             let others = self.config.voters.iter().filter(|m| **m != me);
@@ -296,8 +303,8 @@
         else {
             return;
         };
-        let kept = disk.replace(&log.to_change());
-        let replica = kept.and_then(|()| {
+        let replaced = disk.replace(&log.to_change());
+        let replica = replaced.and_then(|()| {
             RaftReplica::new(replica_id, log, disk, &self.config.timing, self.config.seed.rotate_left(17))
         });
         match replica {
@@ -306,41 +313,41 @@
                 self.events.push(Event::ReplicaStarted);
                 self.announce_at = Time::ZERO;
             }
-            Err(words) => {
-                self.events.push(Event::ReplicaFailed(words.clone()));
-                self.participation = Participation::Failed(words);
+            Err(reason) => {
+                self.events.push(Event::ReplicaFailed(reason.clone()));
+                self.participation = Participation::Failed(reason);
             }
         }
     }
 
-    /// Takes on what the agreement has come to, until it comes to nothing more.
-    fn settle(&mut self, now: Time) {
+    /// Processes the events of the replica until there are no more.
+    fn process_consensus(&mut self, now: Time) {
         let timing = self.config.timing;
         let Participation::Active(replica) = &mut self.participation else { return };
-        let mut answers = Vec::new();
+        let mut responses = Vec::new();
         loop {
-            replica.settle();
+            replica.process();
             let events = replica.take_events();
             if events.is_empty() {
                 break;
             }
             for event in events {
                 match event {
-                    ConsensusEvent::Leads(true) => self.leading = Some(Leader::begin(now)),
-                    ConsensusEvent::Leads(false) => self.leading = None,
-                    ConsensusEvent::Replaced => {}
-                    ConsensusEvent::Failed(words) => {
+                    ConsensusEvent::LeadershipChanged(true) => self.leading = Some(Leader::new(now)),
+                    ConsensusEvent::LeadershipChanged(false) => self.leading = None,
+                    ConsensusEvent::SnapshotInstalled => {}
+                    ConsensusEvent::Failed(reason) => {
                         self.leading = None;
-                        self.events.push(Event::ReplicaFailed(words));
+                        self.events.push(Event::ReplicaFailed(reason));
                     }
                     ConsensusEvent::Applied(index, effect) => {
                         if let Some(leading) = &mut self.leading {
-                            answers.extend(leading.applied(now, index, &effect, replica, &timing));
+                            responses.extend(leading.handle_applied(now, index, &effect, replica, &timing));
                         }
                     }
                     ConsensusEvent::Confirmed(number) => {
                         if let Some(leading) = &mut self.leading {
-                            answers.extend(leading.confirmed(now, number, replica, &timing));
+                            responses.extend(leading.handle_confirmation(now, number, replica, &timing));
                         }
                     }
                 }
@@ -352,67 +359,67 @@
         let messages = replica.take_messages();
         let me = self.config.incarnation.member;
         for message in messages {
-            // None: an earlier replica of this member, which is gone with its disk.
+            // A message to this member itself is addressed to an earlier replica whose disk was lost.
             if let Some(to) = member_of(message.to).filter(|m| *m != me) {
-                self.out.push((to, Frame::Raft(message)));
+                self.outgoing.push((to, Frame::Raft(message)));
             }
         }
-        for (to, answer) in answers {
-            self.reply(now, to, answer);
+        for (to, response) in responses {
+            self.reply(now, to, response);
         }
     }
 
-    fn reply(&mut self, now: Time, to: Member, answer: LeaseResponse) {
+    fn reply(&mut self, now: Time, to: Member, response: LeaseResponse) {
         match to == self.config.incarnation.member {
-            true => self.answered(now, to, answer),
-            false => self.out.push((to, Frame::LeaseResponse(answer))),
+            true => self.handle_lease_response(now, to, response),
+            false => self.outgoing.push((to, Frame::LeaseResponse(response))),
         }
     }
 
-    fn asked(&mut self, now: Time, from: Member, ask: crate::frame::LeaseRequest) {
-        let number = ask.number;
-        let elsewhere =
+    fn handle_lease_request(&mut self, now: Time, from: Member, request: crate::frame::LeaseRequest) {
+        let number = request.number;
+        let not_leader =
             |leader| Some(LeaseResponse { number, outcome: crate::frame::LeaseOutcome::NotLeader(leader) });
-        let answer = match (&mut self.leading, &mut self.participation) {
+        let response = match (&mut self.leading, &mut self.participation) {
             (Some(leading), Participation::Active(replica)) => {
-                leading.ask(now, from, ask, replica, &self.config.timing)
+                leading.handle_request(now, from, request, replica, &self.config.timing)
             }
-            (None, Participation::Active(replica)) => elsewhere(replica.leader().and_then(member_of)),
-            _ => elsewhere(None),
+            (None, Participation::Active(replica)) => not_leader(replica.leader().and_then(member_of)),
+            _ => not_leader(None),
         };
-        if let Some(answer) = answer {
-            self.reply(now, from, answer);
+        if let Some(response) = response {
+            self.reply(now, from, response);
         }
-        self.settle(now);
+        self.process_consensus(now);
     }
 
     fn request_leases(&mut self, now: Time) {
         let here = self.members.active();
         let me = self.members.me();
         let asked = self.lease_client.next_request(now, me, &here, &self.leases, &self.config.timing);
-        let Some((to, ask)) = asked else { return };
-        self.leases.ask(ask.number, now);
-        for (resource, _) in &ask.release {
+        let Some((to, request)) = asked else { return };
+        self.leases.record_request(request.number, now);
+        for (resource, _) in &request.release {
             self.leases.remove(resource);
         }
         match to == me.member {
-            true => self.asked(now, to, ask),
-            false => self.out.push((to, Frame::LeaseRequest(ask))),
+            true => self.handle_lease_request(now, to, request),
+            false => self.outgoing.push((to, Frame::LeaseRequest(request))),
         }
     }
 
-    fn answered(&mut self, now: Time, from: Member, answer: LeaseResponse) {
+    fn handle_lease_response(&mut self, now: Time, from: Member, response: LeaseResponse) {
         let timing = self.config.timing;
-        match self.lease_client.receive(now, from, answer.number, answer.outcome, &timing) {
+        match self.lease_client.receive(now, from, response.number, response.outcome, &timing) {
             LeaseReply::Nothing => {}
             LeaseReply::Held(number, resources) => {
                 let held: Vec<Resource> = self.leases.all().map(|(resource, ..)| resource.clone()).collect();
                 let gone = held.into_iter().filter(|h| self.lease_client.holder(h).is_some());
                 for resource in gone.collect::<Vec<_>>() {
                     self.leases.remove(&resource);
-                    self.events.push(Event::Lost(resource, "another owns it"));
+                    self.events.push(Event::Lost(resource, "another member owns the resource"));
                 }
-                let new = self.leases.granted(number, &resources, &timing);
+                let new = self.leases.apply_response(number, &resources, &timing);
                 self.events.extend(new.into_iter().map(|(resource, token)| Event::Acquired(resource, token)));
             }
             LeaseReply::DeclaredDead(number) => self.members.begin_incarnation(now, number),
@@ -423,26 +430,27 @@
         }
     }
 
-    /// Passes on what the gossip has come to.
-    fn changes(&mut self) {
-        self.out.extend(self.members.take_messages().into_iter().map(|(to, bytes)| (to, Frame::Swim(bytes))));
+    /// Passes on gossip messages and membership changes.
+    fn process_membership(&mut self) {
+        self.outgoing
+            .extend(self.members.take_messages().into_iter().map(|(to, bytes)| (to, Frame::Swim(bytes))));
         for change in self.members.take_changes() {
             match change {
                 MembershipChange::Member(member, seen) => {
                     self.events.push(Event::MemberChanged(member, seen))
                 }
                 MembershipChange::NewIncarnation(incarnation) => {
-                    let lost = self.leases.drop_all();
+                    let lost = self.leases.clear();
                     let why = "this process was declared dead";
                     self.events.extend(lost.into_iter().map(|resource| Event::Lost(resource, why)));
-                    self.lease_client.reborn();
+                    self.lease_client.reset();
                     self.events.push(Event::NewIncarnation(incarnation));
                 }
             }
         }
     }
 
-    /// Would own a resource from now on, or no longer: what is held of it is given back.
+    /// Sets whether this process wants to own a resource. If it no longer does, a held lease is released.
     pub fn set_wanted(&mut self, resource: &Resource, wanted: bool) {
         self.lease_client.set_wanted(resource.clone(), wanted);
         if !wanted {
@@ -450,72 +458,72 @@
         }
     }
 
-    /// Gives a resource back. It must not be acted for any more when this is called.
+    /// Releases a resource. The caller must already have stopped all operations on it.
     pub fn release(&mut self, resource: &Resource) {
         if let Some(token) = self.leases.remove(resource) {
             self.lease_client.release(resource.clone(), token);
-            self.events.push(Event::Lost(resource.clone(), "it was given back"));
+            self.events.push(Event::Lost(resource.clone(), "the resource was released"));
         }
     }
 
-    /// Would recover orphaned work, or no longer.
+    /// Sets whether this process recovers orphaned work.
     pub fn set_recovers(&mut self, recovers: bool) {
         self.lease_client.set_recovers(recovers);
     }
 
-    /// Is done with orphaned work that it took over.
+    /// Marks the recovery of orphaned work as complete and releases it.
     pub fn complete_recovery(&mut self, incarnation: Incarnation) {
         let resource = Resource::orphaned_work(incarnation);
         if let Some(token) = self.leases.remove(&resource) {
             self.lease_client.settle(incarnation, token);
-            self.events.push(Event::Lost(resource, "it is settled"));
+            self.events.push(Event::Lost(resource, "the recovery is complete"));
         }
     }
 
-    /// Under which token an operation for a resource may begin at this very moment; nothing if it may not. To be asked
-    /// right before the operation, with the clock as it is then.
+    /// Returns the token under which an operation on a resource may begin right now, or `None` if it may not. Must be
+    /// called immediately before the operation, with the current time.
     pub fn permit(&self, resource: &Resource, now: Time) -> Option<Token> {
         self.leases.permit(resource, now, &self.config.timing)
     }
 
-    /// Who owns a resource, as far as the leader last told this process, if it does not itself.
+    /// The owner of a resource, as of the last response from the leader, unless it is this process.
     pub fn holder(&self, resource: &Resource) -> Option<(Incarnation, Token)> {
         self.lease_client.holder(resource)
     }
 
-    /// Since when no leader has answered; nothing while one does.
+    /// The time since which no leader has answered; `None` while one does.
     pub fn unanswered_since(&self) -> Option<Time> {
         self.lease_client.unanswered_since()
     }
 
-    /// Shares what an owner found with all who are here; false where it may not act.
+    /// Shares a result with all active members. Returns false if this process does not own the resource.
     pub fn broadcast_report(&mut self, now: Time, resource: &Resource, payload: Vec<u8>) -> bool {
         let Some(token) = self.permit(resource, now) else { return false };
         let report = OwnerReport { resource: resource.clone(), token, payload };
         let me = self.members.me().member;
         let others = self.members.active().into_iter().filter(|m| *m != me);
-        self.out.extend(others.map(|m| (m, Frame::OwnerReport(report.clone()))));
+        self.outgoing.extend(others.map(|m| (m, Frame::OwnerReport(report.clone()))));
         true
     }
 
-    /// Asks the owner of a resource for a health check; false where none is known.
+    /// Asks the owner of a resource for a health check. Returns false if the owner is unknown.
     pub fn request_health_check(&mut self, resource: &Resource, payload: Vec<u8>) -> bool {
         let Some((owner, _)) =
             self.lease_client.holder(resource).filter(|_| self.lease_client.unanswered_since().is_none())
         else {
             return false;
         };
-        self.out.push((
+        self.outgoing.push((
             owner.member,
             Frame::HealthCheckRequest(HealthCheckRequest { resource: resource.clone(), payload }),
         ));
         true
     }
 
-    /// Has a member vote in place of another. The order goes to the leader, where it must be given.
+    /// Replaces one voter by another. Must be called on the leader.
     ///
     /// # Errors
-    /// This process does not lead, or the order makes no sense.
+    /// This process does not lead, or the members do not qualify.
     pub fn replace_voter(&mut self, old: Member, new: Member) -> Result<(), String> {
         let (Some(leading), Participation::Active(replica)) = (&mut self.leading, &self.participation) else {
             return Err("this process does not lead the voters".into());
@@ -527,43 +535,43 @@
         if votes(new) {
             return Err("the one to come votes already".into());
         }
-        leading.order(old, new);
+        leading.set_replacement(old, new);
         Ok(())
     }
 
-    /// Ends this incarnation by its own will: gives everything back and says so.
+    /// Leaves voluntarily: releases all resources and notifies the other members.
     pub fn leave(&mut self, now: Time) {
         let held: Vec<Resource> = self.leases.all().map(|(resource, ..)| resource.clone()).collect();
         held.iter().for_each(|resource| self.release(resource));
         self.request_leases(now);
         let me = self.members.me();
         let others = self.members.active().into_iter().filter(|m| *m != me.member);
-        self.out.extend(others.map(|m| (m, Frame::Leave(me))));
+        self.outgoing.extend(others.map(|m| (m, Frame::Leave(me))));
         self.members.leave(now);
-        self.changes();
+        self.process_membership();
     }
 
-    /// Frames that go out.
+    /// Takes the outgoing frames.
     pub fn take_frames(&mut self) -> Vec<(Member, Frame)> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outgoing)
     }
 
-    /// What has happened.
+    /// Takes the events since the last call.
     pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
 
-    /// Who is there.
+    /// The membership list.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// Shares that were refused, since their tokens were old.
+    /// Number of reports rejected because of an outdated token.
     pub fn stale_reports(&self) -> u64 {
         self.stale_reports
     }
 
-    /// Whether a member takes part, as far as this one has heard.
+    /// Whether a member is active, as known to this member.
     pub fn is_active(&self, member: Member) -> bool {
         matches!(self.members.state(member), MemberState::Alive | MemberState::Suspect)
     }
