--- a/benches/pick.rs
+++ b/benches/pick.rs
@@ -1,4 +1,4 @@
-//! What a decision costs, by how many overrides are in force. `cargo bench --bench pick`.
+//! Cost of a decision by number of workers and overrides in force. Run with `cargo bench --bench pick`.
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use lineroute::*;
@@ -52,9 +52,9 @@
     }
 }
 
-/// A balancer that knows so many workers, and how they answer.
+/// A balancer that knows this many workers and their response times.
 fn warmed(workers: u32) -> (Balancer, Micros) {
-    let mut balancer = Balancer::new(settings(), 7).expect("sound settings");
+    let mut balancer = Balancer::new(settings(), 7).expect("valid settings");
     let entry = |w: u32| WorkerEntry {
         worker: WorkerId(w),
         zone: ZoneId(w % 2),
@@ -73,7 +73,7 @@
     (balancer, now)
 }
 
-/// One request from its arrival to its end; the time after it.
+/// Runs one request from arrival to end, and returns the time after it.
 fn serve(balancer: &mut Balancer, id: u64, now: Micros, actions: &mut Vec<Action>) -> Micros {
     actions.clear();
     let id = RequestId(id.to_string().into());
@@ -88,7 +88,8 @@
     now + 100
 }
 
-/// So many overrides: weights over the workers in turn, a tenth out of service beside them, pins of tenants.
+/// This many overrides: weights for the workers in turn, a tenth as many workers out of service, and pins of
+/// tenants.
 fn overrides(count: u32, workers: u32) -> Overrides {
     let weights: Vec<_> = (0..count.min(workers)).map(|w| (WorkerId(w), 0.5 + f64::from(w % 4))).collect();
     let out_of_service: Vec<_> = (0..count / 10).map(|w| WorkerId(workers + w)).collect();
--- a/src/api.rs
+++ b/src/api.rs
@@ -1,14 +1,14 @@
-//! The whole interface of the decision module: settings, events and actions.
+//! Interface of the decision module: settings, events and actions.
 //!
-//! Times are whole microseconds on a clock that only moves forward; where it starts does not matter.
+//! Times are whole microseconds on a monotonic clock with an arbitrary origin.
 
 use std::fmt;
 use std::sync::Arc;
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// A request's id, chosen by the host and never used twice.
+/// A request's id, chosen by the host and never reused.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub Arc<str>);
 
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Key(pub Arc<str>);
 
-/// A worker's id. It says nothing of zone, kind or age.
+/// A worker's id. It implies nothing about zone, kind or age.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WorkerId(pub u32);
 
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct KindId(pub u32);
 
-/// Number of a cell: a few workers that share what keys they have seen.
+/// Number of a cell: a few workers that share the set of keys they have seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CellId(pub u32);
 
@@ -40,49 +40,50 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TenantId(pub usize);
 
-/// Number of an attempt of one request, from 0 in the order of its sends.
+/// Number of an attempt of a request, counted from 0 in the order of sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptNo(pub u32);
 
-/// What a host tells the module once, at the start of an instance.
+/// Configuration that the host passes to the module when an instance starts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Instances that share the traffic, this one among them.
+    /// Number of instances that share the traffic, including this one.
     pub instances: u32,
     /// Request classes; at least one.
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// How the list of workers is had.
+    /// How the worker list is obtained.
     pub discovery: Discovery,
-    /// How load reports are had.
+    /// How load reports are obtained.
     pub report_source: ReportSource,
-    /// What workers and the host permit.
+    /// What workers and the host allow.
     pub allowed: Allowed,
-    /// Parameters of the four rules.
+    /// Parameters of the sending rules.
     pub rules: Rules,
-    /// Reports tell how many jobs a worker holds or has waiting, not only of free slots.
+    /// Reports include counts of a worker's jobs or queue, not only free slots.
     pub reports_count_jobs: bool,
-    /// Time between progress notes of a running job; 0: none come.
+    /// Interval between progress messages of a running job; 0: none are sent.
     pub progress_interval: Micros,
-    /// Workers tell when a job begins, by [`Event::JobStarted`].
+    /// Workers report the start of a job, by [`Event::JobStarted`].
     pub tells_start: bool,
-    /// Zone of this instance; `None`: all workers count as near.
+    /// Zone of this instance; `None`: all workers count as local.
     pub zone: Option<ZoneId>,
-    /// Worth is counted for each unit of work, not for each request.
+    /// Worth is counted per unit of work instead of per request.
     pub worth_by_work: bool,
-    /// What sends cost beside the work.
+    /// Costs of a send other than the work itself.
     pub prices: Prices,
-    /// Part of a class's requests that may miss the aim before the rest lose worth too; `None`: no such bound.
+    /// Fraction of a class's requests that may miss the aim before the other requests lose worth too;
+    /// `None`: no such limit.
     pub tail_slack: Option<f64>,
 }
 
-/// What sends cost beside the work; a price of 0 leaves the matter out of account.
+/// Costs of a send other than the work itself; 0: not taken into account.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// For a connection held open.
+    /// For keeping a connection open.
     pub connection: f64,
-    /// For a new connection.
+    /// For opening a connection.
     pub handshake: f64,
     /// For an attempt that crosses zones.
     pub cross_zone: f64,
@@ -91,124 +92,127 @@
 /// A request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time, plus `stretch` times the job's own work, earns its full worth.
+    /// A response within this time, plus `stretch` times the job's own running time, earns the full worth.
     pub aim: Micros,
-    /// How much of a job's own running time the aim grows by.
+    /// Factor of the job's own running time by which the aim grows.
     pub stretch: f64,
-    /// How long a client waits in all.
+    /// How long a client waits in total.
     pub deadline: Micros,
-    /// Part of the worth left for an answer after the aim.
+    /// Fraction of the worth left for a response after the aim.
     pub late_share: f64,
     /// Worth of one request.
     pub worth: f64,
-    /// What a second run would do.
+    /// Effect of a second run.
     pub effect: Effect,
-    /// The one kind of machine that runs the class, if it is bound to one.
+    /// The only machine kind that runs the class; `None`: not bound to one.
     pub kind: Option<KindId>,
     /// The only zones that the class may be sent to; `None`: all.
     pub zones: Option<Vec<ZoneId>>,
-    /// The only kinds of machine that the class may be sent to; `None`: all.
+    /// The only machine kinds that the class may be sent to; `None`: all.
     pub kinds: Option<Vec<KindId>>,
 }
 
-/// What a second run of a request would do.
+/// Effect of running a request a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing: it may be repeated and refused freely.
+    /// None: the request may be repeated and refused freely.
     Repeatable,
-    /// Nothing, within a group of workers and for a time.
+    /// None, within a group of workers and for a limited time.
     ByKey {
-        /// The workers that drop a repeat.
+        /// The workers that discard a repeat.
         group: Group,
-        /// How long they remember, from the send of the first attempt that may have run.
+        /// How long they remember the key, from the send of the first attempt that may have run.
         ttl: Micros,
     },
-    /// Harm: it must never run twice.
+    /// Harmful: the request must never run twice.
     Once,
 }
 
-/// A group of workers that drops repeats of a keyed request.
+/// A group of workers that discards repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     /// All workers.
     All,
-    /// Those in one zone.
+    /// Workers in one zone.
     Zone,
-    /// Those in one cell.
+    /// Workers in one cell.
     Cell,
 }
 
 /// A tenant's share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second within its share, over all instances.
+    /// Requests per second within its share, over all instances.
     pub quota_per_s: f64,
 }
 
-/// How the list of workers is had.
+/// How the worker list is obtained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes come by themselves.
+    /// Changes are pushed without a subscription.
     Push,
-    /// Changes come to those who subscribed.
+    /// Changes are sent to subscribers.
     Subscribe,
 }
 
-/// How load reports are had.
+/// How load reports are obtained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportSource {
-    /// With every answer and probe result.
+    /// With every response and probe result.
     Responses,
-    /// With probe results alone.
+    /// With probe results only.
     Probes,
-    /// Not at all.
+    /// Workers send none.
     None,
 }
 
-/// What workers and the host permit.
+/// What workers and the host allow.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Allowed {
     /// Attempts may be cancelled.
     pub cancel: bool,
     /// Workers may be probed.
     pub probe: bool,
-    /// The longest advice to stay away that refused clients heed; 0: none is given.
+    /// The longest retry delay that refused clients respect; 0: no delay is given.
     pub max_retry_after: Micros,
-    /// Most attempts of one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Most requests open at once.
+    /// Maximum number of open requests.
     pub most_held: usize,
-    /// A second attempt may be out beside the first.
+    /// A second attempt may run in parallel with the first.
     pub parallel: bool,
-    /// An idle connection closes after this.
+    /// Time after which an idle connection closes.
     pub keepalive: Micros,
 }
 
-/// Parameters of the four rules.
+/// Parameters of the sending rules.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// Where the list must be asked for: an instance that neither subscribed nor asked for so long counts as told.
+    /// With [`Discovery::Subscribe`]: an instance that has neither subscribed nor fetched the list for this
+    /// long counts as informed.
     pub ask_within: Micros,
-    /// Least part of its capacity that a worker starts with.
+    /// Fraction of its capacity that a worker has at least when it starts.
     pub cold_from: f64,
-    /// It is warm no later than this after its start.
+    /// Time after its start by which a worker is warm.
     pub warm_up: Micros,
-    /// A cold worker falls over when sent more than this multiple of its present capacity ...
+    /// A cold worker fails when it is sent more than this multiple of its current capacity ...
     pub overload_factor: f64,
     /// ... for this long.
     pub overload_for: Micros,
-    /// Workers also turn away work that they had begun: "no room" proves nothing.
+    /// Workers also reject work that they have already begun, so [`Outcome::Rejected`] does not prove that a
+    /// job never ran.
     pub may_shed_begun: bool,
-    /// A worker that is listed as gone or left out, but was never seen draining, may still be sent to.
+    /// A worker that is listed as gone, or missing from the list, but was never seen draining, may still be
+    /// sent to.
     pub dropped_stay_open: bool,
 }
 
-/// Settings that can't be used: which key, and why.
+/// Invalid settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The key, by the name of its field.
+    /// The field name of the invalid setting.
     pub key: String,
-    /// What is wrong with it.
+    /// Why the value is invalid.
     pub reason: String,
 }
 
@@ -221,7 +225,7 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Checks that the figures can be worked with.
+    /// Checks that all values are in range.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let need = |ok: bool, key: &str, reason: &str| {
             if ok {
@@ -263,107 +267,108 @@
     }
 }
 
-/// Whether a worker takes work, as the list has it.
+/// Whether a worker accepts work, according to the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Stage {
-    /// It takes work.
+    /// It accepts work.
     Ready,
-    /// It completes what it has; nothing new may be sent.
+    /// It completes its jobs; nothing new may be sent.
     Draining,
     /// It has left.
     #[default]
     Gone,
 }
 
-/// One entry of a list of workers.
+/// An entry of the worker list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WorkerEntry {
     /// The worker.
     pub worker: WorkerId,
-    /// Where it stands.
+    /// Its zone.
     pub zone: ZoneId,
-    /// What it is.
+    /// Its machine kind.
     pub kind: KindId,
     /// The cell it belongs to.
     pub cell: CellId,
-    /// Whether it takes work.
+    /// Whether it accepts work.
     pub stage: Stage,
-    /// When it last started, if lately.
+    /// When it last started, if recently.
     pub started: Option<Micros>,
-    /// Its size beside that of others, as registered; 0: not known.
+    /// Its size relative to other workers, as registered; 0: unknown.
     pub size: f64,
 }
 
 /// How a list applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed entries only.
+    /// Only the entries that changed.
     Delta,
-    /// The whole list; a worker not in it is gone.
+    /// The whole list; a worker that is not in it is gone.
     Full,
-    /// The whole list as this instance last had it, maybe old.
+    /// The whole list as this instance last stored it, possibly outdated.
     Cached,
 }
 
-/// A worker's own account of its load.
+/// A worker's report of its load.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
     /// Free slots.
     pub free_slots: Option<f64>,
-    /// Requests waiting.
+    /// Queued requests.
     pub queued: Option<f64>,
-    /// Requests in hand, waiting ones included.
+    /// Accepted requests that have not ended, including queued ones.
     pub in_flight: Option<f64>,
 }
 
-/// What operators have set beside the list: all of it, in place of what was set before.
+/// Everything that operators have set in addition to the list. Replaces the previous overrides.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Overrides {
-    /// Workers whose share is multiplied, and by what; above 0.
+    /// Workers whose share is multiplied, and the factor, which is above 0.
     pub weights: Vec<(WorkerId, f64)>,
-    /// Workers that get nothing new.
+    /// Workers that get no new work.
     pub out_of_service: Vec<WorkerId>,
-    /// Where the requests of a class go, or of one tenant of it, as long as they may be sent there.
+    /// The worker that the requests of a class, or of one tenant in it, go to as long as they may be sent
+    /// there.
     pub pins: Vec<(ClassId, Option<TenantId>, WorkerId)>,
 }
 
-/// A request as it came in.
+/// A request as it arrived.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
     /// Its id.
     pub id: RequestId,
     /// Its class.
     pub class: ClassId,
-    /// Its tenant, where there are any.
+    /// Its tenant, if tenants are configured.
     pub tenant: Option<TenantId>,
     /// Its key.
     pub key: Option<Key>,
     /// When the client gives up.
     pub deadline: Micros,
-    /// Slots it takes.
+    /// Slots it occupies.
     pub slots: f64,
-    /// Its running time on a standard core as the client guesses it, where clients do.
+    /// Its running time on a standard core as estimated by the client, if given.
     pub work: Option<Micros>,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The worker completed it.
     Served,
-    /// The worker answered with an error; the job may have run.
+    /// The worker responded with an error; the job may have run.
     Error,
-    /// Turned away: no room, or draining. Unseen, unless [`Rules::may_shed_begun`].
+    /// The worker rejected it: full or draining. The job did not run, unless [`Rules::may_shed_begun`].
     Rejected,
-    /// No answer in time; it may have run, or run still.
+    /// No response in time; the job may have run or still be running.
     TimedOut,
-    /// No connection in time.
+    /// No connection was established in time.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the job may have run.
     ConnectionLost,
-    /// Cancelled; it may have run.
+    /// Cancelled; the job may have run.
     Cancelled,
-    /// Never sent: the request was over, out of time or out of attempts.
+    /// Never sent: the request was over, past its deadline or out of attempts.
     NotSent,
 }
 
@@ -382,48 +387,48 @@
 pub struct AttemptEnd {
     /// The request.
     pub id: RequestId,
-    /// Which attempt of it.
+    /// Which of its attempts.
     pub attempt: AttemptNo,
     /// How it ended.
     pub outcome: Outcome,
-    /// The request is over, by this outcome or before it.
+    /// The request is over, by this outcome or an earlier one.
     pub request_done: bool,
     /// Time since the send.
     pub elapsed: Micros,
-    /// The worker's report, if one came along.
+    /// The worker's report, if one came with the response.
     pub report: Option<Report>,
 }
 
-/// What the host tells the module.
+/// What the host reports to the module.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the workers.
+    /// A new list of workers, or a change to it.
     WorkerList(ListKind, Arc<[WorkerEntry]>),
-    /// Operators have set something, or ended it.
+    /// Operators have changed the overrides.
     Overrides(Overrides),
-    /// What peers tell of a worker, a hint: their jobs out there, and whether it has just refused one of theirs.
+    /// A hint from peers about a worker.
     PeerHint {
         /// The worker.
         worker: WorkerId,
-        /// Jobs of all peers that are out there.
+        /// Jobs that all peers together have at the worker.
         in_flight: u32,
-        /// It has just refused a peer's job, or was not reached.
+        /// The worker has just refused a peer's job or could not be reached by a peer.
         refused: bool,
     },
-    /// A subscription or fetch failed, or the subscription broke.
+    /// A subscription or fetch of the worker list failed, or the subscription broke.
     ListFailed,
-    /// Whether the list may be acted on: not where its age is not known, or it was confirmed too long ago. Requests wait
-    /// then. It may until a host says otherwise.
+    /// Whether the list may be acted on. It may not if its age is unknown or its last confirmation is too
+    /// old; requests then wait. Assumed true until the host says otherwise.
     ListValid(bool),
-    /// A request came in. From here on one final answer is owed.
+    /// A request arrived. From now on exactly one final answer is owed.
     Request(Request),
-    /// The client left, or the request is over for another reason.
+    /// The client disconnected, or the request is over for another reason.
     Aborted(RequestId),
-    /// The answer's stream has begun.
+    /// The response has started to stream to the client.
     ResponseStarted(RequestId, AttemptNo),
-    /// A worker says that a job has begun: it had a slot free.
+    /// A worker reports that a job has started, so it had a free slot.
     JobStarted(RequestId, AttemptNo),
-    /// A worker says that a job has got on.
+    /// A worker reports progress of a job.
     Progress(RequestId, AttemptNo, f64),
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
@@ -433,40 +438,40 @@
         worker: WorkerId,
         /// How it ended.
         outcome: Outcome,
-        /// The worker's report, if one came along.
+        /// The worker's report, if one came with the result.
         report: Option<Report>,
     },
-    /// A timer set by [`Action::Wake`] is due.
+    /// A timer set by [`Action::Wake`] has expired.
     Timer(u64),
 }
 
-/// What the module wants done.
+/// What the module asks the host to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The worker to send it to.
         worker: WorkerId,
-        /// Time after which to give up the attempt.
+        /// Time after which to abandon the attempt.
         timeout: Micros,
     },
-    /// Final answer: refused; trying again is harmless.
+    /// Final answer: refused; a retry is harmless.
     Refuse {
         /// The request.
         id: RequestId,
-        /// How long the client should stay away; 0: no advice.
+        /// How long the client should wait before a retry; 0: no advice.
         retry_after: Micros,
     },
-    /// Final answer: failed; nothing is promised.
+    /// Final answer: failed, without a guarantee that a retry is harmless.
     Fail(RequestId),
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel(RequestId, AttemptNo),
-    /// Ask a worker for its load.
+    /// Request a load report from a worker.
     Probe(WorkerId),
-    /// Ask for changes of the list from now on.
+    /// Subscribe to changes of the worker list.
     Subscribe,
-    /// Send [`Event::Timer`] with this token at that time or just after.
+    /// Send [`Event::Timer`] with this token at or just after this time.
     Wake(Micros, u64),
 }
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -1,8 +1,9 @@
-//! All decisions of lineroute. The interface (settings, events, actions) is `src/api.rs`;
-//! `src/state.rs` holds the types of the state and their upkeep.
-//! Read in this order: [`Profiles`] (response times, shares, gaps), [`Fleet`] (what is known of each
-//! worker: list, report, warmth, symptoms), [`Admission`] (whom to refuse when capacity is short), and
-//! [`Balancer`] (a request's life; `may_send` is the one gate that every send passes).
+//! All decisions of lineroute. The interface (settings, events, actions) is in `src/api.rs`; the state types
+//! and their updates are in `src/state.rs`.
+//!
+//! Reading order: [`Profiles`] (response times, shares, gaps), [`Fleet`] (what is known of each worker: list
+//! entry, report, warm-up, failures), [`Admission`] (which requests to refuse when capacity is short), and
+//! [`Balancer`] (the life cycle of a request; every send is checked by `may_send`).
 
 use crate::admission::Admission;
 use crate::api::*;
@@ -13,72 +14,84 @@
 use rustc_hash::FxHashMap;
 use std::{cmp::Ordering, collections::BTreeSet, num::NonZeroUsize, sync::Arc};
 
-/// A key is a type of its own after so many served jobs; until then its class stands for it.
+/// Number of served jobs after which a key gets a job type of its own. Until then the type of its class is
+/// used.
 const KEY_TYPE_MIN_JOBS: u32 = 16;
-/// Keys remembered; the one unused longest gives way.
+/// Maximum number of keys remembered; the least recently used one is evicted.
 const MAX_KEYS: NonZeroUsize = NonZeroUsize::new(256).unwrap();
-/// Drained workers remembered, so that an old list can't bring them back.
+/// Maximum number of drained workers remembered, so that an outdated list cannot bring them back.
 const MAX_DRAINED: NonZeroUsize = NonZeroUsize::new(1024).unwrap();
-/// Candidates of a look: fifteen of sixteen find a free slot where half of the workers are busy.
+/// Candidates per selection round. Where half of the workers are busy, 15 of 16 rounds find a free slot.
 const ROUND_CANDIDATES: usize = 4;
-/// Looks before a request goes where no slot was seen free. With `LOOK` it is the probe budget of a request.
+/// Selection rounds before a request goes to a worker that has no free slot. Times `ROUND_CANDIDATES`, this
+/// bounds the probes per request.
 const MAX_ROUNDS: u32 = 3;
-/// Draws for the candidates of a look, before all workers are gone through.
+/// Random draws for the candidates of a round before all workers are scanned.
 const MAX_DRAWS: usize = 32;
-/// Symptoms stop growing here: bars double up to 2^5 times the first.
+/// Upper limit of the score: ejections last up to 2^5 times the first one.
 const MAX_EJECTION_SCORE: f64 = 6.0;
-/// The longest first bar, in usual response times: no worker is done without for good.
+/// Maximum duration of the first ejection, in usual response times, so that no worker is excluded for good.
 const MAX_BASE_EJECTION: f64 = 16.0;
-/// Held requests are looked at so many times in the shortest aim.
+/// How often queued requests are reconsidered within the shortest aim.
 const TICKS_PER_AIM: Micros = 4;
-/// A job is overdue when nothing came of it for so many usual response times, or 1.25 progress intervals.
+/// A job is overdue without a sign of life for this many usual response times, or for 1.25 progress
+/// intervals.
 const OVERDUE_FACTOR: f64 = 2.5;
-/// The same in slacks, where it must be called back first; the second where no start is told: waits count in.
+/// The same in slacks, where the job must be cancelled before a retry. The second value applies where starts
+/// are not reported, so that the time includes the wait.
 const OVERDUE_SLACKS: [f64; 2] = [5.0, 8.0];
-/// A job that may be repeated, and waits longer than this part of what it can afford, gets a copy elsewhere.
+/// A repeatable job that waits longer than its slack divided by this gets a copy elsewhere.
 const START_WAIT_DIVISOR: Micros = 6;
-/// Reports by probe alone are renewed seldom: one younger than this part of a response time still stands.
+/// Reports that come only with probes are rarely renewed: one younger than this fraction of a response time
+/// is still used.
 const REPORT_AGE_FRACTION: f64 = 0.5;
-/// A tail's worth is gone at so many times its slack: that part may wait long.
+/// The tail earns nothing beyond this many times its slack, so that fraction of the requests may wait long.
 const TAIL_SLACK_FACTOR: f64 = 5.0;
-/// A request that so many workers answered with an error fails anywhere.
+/// A request that this many workers answered with an error is assumed to fail everywhere.
 const MAX_FAILED_WORKERS: usize = 3;
-/// Room left at a worker for what is not known of others' jobs there, in slots.
+/// Tolerance for the unknown part of the others' jobs at a worker, in slots.
 const FOREIGN_SLOT_MARGIN: f64 = 0.5;
-/// Held jobs wait this many slacks, over their worth, for later ones. Guards short ones in a shortage.
+/// Queued jobs yield to later ones for this many slacks, divided by their worth. Protects short jobs when
+/// capacity is short.
 const QUEUE_SLACKS: f64 = 4.0;
-/// An instance has little traffic when so many times its open requests are fewer than the workers.
+/// An instance has low traffic if its open requests times this are fewer than the workers.
 const LOW_TRAFFIC_RATIO: usize = 4;
-/// So many reports in a row without the job that was sent there a tick before are no chance.
+/// After this many consecutive reports without a job sent a tick earlier, reports are treated as late: that
+/// is not a coincidence.
 const MAX_LATE_REPORTS: u32 = 2;
-/// A broken connection may be alone in that: it is this part of a symptom. Dead: so many probes have failed.
+/// Score of a broken connection, which may be a single event, relative to other failures; and the number of
+/// failed probes after which a worker is dead.
 const DISCONNECT_SCORE: f64 = 0.4;
 const DEAD_AFTER_PROBES: u32 = 2;
-/// A job that waited there says that a worker is full for this part of its wait: slots may be free then.
+/// After a job had to wait, its worker counts as full for the wait divided by this; slots may be free
+/// afterwards.
 const FULL_WAIT_DIVISOR: Micros = 4;
-/// So many times what was held to fit at a worker of a size began at once: then more fit by that factor.
+/// If this many times the expected number of jobs of a worker's size started at once, the expected number
+/// grows by `FIT_GROWTH`.
 const FIT_EXCESS: f64 = 1.5;
 const FIT_GROWTH: f64 = 1.1;
-/// A job waits for room by hints until this part of the time to its deadline is left.
+/// A job respects hints of full workers until its total time divided by this is left before the deadline.
 const HINT_DEADLINE_DIVISOR: Micros = 4;
-/// A job leaves a slot to those that earn so many times as much by it, for this part of its slack.
+/// A job leaves a slot to classes that earn this many times as much by it, during its slack divided by
+/// `YIELD_SLACK_DIVISOR`.
 const YIELD_WORTH_RATIO: f64 = 2.0;
 const YIELD_SLACK_DIVISOR: Micros = 3;
-/// Reports stay set aside for so many usual response times after the last one caught late.
+/// How long reports are ignored after the last late one, in usual response times.
 const LATE_REPORT_HOLD: f64 = 4.0;
 
-/// The wait after a failed list: for each instance, and at most. A change is told 6 s after it could be had.
+/// Backoff after a failed subscription: per instance, and the maximum. An instance counts as informed
+/// of a change 6 s after discovery had it and could be reached.
 const SUBSCRIBE_BACKOFF: (Micros, Micros) = (120_000, 2_000_000);
 
 impl JobType {
-    /// n_i − α_i·n and −α_i: the design's order is from the smallest up.
+    /// (n_i − α_i·n, −α_i). Workers are ordered by this, smallest first.
     fn gap(&self, w: WorkerIndex) -> (f32, f32) {
         let p = self.profile(w);
         let share = p.raw_share / self.raw_share_sum.max(f32::MIN_POSITIVE);
         (p.in_flight as f32 - share * self.in_flight as f32, -share)
     }
 
-    /// Takes shares anew: unseen workers borrow the median of their kind, else of all.
+    /// Recomputes the shares. Workers without measurements borrow the median of their kind, else of all.
     fn recompute_shares(&mut self, ready: &[WorkerIndex], fleet: &Fleet) {
         let mut seen: Vec<(KindId, f32)> = Vec::new();
         for &w in ready {
@@ -105,7 +118,7 @@
 }
 
 impl Class {
-    /// Rule 6: the kinds and zones that the class may go to.
+    /// Rule 6: the kinds and zones that the class may be sent to.
     pub fn allows_worker(&self, e: &WorkerEntry) -> bool {
         self.kind.is_none_or(|k| k == e.kind)
             && self.zones.as_ref().is_none_or(|zones| zones.contains(&e.zone))
@@ -114,8 +127,9 @@
 }
 
 impl Worker {
-    /// Rules 3 and 7. Where only draining binds, lists prove little, being old, shrunken or empty: a drain
-    /// once seen binds the process whatever they say, and one left out stays until it could not be reached.
+    /// Rules 3 and 7. Where only draining forbids a send, lists prove little: they may be outdated,
+    /// incomplete or empty. A process once seen draining stays excluded whatever later lists say, and a
+    /// worker missing from the list remains a candidate until it cannot be reached.
     pub fn is_candidate(&self, rules: &Rules) -> bool {
         match self.entry.stage {
             Stage::Ready => !(rules.dropped_stay_open && self.seen_draining),
@@ -124,18 +138,19 @@
         }
     }
 
-    /// The design's availability: its slots are free by the report, else no job as large was refused lately.
+    /// Whether the worker can start the job now: by free slots in its report, else if it has not recently
+    /// rejected a job of this size or smaller.
     fn has_free_slots(&self, slots: f64, now: Micros, late: bool) -> bool {
-        // Free slots are for those that wait already; own jobs out take slots, whatever an old report says.
+        // Free slots go to queued jobs first. Own jobs in flight use slots, whatever an old report says.
         let free = |free: f64| if late { self.slots } else { free - self.queued.round() };
         let left = self.free_slots.map(|f| free(f).min(self.slots - self.in_flight_slots));
         if let Some(foreign) = self.foreign_slots {
             return !self.recently_rejected(slots, now)
                 && self.in_flight_slots + foreign + slots <= self.slots + FOREIGN_SLOT_MARGIN;
         }
-        // Without reports: a job that has not begun waits for a slot.
+        // Without reports, a job that has not started is taken to wait for a slot.
         let waits = self.free_slots.is_none()
-            && self.silent_starts < NO_START_NOTICE_AFTER
+            && self.unannounced_starts < NO_START_NOTICE_AFTER
             && (self.unstarted > 0 || f64::from(self.in_flight) >= self.concurrency_limit);
         !waits && !self.recently_rejected(slots, now) && left.is_none_or(|left| left + 0.25 >= slots)
     }
@@ -144,7 +159,8 @@
         self.full_until.is_some_and(|(size, until)| slots >= size && now < until)
     }
 
-    /// Wait of a job sent there now: what stands before it, at one slot's turn `r` for all its slots.
+    /// Expected wait of a job sent there now: the work queued ahead of it, where `r` is the time of one job
+    /// in one slot.
     fn expected_wait(&self, slots: f64, r: f64, late: bool) -> f64 {
         if late {
             return (self.in_flight_slots + slots - self.slots).max(0.0) * r / self.slots;
@@ -154,27 +170,27 @@
 }
 
 impl Fleet {
-    /// Whether peers' hints leave no room at a worker beside so many slots to be left.
+    /// Whether the hints from peers show no room at a worker, if `left` slots must stay free.
     fn is_full_by_hints(&self, w: WorkerIndex, left: f64, now: Micros) -> bool {
         let worker = &self.workers[w];
         let full = worker.entry.size > 0.0 && worker.total_jobs() + 0.5 + left > self.fit_limit(w);
         now < self.hints_until && (now < worker.avoid_until || full)
     }
 
-    /// Jobs that fit there at once, as learnt of its kind.
+    /// Number of jobs that run there at once, as learnt for its kind.
     fn fit_limit(&self, w: WorkerIndex) -> f64 {
         let entry = &self.workers[w].entry;
         (entry.size * self.jobs_per_size.get(&entry.kind).copied().unwrap_or(1.0)).max(1.0)
     }
 
-    /// A job began at once beside so many others, far more than were held to fit: more do.
+    /// Raises the expected number if a job started at once beside far more others than expected.
     fn update_fit(&mut self, w: WorkerIndex, jobs_there: f64) {
         if self.workers[w].entry.size > 0.0 && jobs_there > self.fit_limit(w) * FIT_EXCESS {
             *self.jobs_per_size.entry(self.workers[w].entry.kind).or_insert(1.0) *= FIT_GROWTH;
         }
     }
 
-    /// Trusted, or due for a trial: one job at a time while any suspicion is left.
+    /// Not ejected, or due for a trial: one job at a time while the score is 1 or more.
     fn is_trusted(&self, w: WorkerIndex, request: &Request, now: Micros) -> bool {
         let free = |ejection: &Ejection| {
             ejection.score < 1.0 || now >= ejection.until && self.workers[w].in_flight == 0
@@ -183,12 +199,13 @@
             || ejection_scopes(w, request).iter().all(|scope| self.ejections.get(scope).is_none_or(free))
     }
 
-    fn record_failure(&mut self, scope: EjectionScope, part: f64, base: f64, now: Micros) {
-        // Two classes in a row speak of the worker: one that drains, say, before the list tells.
+    fn record_failure(&mut self, scope: EjectionScope, weight: f64, base: f64, now: Micros) {
+        // Failures in two classes in a row point at the worker, for example one that drains before the list
+        // says so.
         let other = self.ejections.iter().any(|(s, _)| s.0 == scope.0 && s.1.is_some() && s.1 != scope.1);
         let scope = if other { (scope.0, None, None) } else { scope };
         let ejection = self.ejections.entry(scope).or_default();
-        ejection.score = (ejection.score + part).min(MAX_EJECTION_SCORE);
+        ejection.score = (ejection.score + weight).min(MAX_EJECTION_SCORE);
         ejection.until = ejection.until.max(now + (base * 2f64.powf(ejection.score - 1.0)) as Micros);
     }
 
@@ -205,14 +222,15 @@
     (Micros::from(settings.instances.max(1)) * SUBSCRIBE_BACKOFF.0).min(SUBSCRIBE_BACKOFF.1)
 }
 
-/// Concern 3, the request life cycle, and the whole. A send is decided by `settle`, and passes `may_send`.
+/// Concern 3, the life cycle of a request, and entry point of the module. `finish_round` decides each send,
+/// and `may_send` checks it.
 #[derive(Debug)]
 pub struct Balancer {
     settings: Settings,
     now: Micros,
     actions: Vec<Action>,
     rng: Rng,
-    /// Decides in which spans this instance may send to which cold worker.
+    /// Seed of the phases that decide when this instance may send to a cold worker.
     cold_seed: u64,
     profiles: Profiles,
     fleet: Fleet,
@@ -226,14 +244,15 @@
     next_due: Micros,
     subscribe_at: Option<Micros>,
     subscribe_backoff: Micros,
-    /// Usual response time by class, over all workers; the longest is the unit of bars.
+    /// Usual response time per class, over all workers. The longest one, `usual_response`, is the unit of
+    /// ejection times.
     class_response: Vec<f64>,
     least_class_response: Vec<f64>,
     usual_response: f64,
 }
 
 impl Balancer {
-    /// An instance that knows nothing yet; the seed decides its random choices.
+    /// Creates an instance without any state. The seed determines its random choices.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         let aim = settings.classes.iter().map(|c| c.aim).min().unwrap_or(1);
@@ -277,7 +296,7 @@
         })
     }
 
-    /// Takes one event at a time that never goes back, and adds what is to be done to `actions`.
+    /// Handles one event and appends the resulting actions to `actions`. `now` must never decrease.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         match event {
@@ -358,7 +377,7 @@
         let job = Job::new(request, job_type, self.now);
         self.open_requests += 1;
         self.jobs.insert(id.clone(), job);
-        self.admission.all.add(self.now);
+        self.admission.total_rate.add(self.now);
         if let Some(tenant) = tenant {
             self.admission.rates[tenant.0].add(self.now);
             self.admission.update_level(self.admission.short_of_capacity[class.0]);
@@ -366,14 +385,14 @@
                 return self.give_up(&id);
             }
         }
-        // Without load figures waits tell where there is room: here, elsewhere, or nowhere.
+        // Without load reports, waits show whether there is room: in this zone, in another one, or in none.
         let home = self.settings.zone.unwrap_or_default();
-        // What earns more for the time of a slot is thinned less.
+        // Classes that earn more per slot time are shed less.
         let all = (0..self.class_response.len()).map(|c| self.worth_rate(c).ln()).sum::<f64>();
         let exponent = ((all / self.class_response.len() as f64).exp() / self.worth_rate(class.0)).sqrt();
-        let mut has_room = |room: f64| self.rng.f64() < room.powf(exponent);
+        let mut admits = |admitted: f64| self.rng.f64() < admitted.powf(exponent);
         let here = self.admission.zone_admission.get(&home).copied().unwrap_or(1.0);
-        if !has_room(here) {
+        if !admits(here) {
             let elsewhere = self
                 .admission
                 .zone_admission
@@ -381,7 +400,7 @@
                 .filter(|r| *r.0 != home)
                 .map(|r| *r.1)
                 .fold(0.0, f64::max);
-            if !has_room((elsewhere - here).max(0.0)) {
+            if !admits((elsewhere - here).max(0.0)) {
                 return self.give_up(&id);
             }
             self.jobs.entry(id.clone()).and_modify(|job| job.prefers_other_zones = true);
@@ -396,22 +415,24 @@
         }
     }
 
-    /// Reports are set aside. Not where no more can wait than run: refusals put late figures right there.
+    /// Whether reports are ignored as late. They are used where a worker queues no more jobs than it runs:
+    /// there, rejections correct late figures at once.
     fn reports_late(&self) -> bool {
         let slots = |kind| self.fleet.kind_slots.get(kind).copied().unwrap_or(1.0);
         self.now < self.fleet.reports_late_until
-            && !self.fleet.kind_queue_limit.iter().any(|(kind, room)| *room <= slots(kind))
+            && !self.fleet.kind_queue_limit.iter().any(|(kind, limit)| *limit <= slots(kind))
     }
 
-    /// The gate: every send passes here. Holds rules 1 to 7 for one request and one worker.
+    /// Checks every send: rules 1 to 7 for one request and one worker.
     fn may_send(&self, job: &Job, ix: WorkerIndex) -> bool {
         let (class, w) = (&self.settings.classes[job.request.class.0], &self.fleet.workers[ix]);
-        // Rule 1: nothing for a request that is over, out of time or out of attempts.
+        // Rule 1: nothing is sent for a request that is over, past its deadline or out of attempts.
         let exhausted = job.attempt_count >= self.settings.allowed.max_attempts;
         if job.done || self.now >= job.request.deadline || exhausted {
             return false;
         }
-        // Rule 2 and 5: one attempt at a time, or a second copy where allowed; repeats as the effect allows.
+        // Rules 2 and 5: one attempt at a time, or a second copy where allowed; repeats only as the effect
+        // allows.
         if !job.in_flight.is_empty() && (!self.settings.allowed.parallel || job.in_flight.len() > 1) {
             return false;
         }
@@ -428,7 +449,8 @@
                 return false;
             }
         }
-        // Rules 3, 6 and 7: who may be sent to at all, and what of. Rule 4: a cold one, how much.
+        // Rules 3, 6 and 7: whether the worker may get this class at all. Rule 4: how much a cold worker may
+        // get.
         self.fleet.list_valid
             && w.is_candidate(&self.settings.rules)
             && !self.fleet.out_of_service.contains(&w.entry.worker)
@@ -436,15 +458,16 @@
             && (w.warmth(&self.settings.rules, self.now) >= 1.0 || self.cold_allows(job, ix))
     }
 
-    /// The only worker that operators leave the job, while it can be reached and the rules let it go there.
+    /// The worker that operators have pinned the job to, if it is reachable and the rules allow the send.
     fn pinned(&self, job: &Job) -> Option<WorkerIndex> {
         self.fleet
             .pinned_worker(&job.request)
             .filter(|&w| !self.fleet.workers[w].unreachable && self.may_send(job, w))
     }
 
-    /// Whether the worker has a slot for the job by own jobs and, until its deadline is near, by hints. A job
-    /// that is late leaves one to those that are not, and one that can wait to those that earn far more.
+    /// Whether the worker has a slot for the job, by own jobs and, unless the deadline is near, by hints. A
+    /// late job leaves one slot to jobs in time, and a job that can wait leaves one to classes that earn far
+    /// more.
     fn has_room(&self, job: &Job, ix: WorkerIndex, late: bool) -> bool {
         let (class, waited) = (job.request.class, self.now.saturating_sub(job.arrived));
         let worth_more = |c: usize| self.worth_rate(c) > self.worth_rate(class.0) * YIELD_WORTH_RATIO;
@@ -458,7 +481,8 @@
             && !(heeds_hints && self.fleet.is_full_by_hints(ix, yields(self.slack(class, None)), self.now))
     }
 
-    /// The design's order: by the jobs of the type here, or, where others' are told of, by all jobs.
+    /// Sort key of a worker: by this instance's jobs of the type, or, if the jobs of others are known, by
+    /// all jobs.
     fn gap(&self, t: &JobType, w: WorkerIndex, class_jobs: Option<f64>) -> (f32, f32) {
         let (gap, share) = t.gap(w);
         let by_all = class_jobs
@@ -475,7 +499,7 @@
         r.unwrap_or(self.class_response[job.request.class.0]) * job.request.slots.max(1.0)
     }
 
-    /// Rule 4: whether this instance's part of a cold worker's budget has room for the job.
+    /// Rule 4: whether this instance's part of a cold worker's budget allows the job.
     fn cold_allows(&self, job: &Job, ix: WorkerIndex) -> bool {
         let w = &self.fleet.workers[ix];
         let budget = self.cold_budget(ix);
@@ -494,9 +518,10 @@
         }
     }
 
-    /// Candidates of the next look: the first in the design's order. While own jobs of the type are fewer
-    /// than the workers, gaps say little: unless measured times are all there is to go by, candidates are
-    /// then drawn by α, the share in expectation, and not all instances meet at the same fast worker.
+    /// Candidates of the next round: the first workers in gap order. While this instance has fewer jobs of
+    /// the type than there are workers, gaps say little. Unless measured times are the only information,
+    /// candidates are then drawn with probability proportional to α, so that not all instances choose the
+    /// same fast worker.
     fn pick_candidates(&mut self, id: &RequestId) -> Vec<WorkerIndex> {
         let (now, late) = (self.now, self.reports_late());
         let Some(job) = self.jobs.get(id) else { return Vec::new() };
@@ -517,7 +542,7 @@
             self.fleet.update_kind_slots();
         }
         if let Some(w) = self.pinned(job) {
-            // No copy goes beside the one there.
+            // A pinned request gets no second copy beside the first.
             return Vec::from_iter((job.in_flight.is_empty() && !job.candidates.contains(&w)).then_some(w));
         }
         let (ready, t) = (&self.fleet.ready[class], &self.profiles.job_types[job.job_type]);
@@ -534,19 +559,20 @@
                 && !job.candidates.contains(&w)
                 && self.may_send(job, w)
         };
-        // Fewer instances than workers, and no reports: they can't all meet, and own jobs are what is known.
+        // With fewer instances than workers and no reports, instances rarely collide, and own jobs are the
+        // only information.
         let fewer_instances = self.admission.no_reports && (self.settings.instances as usize) < ready.len();
         let class_jobs = self.fleet.class_jobs(class, now);
         let few_in_flight =
             (t.in_flight as usize) < ready.len() && !late && !fewer_instances && class_jobs.is_none();
         let wanted = if few_in_flight && self.admission.no_reports { 1 } else { ROUND_CANDIDATES };
-        // Suspicion never empties the fleet: with nobody trusted, all are candidates of the last look.
+        // Ejections never empty the fleet: if all workers are ejected, all are candidates of the last round.
         let all_ejected = || !ready.iter().any(|&w| self.fleet.is_trusted(w, &job.request, now));
         let ignores_ejections = job.candidates.is_empty() && job.rounds + 1 >= MAX_ROUNDS && all_ejected();
         let affordable = |w: WorkerIndex| late || self.extra_costs(w, job) <= job.rounds;
         let mut drawn: Vec<WorkerIndex> = Vec::with_capacity(wanted);
         if few_in_flight {
-            // A cold worker that the lot allows comes first: the permission lapses.
+            // A cold worker whose budget allows the job comes first, because the allowance expires.
             let cold = |w: WorkerIndex| self.fleet.workers[w].warmth(&self.settings.rules, now) < 1.0;
             let permitted = self
                 .fleet
@@ -588,8 +614,8 @@
         drawn
     }
 
-    /// What a send there costs beside the work, where that has a price: a new connection, a crossing. The
-    /// first look keeps to workers that cost neither, the second to those of one; no copy crosses.
+    /// Number of priced extras of a send: a new connection, crossing zones. The first round admits only
+    /// workers without any, the second those with one; a second copy never crosses zones.
     fn extra_costs(&self, w: WorkerIndex, job: &Job) -> u32 {
         let (prices, w) = (&self.settings.prices, &self.fleet.workers[w]);
         let opens = prices.connection + prices.handshake > 0.0 && w.connected_until < self.now;
@@ -650,7 +676,8 @@
         }
     }
 
-    /// Ends a look: sends to the first available candidate in the design's order. False: look further.
+    /// Ends a round: sends to the first candidate in gap order that has room. Returns false if another round
+    /// is needed.
     fn finish_round(&mut self, id: &RequestId) -> bool {
         let late = self.reports_late();
         self.awaiting_probes.retain(|l| l != id);
@@ -674,10 +701,10 @@
         if job.rounds < MAX_ROUNDS {
             return false;
         }
-        // None is available: the first in gap order that would start it within the aim.
+        // None has room: take the first in gap order that would start the job within the aim.
         let r = |w: WorkerIndex| t.mean_response(w).unwrap_or(self.class_response[job.request.class.0]);
         let wait = |w: WorkerIndex| self.fleet.workers[w].expected_wait(slots, r(w), late);
-        // A queue as long as where others of the kind turned work away would do the same: that is no room.
+        // A worker whose queue is as long as where others of its kind rejected work would reject it too.
         let full = |w: &Worker| {
             let most = self
                 .fleet
@@ -689,7 +716,8 @@
         let mut not_full = order.iter().copied().filter(|&w| !full(&self.fleet.workers[w]));
         let in_time = not_full.clone().find(|&w| wait(w) <= class.aim as f64);
         let first = in_time.or_else(|| not_full.next());
-        // Where "no room" may end a request for good, it waits for a slot that is seen free.
+        // Where a rejection may end a request for good, the request waits for a slot that is known to be
+        // free.
         let waits = self.settings.rules.may_shed_begun && class.effect == Effect::Once;
         let hopeless = class.late_share == 0.0 && in_time.is_none();
         self.admission.short_of_capacity[job.request.class.0] = in_time.is_none();
@@ -715,7 +743,8 @@
         }
     }
 
-    /// Order of held requests: those in time by arrival and slack over worth, then late ones by the latter.
+    /// Order of queued requests: those in time by arrival plus slack over worth, then late ones by slack
+    /// over worth.
     fn queue_rank(&self, id: &RequestId) -> (bool, u64) {
         let Some(job) = self.jobs.get(id) else { return (false, 0) };
         let (class, waited) = (job.request.class.0, self.now.saturating_sub(job.arrived));
@@ -738,7 +767,7 @@
         let cost = self.slot_time(job, ix);
         let overdraft = self.cold_budget(ix).sent(cost, self.fleet.workers[ix].overdraft, self.now);
         let (Some(job), w) = (self.jobs.get_mut(id), &mut self.fleet.workers[ix]) else { return };
-        let unstarted = w.silent_starts < NO_START_NOTICE_AFTER;
+        let unstarted = w.unannounced_starts < NO_START_NOTICE_AFTER;
         w.record_send(job.request.slots, unstarted, self.now, self.settings.allowed.keepalive);
         w.overdraft = overdraft;
         if std::mem::replace(&mut job.queued, false) {
@@ -773,10 +802,11 @@
         self.next_due = self.next_due.min(now + self.overdue_after(id).min(self.tick));
     }
 
-    /// How long an attempt may go without a sign. Later ones are given longer: the job may just be long.
+    /// How long an attempt may go without a sign of life. Later attempts get longer, since the job may just
+    /// be long.
     fn overdue_after(&self, id: &RequestId) -> Micros {
         let Some(job) = self.jobs.get(id) else { return Micros::MAX };
-        // Guards against calling back a job that is merely long: where it has no copy, its work is lost.
+        // Avoids cancelling a job that is merely long: without a second copy its work would be lost.
         let (class, alone) = (job.request.class, !self.settings.allowed.parallel);
         let times = OVERDUE_SLACKS[usize::from(!self.settings.tells_start)];
         let alone = alone.then(|| self.slack(class, job.request.work) as f64 * times);
@@ -785,7 +815,8 @@
         limit.max(self.settings.progress_interval as f64 * 1.25) as Micros
     }
 
-    /// A job that waits longer will miss its aim, if it runs as long as its hint says, else as usual.
+    /// Longest wait with which a job still meets its aim, if it runs as long as its hint says, else as long
+    /// as usual.
     fn slack(&self, class: ClassId, work: Option<Micros>) -> Micros {
         let c = &self.settings.classes[class.0];
         let work = work.map_or(self.class_response[class.0], |work| work as f64);
@@ -798,7 +829,8 @@
         a.last_activity + if copies { limit.min(slack / START_WAIT_DIVISOR) } else { limit }.max(1)
     }
 
-    /// How long a job waited tells of the worker. A copy that still waits elsewhere is not needed.
+    /// The wait before the start shows how full the worker is. Copies that have not started elsewhere are
+    /// cancelled.
     fn on_job_started(&mut self, id: &RequestId, number: AttemptNo) {
         let (now, cancel) = (self.now, self.settings.allowed.cancel);
         let Some(job) = self.jobs.get_mut(id) else { return };
@@ -808,7 +840,7 @@
         a.last_activity = now;
         self.fleet.workers[ix].clear_unstarted(a);
         self.fleet.workers[ix].record_start(a, slots, now);
-        self.fleet.workers[ix].silent_starts = 0;
+        self.fleet.workers[ix].unannounced_starts = 0;
         for other in job.in_flight.iter_mut().filter(|a| a.unstarted && !a.cancelled && cancel) {
             other.cancelled = true;
             self.actions.push(Action::Cancel(id.clone(), other.number));
@@ -844,24 +876,27 @@
         let ran = self.fleet.workers[ix].record_stop(&attempt, request.slots, self.now);
         ran.into_iter().for_each(|slots| self.fleet.record_concurrency(ix, slots));
         self.fleet.workers[ix].record_end(request.slots, self.now, self.settings.allowed.keepalive);
-        self.fleet.workers[ix].silent_starts += u32::from(outcome == Outcome::Served && attempt.unstarted);
+        self.fleet.workers[ix].unannounced_starts +=
+            u32::from(outcome == Outcome::Served && attempt.unstarted);
         self.fleet.workers[ix].clear_unstarted(&mut attempt);
         self.on_report(ix, report.as_ref());
-        // What was sent to the process before says nothing of this one.
+        // The outcome of a job sent to an earlier process says nothing about this one.
         if self.fleet.workers[ix].started_at.is_none_or(|t| attempt.sent >= t) {
             match first_failed {
-                // An error at a second worker speaks of the request: the first is held to nothing.
+                // An error at a second worker points at the request: the first worker's failure is taken
+                // back.
                 Some(first) => self.fleet.record_success(first, &request),
                 None => self.record_outcome(ix, &request, (outcome, attempt.cancelled), report.as_ref()),
             }
             if outcome == Outcome::Served {
                 self.profiles.job_types[job_type].record_response(ix, elapsed);
-                // Late by its first wait: a shortage, where no report tells of queues and late earns nothing.
+                // A first attempt that is late means a shortage, where no report shows queues and late
+                // responses earn nothing.
                 let c = &self.settings.classes[request.class.0];
                 let late =
                     elapsed as f64 > c.aim as f64 + c.stretch * self.least_class_response[request.class.0];
-                let told = report.is_some_and(|r| r.queued.is_some());
-                if late && !told && c.late_share == 0.0 && attempt.number.0 == 0 {
+                let queue_reported = report.is_some_and(|r| r.queued.is_some());
+                if late && !queue_reported && c.late_share == 0.0 && attempt.number.0 == 0 {
                     self.admission.update_level(true);
                 }
                 if let Some(key) = request.key {
@@ -878,8 +913,9 @@
         self.offer_slot(ix);
     }
 
-    /// What an outcome says of a worker. Broken or refused connections speak of the whole worker; errors,
-    /// time-outs and "no room" beside free slots of the class, or the tenant in it.
+    /// Updates the failure state of a worker after an outcome. Broken or refused connections count against
+    /// the whole worker; errors, time-outs and rejections despite free slots count against the class, or the
+    /// tenant in it.
     fn record_outcome(
         &mut self,
         ix: WorkerIndex,
@@ -891,20 +927,21 @@
             (request.class, request.tenant, request.slots, end);
         let (late, base) = (self.now < self.fleet.reports_late_until, self.base_ejection(class));
         let w = &mut self.fleet.workers[ix];
-        let (mut scope, mut part) = (None, 1.0);
+        let (mut scope, mut weight) = (None, 1.0);
         match outcome {
             Outcome::Served => {
                 (w.unreachable, w.last_served) = (false, self.now);
                 self.fleet.record_success(ix, request);
             }
             Outcome::Rejected => {
-                let room = report.and_then(|r| r.free_slots).is_some_and(|free| free >= slots + 0.75);
-                if room && !late {
+                let has_free_slot =
+                    report.and_then(|r| r.free_slots).is_some_and(|free| free >= slots + 0.75);
+                if has_free_slot && !late {
                     scope = Some((ix, Some(class), tenant));
                 } else {
                     if let Some(waiting) = report.and_then(|r| r.queued).filter(|w| w.is_finite() && !late) {
-                        let room = self.fleet.kind_queue_limit.entry(w.entry.kind).or_insert(waiting);
-                        *room += (waiting - *room) / 4.0;
+                        let limit = self.fleet.kind_queue_limit.entry(w.entry.kind).or_insert(waiting);
+                        *limit += (waiting - *limit) / 4.0;
                     }
                     w.free_slots = w.free_slots.map(|_| 0.0);
                     let stale = late || self.settings.report_source != ReportSource::Responses;
@@ -920,25 +957,27 @@
                 w.connected_until = 0;
                 w.failed_while_gone = w.entry.stage == Stage::Gone;
                 scope = Some((ix, None, None));
-                // Where one can look, a look tells more: it is not left out for a connection that broke.
-                part = if w.unreachable { DISCONNECT_SCORE } else { 1.0 };
+                // Where probes are allowed, a probe tells more: a broken connection alone does not eject the
+                // worker.
+                weight = if w.unreachable { DISCONNECT_SCORE } else { 1.0 };
                 self.probe(ix);
             }
             _ => {}
         }
         if let Some(scope) = scope {
-            self.fleet.record_failure(scope, part, base, self.now);
+            self.fleet.record_failure(scope, weight, base, self.now);
         }
     }
 
-    /// The first bar after a symptom: the time of a round over all workers, at least a usual response time.
+    /// Duration of the first ejection: the time in which each worker gets one request on average, at least a
+    /// usual response time.
     fn base_ejection(&self, class: ClassId) -> f64 {
-        let per_s = self.admission.all.count(self.now) / RATE_WINDOW_S;
+        let per_s = self.admission.total_rate.count(self.now) / RATE_WINDOW_S;
         let round = self.fleet.ready[class.0].len() as f64 * 1e6 / per_s.max(1e-3);
         round.clamp(self.usual_response, self.usual_response * MAX_BASE_EJECTION)
     }
 
-    /// No further attempt can be made, now or later, or none that is worth anything.
+    /// Whether no further attempt can be made, now or later, or none that earns anything.
     fn is_hopeless(&self, job: &Job) -> bool {
         let class = &self.settings.classes[job.request.class.0];
         let may_not_repeat = match (class.effect, job.first_may_have_run) {
@@ -957,7 +996,7 @@
             || self.fleet.all_out_of_service[job.request.class.0]
     }
 
-    /// Final answer without a result: a refusal where trying again is harmless, else a failure.
+    /// Gives the final answer without a result: a refusal where a retry is harmless, else a failure.
     fn give_up(&mut self, id: &RequestId) {
         let Some(job) = self.jobs.get(id).filter(|j| !j.done) else { return };
         let effect = self.settings.classes[job.request.class.0].effect;
@@ -971,12 +1010,12 @@
         self.finish(id);
     }
 
-    /// When a refused client should come back: a usual response time makes room.
+    /// When a refused client should retry: within a usual response time, slots become free.
     fn retry_after(&self) -> Micros {
         (self.usual_response as Micros).min(self.settings.allowed.max_retry_after)
     }
 
-    /// The request is over; it is kept only while attempts are out. A copy still out is called back.
+    /// Ends a request; it is kept while attempts are in flight. Other attempts in flight are cancelled.
     fn finish(&mut self, id: &RequestId) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         if !std::mem::replace(&mut job.done, true) {
@@ -999,7 +1038,8 @@
     }
 
     fn retry_queued(&mut self) {
-        // A free slot is seen by all who hold requests: only news tells whether it still is.
+        // All instances with queued requests see the same free slot: only a new hint tells whether it is
+        // still free.
         let stale =
             self.now < self.fleet.hints_until && self.now + HINT_TTL > self.fleet.hints_until + self.tick / 2;
         let mut asked = vec![stale; self.settings.classes.len()];
@@ -1042,21 +1082,23 @@
         }
     }
 
-    /// Takes a report in. One that counts fewer jobs than ours is late; so are two in a row with no more jobs
-    /// than before an own one went there. All are then set aside: availability falls back on refusals.
+    /// Processes a report. It is late if it counts fewer jobs than this instance has there; so are two in a
+    /// row that do not count a job sent there. All reports are then ignored for a while, and availability is
+    /// judged by rejections.
     fn on_report(&mut self, ix: WorkerIndex, report: Option<&Report>) {
         let Some(report) = report else { return };
         let (w, now) = (&self.fleet.workers[ix], self.now);
-        if let Some(held) = report.in_flight.filter(|_| w.in_flight > 0) {
-            // Own jobs out for over a tick: any report taken since must count them.
+        if let Some(reported) = report.in_flight.filter(|_| w.in_flight > 0) {
+            // Any report since must count own jobs that have been in flight for more than a tick.
             let settled = |a: &&Attempt| a.worker == ix && now >= a.sent + self.tick && !a.cancelled;
             let ours = self.jobs.values().flat_map(|j| &j.in_flight).filter(settled);
             let newest = ours.clone().max_by_key(|a| (a.sent, a.number));
             let newest = newest.filter(|a| w.last_served < a.sent && now < a.sent + self.tick * 2);
             if let Some(before) = newest.and_then(|a| a.reported_before) {
-                self.fleet.late_reports = if held < before + 0.5 { self.fleet.late_reports + 1 } else { 0 };
+                self.fleet.late_reports =
+                    if reported < before + 0.5 { self.fleet.late_reports + 1 } else { 0 };
             }
-            let behind = held + 0.5 < ours.count() as f64 || self.fleet.late_reports >= MAX_LATE_REPORTS;
+            let behind = reported + 0.5 < ours.count() as f64 || self.fleet.late_reports >= MAX_LATE_REPORTS;
             if behind {
                 self.fleet.reports_late_until = now + (self.usual_response * LATE_REPORT_HOLD) as Micros;
             }
@@ -1074,11 +1116,11 @@
         w.failed_probes = if outcome == Outcome::Served { 0 } else { w.failed_probes + 1 };
         w.unreachable = outcome != Outcome::Served && self.settings.allowed.probe;
         if w.unreachable && w.failed_probes < DEAD_AFTER_PROBES {
-            // Guards the jobs there: they are not called back for a connection that broke under a probe.
+            // Avoids cancelling the jobs there because a connection broke during one probe.
             self.probe(ix);
         } else if w.unreachable {
             w.connected_until = 0;
-            // Probes that are made while it is barred tell nothing new: the bar grows once each time it ends.
+            // Probes during an ejection add no information: the ejection grows only once each time it ends.
             if self
                 .fleet
                 .ejections
@@ -1087,7 +1129,7 @@
             {
                 self.fleet.record_failure(scope, 1.0, base, self.now);
             }
-            // One that answers is alive: it drains, say, and ends what it has.
+            // A worker that answers is alive: it may be draining, and still completes its jobs.
             if outcome != Outcome::Rejected {
                 self.retry_overdue(Some(ix));
             }
@@ -1116,7 +1158,7 @@
         let expired = self.jobs.iter().filter(|(_, j)| !j.done && self.now >= j.request.deadline);
         let expired: BTreeSet<RequestId> = expired.map(|(id, _)| id.clone()).collect();
         expired.iter().for_each(|id| self.give_up(id));
-        // A report taken a tick after a send must count the job: is it late?
+        // A report requested a tick after a send must count the job: this checks whether reports are late.
         let due = |a: &&Attempt| now >= a.sent + self.tick && now < a.sent + self.tick * 2;
         let checks: BTreeSet<WorkerIndex> =
             self.jobs.values().flat_map(|j| &j.in_flight).filter(due).map(|a| a.worker).collect();
@@ -1134,8 +1176,9 @@
         }
     }
 
-    /// Attempts that are overdue, or lie at a worker found dead, are a symptom, and are made again where that
-    /// is allowed: as a second copy where a slot is seen free, else after calling the first one back.
+    /// Retries attempts that are overdue or at a dead worker, where allowed: as a second copy if a worker
+    /// has a free slot, else after cancelling the first. An overdue attempt counts as a failure of its
+    /// worker.
     fn retry_overdue(&mut self, dead: Option<WorkerIndex>) {
         let mut late = Vec::new();
         for (id, job) in self.jobs.iter().filter(|(_, j)| !j.done && j.probing_until.is_none()) {
@@ -1149,7 +1192,7 @@
             let (overdue, slack) = (self.overdue_after(&id), self.slack(self.jobs[&id].request.class, None));
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             let (class, ix) = (job.request.class, job.in_flight[at].worker);
-            // Not begun is no symptom yet: the worker is full.
+            // A job that has not started is no failure yet: the worker is full.
             let waits = job.in_flight[at].unstarted && self.now < job.in_flight[at].sent + overdue;
             let since = std::mem::replace(&mut job.in_flight[at].last_activity, self.now);
             let w = &mut self.fleet.workers[ix];
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,12 @@
-//! lineroute: the decisions of a dispatcher that pushes jobs to workers.
+//! lineroute: the decision logic of a dispatcher that pushes jobs to workers.
 //!
-//! The crate holds no sockets, clocks or threads. A host feeds a [`Balancer`] with events and the
-//! time in microseconds, and carries out the [`Action`]s that come back. The same events always
-//! give the same actions.
+//! The crate holds no sockets, clocks or threads. A host passes [`Event`]s and the time in microseconds to a
+//! [`Balancer`] and carries out the [`Action`]s that it returns. The same events always yield the same
+//! actions.
 //!
-//! The rule on the ordinary path is the inverse response time ratio scheduler: per job type, a job goes to the
-//! worker whose own running count lags furthest behind its share, and shares are the inverse of measured
-//! response time. See `balance.rs`.
+//! Workers are chosen by inverse response time: per job type, a worker's share is proportional to the
+//! inverse of its measured response time, and a job goes to the worker whose own running count is furthest
+//! below its share. See `balance.rs`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -19,7 +19,7 @@
 pub use api::*;
 pub use balance::Balancer;
 
-/// The README's example, compiled and run as a test.
+/// Compiles and runs the example in the README as a doctest.
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
 struct Readme;
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! The state that decisions rest on, and its upkeep. What is concluded from it is in `src/balance.rs`.
+//! State that the decisions are based on, and its updates. The decisions themselves are in `src/balance.rs`.
 
 use crate::api::*;
 use crate::slow_start::Overdraft;
@@ -7,40 +7,46 @@
 use slab::Slab;
 use std::num::NonZeroUsize;
 
-/// Served jobs that a profile looks back on, about. Long, since run times have heavy tails.
+/// Approximate number of served jobs that a profile averages over. Large, because running times are
+/// heavy-tailed.
 pub const PROFILE_WINDOW_JOBS: f32 = 24.0;
-/// Weight of the borrowed median in a young profile, in jobs: damps the first few times measured.
+/// Weight, in jobs, of the borrowed median in a new profile. Damps the first few measurements.
 pub const PRIOR_JOBS: f32 = 2.0;
-/// What others hold at a worker follows what reports tell by this part; those are of about so long ago.
+/// Weight of a new report in the average of the slots that others use at a worker. Own slots are averaged
+/// over [`REPORT_LAG`], the approximate age of a report.
 pub const FOREIGN_EWMA_WEIGHT: f64 = 0.3;
 pub const REPORT_LAG: f64 = 1e6;
-/// Seconds that a rate of requests looks back.
+/// Seconds that a request rate averages over.
 pub const RATE_WINDOW_S: f64 = 4.0;
-/// By how much the own jobs that fit at a worker fall when one waited, and rise when one more began at once.
+/// How much the number of own jobs that a worker is assumed to take falls when a job had to wait, and rises
+/// when one more job started at once.
 pub const LIMIT_DECREASE: f64 = 0.5;
 pub const LIMIT_INCREASE: f64 = 0.25;
-/// A worker that served so many jobs in a row without telling of their start tells of none.
+/// Number of jobs in a row served without a start message after which a worker is assumed to send none.
 pub const NO_START_NOTICE_AFTER: u32 = 3;
-/// How long a refusal that a peer met keeps jobs away: the list tells of a drain within seconds.
+/// How long no jobs go to a worker that refused a peer's job. Long enough for the list to show a drain,
+/// which takes seconds.
 const PEER_REFUSAL_HOLD: Micros = 1_000_000;
-/// Hints that stop coming are gone by for so long.
+/// How long the last hint from a peer is used.
 pub const HINT_TTL: Micros = 1_000_000;
 
-/// Index of a worker in `Fleet::workers`; it stays with a worker as long as that is remembered.
+/// Index of a worker in `Fleet::workers`, valid as long as the worker is remembered.
 pub type WorkerIndex = usize;
 
-/// The end of a job and the start of the next one in the same slot may be told in either order, within this.
+/// The messages for the end of a job and the start of the next one in the same slot may arrive in either
+/// order within this time.
 const REORDER_WINDOW: Micros = 50_000;
 
-/// Average response time of the served jobs of one type at one worker, and how many are out there now.
+/// Average response time of one job type at one worker, and the number of its jobs in flight there.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Profile {
     pub mean_response: f32,
     pub samples: f32,
     pub in_flight: u32,
-    /// Weight / R̄, its own or borrowed: α before it is normalised. 0: not a ready worker of the kind.
+    /// Weight / R̄, measured or borrowed: the share α before normalisation. 0: not a ready worker of the
+    /// kind.
     pub raw_share: f32,
-    /// What operators multiply its share by; usually 1.
+    /// Factor that operators multiply its share by; 1 by default.
     pub weight: f32,
 }
 
@@ -49,20 +55,20 @@
 pub struct JobType {
     pub profiles: Vec<Profile>,
     pub in_flight: u32,
-    /// Sum and maximum of `inverse`.
+    /// Sum and maximum of `raw_share` over all workers.
     pub raw_share_sum: f32,
     pub raw_share_max: f32,
-    /// When medians and sums were last taken, and the version of the list they were taken for.
+    /// When medians and sums were last computed, and the version of the list they were computed for.
     pub computed_for: Option<(Micros, u64)>,
     pub median: Option<f32>,
 }
 
-/// Concern 1, profiles and shares: R̄ by type and worker, and the gap n_i − α_i·n to sort by. Types are
-/// numbered, the classes first.
+/// Concern 1, profiles and shares: mean response time R̄ by job type and worker, and the gap n_i − α_i·n
+/// that workers are sorted by. The first job types are the classes.
 #[derive(Debug)]
 pub struct Profiles {
     pub job_types: Slab<JobType>,
-    /// Jobs served of each key, and its type once they are enough.
+    /// Number of jobs served per key, and the key's own job type once that number is large enough.
     pub keys: LruCache<Key, (u32, Option<usize>)>,
 }
 
@@ -74,7 +80,7 @@
         &mut self.profiles[w]
     }
 
-    /// Takes the response time of a served job into its average.
+    /// Adds the response time of a served job to the average.
     pub fn record_response(&mut self, w: WorkerIndex, spent: Micros) {
         let borrowed = self.mean_response(w);
         let p = self.profile_mut(w);
@@ -93,13 +99,13 @@
         }
     }
 
-    /// R̄ at a worker, its own or borrowed.
+    /// R̄ at a worker, measured or borrowed.
     pub fn mean_response(&self, w: WorkerIndex) -> Option<f64> {
         let p = Some(self.profile(w)).filter(|p| p.raw_share > 0.0 && self.median.is_some());
         p.map(|p| f64::from(p.weight) / f64::from(p.raw_share))
     }
 
-    /// Counts an attempt in or out.
+    /// Counts an attempt that was sent or has ended.
     pub fn count_attempt(&mut self, w: WorkerIndex, sent: bool) {
         let p = self.profile_mut(w);
         p.in_flight = if sent { p.in_flight + 1 } else { p.in_flight.saturating_sub(1) };
@@ -111,7 +117,7 @@
     }
 }
 
-/// A bar that doubles with each symptom, until served jobs wear it down.
+/// Temporary exclusion of a worker. Its duration doubles with each failure; served jobs lower the score.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Ejection {
     pub score: f64,
@@ -122,96 +128,104 @@
 #[derive(Clone, Debug, Default)]
 pub struct Worker {
     pub entry: WorkerEntry,
-    /// Its last start, by news of it; a start said to lie in the future counts from that news.
+    /// When it last started. A start time in the future is replaced by the time of the message that gave it.
     pub started_at: Option<Micros>,
-    /// Free slots by the last report, less own sends since, plus own jobs ended since.
+    /// Free slots by the last report, less own sends and plus own jobs ended since.
     pub free_slots: Option<f64>,
     pub reported_at: Option<Micros>,
     pub queued: f64,
-    /// Requests in hand by the last report.
+    /// Requests in flight there by the last report.
     pub reported_in_flight: Option<f64>,
-    /// Most slots it was ever seen to have: free ones plus jobs running.
+    /// The most slots it was ever seen to have: free slots plus running jobs.
     pub slots: f64,
-    /// Size of the job that it last had no room for, and until when that bars jobs as large.
+    /// Size of the last job that it had no room for, and until when no job of that size or larger is sent.
     pub full_until: Option<(f64, Micros)>,
     pub in_flight: u32,
     pub in_flight_slots: f64,
-    /// Own jobs there that have not begun, where workers tell.
+    /// Own jobs there that have not started, where workers report starts.
     pub unstarted: u32,
-    /// Slots of own jobs there that were told to have begun, and when the last of them did.
+    /// Slots of own jobs there that were reported as started, and the time of the last start.
     pub running_slots: f64,
     pub last_start: Micros,
-    /// Jobs served in a row without word of their start: it may be one that does not tell.
-    pub silent_starts: u32,
-    /// Own jobs that it has room for at once, as learnt from how soon they began. Used where none reports.
+    /// Jobs served in a row without a start message. Above a limit the worker is assumed to send none.
+    pub unannounced_starts: u32,
+    /// Number of own jobs that it takes at once, learnt from how soon jobs started. Used if workers send no
+    /// reports.
     pub concurrency_limit: f64,
-    /// When an own job was last served there, if none was sent since.
+    /// When an own job was last served there; 0 after a send.
     pub last_served: Micros,
-    /// It could not be reached: a probe must pass before a job goes there.
+    /// It could not be reached: a probe must succeed before a job is sent.
     pub unreachable: bool,
-    /// This process was seen draining; it could not be reached since the list left it out.
+    /// This process was seen draining.
     pub seen_draining: bool,
+    /// A connection to it failed after the list left it out.
     pub failed_while_gone: bool,
     pub probing: bool,
-    /// Probes that failed in a row.
+    /// Consecutive failed probes.
     pub failed_probes: u32,
     /// Until when a connection to it stays open.
     pub connected_until: Micros,
-    /// Jobs of peers there, by their hints, and until when a refusal that one met keeps jobs away.
+    /// Jobs of peers there, by their hints.
     pub peer_jobs: u32,
-    /// Slots that others hold there, averaged, where reports tell of free slots and not of who holds the rest.
+    /// Average number of slots that others use there, where reports give free slots but not who uses the
+    /// rest.
     pub foreign_slots: Option<f64>,
-    /// Own slots there, averaged over about the age of a report, and when that was last brought on.
+    /// Own slots in use there, averaged over about the age of a report, and the time of the last update.
     pub own_slots: (f64, Micros),
+    /// Until when no jobs go there, after it refused a peer's job.
     pub avoid_until: Micros,
-    /// What was sent there beyond this instance's part of its budget while it is cold.
+    /// What was sent there beyond this instance's part of the budget while the worker is cold.
     pub overdraft: Overdraft,
 }
 
-/// What a bar in `Fleet::bars` is for: a worker, a class there, or a tenant's jobs of a class there.
+/// What an entry of `Fleet::ejections` applies to: a worker, a class there, or a tenant's jobs of a class
+/// there.
 pub type EjectionScope = (WorkerIndex, Option<ClassId>, Option<TenantId>);
 
-/// Concern 2, worker state: the list, reports, warmth and symptoms.
+/// Concern 2, worker state: the list, reports, warm-up and failures.
 #[derive(Debug)]
 pub struct Fleet {
     pub workers: Slab<Worker>,
     pub index: FxHashMap<WorkerId, WorkerIndex>,
-    /// Ready workers of each class's kind, and how often these lists were made anew.
+    /// Ready workers that each class may be sent to. `version` counts how often these lists were rebuilt.
     pub ready: Vec<Vec<WorkerIndex>>,
-    /// When the first list came: what was sent before is not known. `Micros::MAX`: none has come.
+    /// When the first list arrived; what an earlier process sent is unknown. `Micros::MAX`: no list yet.
     pub known_since: Micros,
-    /// Candidates that were cold when these lists were made.
+    /// Candidates that were cold when these lists were built.
     pub cold: Vec<WorkerIndex>,
-    /// Classes whose every candidate is barred by operators.
+    /// Classes whose candidates are all out of service.
     pub all_out_of_service: Vec<bool>,
-    /// What operators have set. By id, so that it outlasts what the list does to a worker.
+    /// Overrides set by operators, by worker id, so that they survive changes of the list.
     pub weights: FxHashMap<WorkerId, f32>,
     pub out_of_service: FxHashSet<WorkerId>,
     pub pins: FxHashMap<(ClassId, Option<TenantId>), WorkerId>,
     pub version: u64,
-    /// The list may be acted on.
+    /// Whether the list may be acted on.
     pub list_valid: bool,
-    /// The least slots that workers of a kind have shown: one that starts anew has shown few itself.
+    /// The smallest slot count seen at the workers of a kind. Stands in for a restarted worker, which has
+    /// shown few slots itself.
     pub kind_slots: FxHashMap<KindId, f64>,
-    /// The most slots of own jobs that ran at a worker of the kind at once, where workers tell when jobs begin. A lower
-    /// bound of what it has, to go by where no report tells.
+    /// The most slots of own jobs seen running at once at a worker of the kind, where workers report starts.
+    /// A lower bound of its slots, used if there are no reports.
     pub kind_concurrency: FxHashMap<KindId, f64>,
-    /// How many waited, about, where a worker of the kind turned work away.
+    /// Average queue length at which a worker of the kind rejected work.
     pub kind_queue_limit: FxHashMap<KindId, f64>,
-    /// Workers seen draining and when they had started: wrong lists may name them again. Bounded.
+    /// Workers seen draining and when they had started, since outdated lists may name them again. Bounded.
     pub recently_drained: LruCache<WorkerId, Option<Micros>>,
-    /// Symptoms. Those that came in one class, or for one tenant of it, say nothing of the rest.
+    /// Workers ejected after failures. Failures in one class, or for one tenant in it, do not affect others.
     pub ejections: FxHashMap<EjectionScope, Ejection>,
-    /// Until when reports are held to be late: one of them lacked own jobs that it had to count.
+    /// Until when reports are ignored as late, because one of them lacked own jobs that it had to count.
     pub reports_late_until: Micros,
-    /// Until when hints of peers are gone by: the last one is not long ago.
+    /// Until when hints from peers are used.
     pub hints_until: Micros,
-    /// Jobs at once for each unit of a worker's size, by kind, as learnt from which began at once.
+    /// Jobs that run at once per unit of a worker's size, by kind, learnt from jobs that started without a
+    /// wait.
     pub jobs_per_size: FxHashMap<KindId, f64>,
-    /// Reports in a row that lacked a job sent there a tick before.
+    /// Consecutive reports that lacked a job sent there a tick earlier.
     pub late_reports: u32,
-    /// What a new worker's `mute` is: by the settings workers tell when jobs begin, or do not.
-    silent_starts: u32,
+    /// Initial `unannounced_starts` of a new worker, which depends on whether the settings say that workers
+    /// report starts.
+    unannounced_starts: u32,
 }
 
 impl Worker {
@@ -220,7 +234,7 @@
         Worker { entry, started_at, slots: 1.0, concurrency_limit: 2.0, ..Worker::default() }
     }
 
-    /// Part of its capacity that it has at least, from its start and the rules.
+    /// Lower bound of the fraction of its capacity that it has, by its age and the rules.
     pub fn warmth(&self, rules: &Rules, now: Micros) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
         let age = now.saturating_sub(started_at) as f64;
@@ -228,17 +242,18 @@
         (rules.cold_from + (1.0 - rules.cold_from) * part).min(1.0)
     }
 
-    /// Its report is recent enough to go by. One of free slots alone goes into an average, which stands.
+    /// Whether its report is recent enough to be used. Reports of free slots only feed an average, which
+    /// does not expire.
     pub fn has_fresh_report(&self, now: Micros, age: Micros) -> bool {
         self.foreign_slots.is_some() || self.reported_at.is_some_and(|at| now.saturating_sub(at) <= age)
     }
 
-    /// Own jobs and those of peers there, by hints or reports.
+    /// Own jobs there, plus those of others by hints or reports.
     pub fn total_jobs(&self) -> f64 {
         f64::from(self.in_flight) + f64::from(self.peer_jobs).max(self.foreign_slots.unwrap_or(0.0))
     }
 
-    /// An attempt goes there.
+    /// Counts an attempt that is sent there.
     pub fn record_send(&mut self, slots: f64, unstarted: bool, now: Micros, keepalive: Micros) {
         self.update_own_slots(now);
         self.unstarted += u32::from(unstarted);
@@ -249,13 +264,13 @@
         self.connected_until = self.connected_until.max(now + keepalive);
     }
 
-    /// The start of an attempt there is awaited no longer.
+    /// Stops waiting for the start of an attempt.
     pub fn clear_unstarted(&mut self, attempt: &mut Attempt) {
         let counted = std::mem::take(&mut attempt.unstarted);
         self.unstarted = self.unstarted.saturating_sub(u32::from(counted));
     }
 
-    /// An attempt there was told to have begun.
+    /// Counts an attempt that was reported as started.
     pub fn record_start(&mut self, attempt: &mut Attempt, slots: f64, now: Micros) {
         if !std::mem::replace(&mut attempt.running, true) {
             self.running_slots += slots;
@@ -263,8 +278,9 @@
         }
     }
 
-    /// An attempt there ends; the slots of own jobs that ran at once until now. `None`: it was not told to have begun, or
-    /// another one has begun so lately that the two may have run one behind the other.
+    /// Counts the end of a started attempt, and returns the slots of own jobs that ran at once until now.
+    /// `None`: its start was not reported, or another job started so recently that the two may have run one
+    /// after the other.
     pub fn record_stop(&mut self, attempt: &Attempt, slots: f64, now: Micros) -> Option<f64> {
         if !attempt.running {
             return None;
@@ -274,7 +290,7 @@
         (now >= self.last_start + REORDER_WINDOW).then_some(at_once)
     }
 
-    /// An attempt there ended.
+    /// Counts the end of an attempt there.
     pub fn record_end(&mut self, slots: f64, now: Micros, keepalive: Micros) {
         self.update_own_slots(now);
         self.in_flight = self.in_flight.saturating_sub(1);
@@ -283,7 +299,8 @@
         self.connected_until = self.connected_until.max(now + keepalive);
     }
 
-    /// An own job has begun there, at once or after a wait: how many of ours find room beside the others'?
+    /// Updates the number of own jobs that the worker takes at once, after a job has started with or without
+    /// a wait.
     pub fn update_concurrency_limit(&mut self, waited: bool) {
         let running = f64::from(self.in_flight - self.unstarted.min(self.in_flight));
         if waited {
@@ -294,7 +311,7 @@
         }
     }
 
-    /// Brings the average of own slots on to this moment, before they change or a report is read.
+    /// Advances the average of own slots to now, before they change or a report is read.
     fn update_own_slots(&mut self, now: Micros) {
         let (own, since) = self.own_slots;
         let kept = (-(now.saturating_sub(since) as f64) / REPORT_LAG).exp();
@@ -323,12 +340,12 @@
 }
 
 impl Profiles {
-    /// The type of a job, by its key if that is known well enough.
+    /// The job type of a job: that of its key if enough jobs of the key were served, else that of its class.
     pub fn job_type(&self, class: ClassId, key: Option<&Key>) -> usize {
         key.and_then(|k| self.keys.peek(k)).and_then(|k| k.1).unwrap_or(class.0)
     }
 
-    /// Counts a served job of a key. Memory stays bounded: the key unused longest is forgotten.
+    /// Counts a served job of a key. The least recently used key is evicted, so memory stays bounded.
     pub fn count_key(&mut self, key: Key, min_jobs: u32) {
         let known = self.keys.get(&key).copied().unwrap_or((0, None));
         let count = known.0.saturating_add(1);
@@ -340,7 +357,7 @@
         }
     }
 
-    /// Drops what was measured at a worker: it has left or started anew. Jobs still out stay counted.
+    /// Drops the measurements of a worker that has left or restarted. Jobs still in flight stay counted.
     pub fn reset_worker(&mut self, w: WorkerIndex) {
         for p in self.job_types.iter_mut().filter_map(|(_, t)| t.profiles.get_mut(w)) {
             (p.mean_response, p.samples) = (0.0, 0.0);
@@ -349,7 +366,7 @@
 }
 
 impl Fleet {
-    /// A fleet that nothing is known of yet, for so many classes, remembering so many drained workers.
+    /// An empty fleet for this many classes, which remembers at most `max_drained` drained workers.
     pub fn new(classes: usize, max_drained: NonZeroUsize, tells_start: bool) -> Self {
         Fleet {
             workers: Slab::new(),
@@ -371,12 +388,12 @@
             hints_until: 0,
             jobs_per_size: FxHashMap::default(),
             late_reports: 0,
-            silent_starts: if tells_start { 0 } else { NO_START_NOTICE_AFTER },
+            unannounced_starts: if tells_start { 0 } else { NO_START_NOTICE_AFTER },
             list_valid: true,
         }
     }
 
-    /// Takes a list in; whether it changed anything.
+    /// Applies a list; returns whether anything changed.
     pub fn apply_list(
         &mut self,
         kind: ListKind,
@@ -399,7 +416,7 @@
                 let seen_draining = seen || e.stage == Stage::Draining;
                 let new = Worker {
                     seen_draining,
-                    silent_starts: self.silent_starts,
+                    unannounced_starts: self.unannounced_starts,
                     ..Worker::new(e.clone(), now)
                 };
                 if new.seen_draining {
@@ -411,16 +428,17 @@
             };
             let worker = &mut self.workers[w];
             changed |= worker.entry != *e;
-            // An earlier start is that of an old list.
+            // An earlier start time means that the list is outdated.
             if e.started > worker.entry.started {
-                // A new process: what was known of the old one is void, but our jobs there are still out.
+                // A new process: what was known of the old one is void, but our jobs there are still in
+                // flight.
                 let (in_flight, in_flight_slots, probing) =
                     (worker.in_flight, worker.in_flight_slots, worker.probing);
                 *worker = Worker {
                     in_flight,
                     in_flight_slots,
                     probing,
-                    silent_starts: self.silent_starts,
+                    unannounced_starts: self.unannounced_starts,
                     ..Worker::new(e.clone(), now)
                 };
                 profiles.reset_worker(w);
@@ -437,7 +455,7 @@
         changed
     }
 
-    /// Makes the lists of ready workers anew, and forgets those that have left and have nothing of ours.
+    /// Rebuilds the lists of ready workers, and removes workers that have left and have none of our jobs.
     pub fn rebuild_ready(
         &mut self,
         settings: &Settings,
@@ -446,7 +464,8 @@
         selecting: bool,
     ) {
         self.workers.retain(|w, worker| {
-            // Looks still name theirs by index. A cold one that leaves and comes back must not be given its budget again.
+            // Selections in progress refer to workers by index. A cold worker that leaves and returns must
+            // not get its budget again.
             let idle = worker.in_flight == 0 && !worker.probing && worker.warmth(&settings.rules, now) >= 1.0;
             let stays = worker.entry.stage != Stage::Gone || worker.is_candidate(&settings.rules);
             let leaves = !stays && idle && !selecting;
@@ -471,7 +490,7 @@
         self.version += 1;
     }
 
-    /// Takes over what operators have set; whether that changed anything.
+    /// Applies the operators' overrides; returns whether anything changed.
     pub fn apply_overrides(&mut self, set: &Overrides) -> bool {
         let weights = set.weights.iter().map(|(w, weight)| (*w, *weight as f32)).collect();
         let out_of_service = set.out_of_service.iter().copied().collect();
@@ -481,30 +500,32 @@
         changed
     }
 
-    /// Slots that a worker of the kind has, as far as its like have shown: by reports, else by what ran there at once.
+    /// Slots of a worker of the kind: the number seen in reports, else the number of slots seen running at
+    /// once.
     pub fn slots_of_kind(&self, kind: KindId) -> f64 {
         self.kind_slots.get(&kind).or_else(|| self.kind_concurrency.get(&kind)).copied().unwrap_or(1.0)
     }
 
-    /// So many slots of own jobs ran at a worker at once.
+    /// Records the slots of own jobs that ran at a worker at once.
     pub fn record_concurrency(&mut self, ix: WorkerIndex, slots: f64) {
         let most = self.kind_concurrency.entry(self.workers[ix].entry.kind).or_insert(1.0);
         *most = most.max(slots);
     }
 
-    /// What a worker's share is multiplied by.
+    /// Factor that operators multiply a worker's share by.
     pub fn weight(&self, w: WorkerIndex) -> f32 {
         self.weights.get(&self.workers[w].entry.worker).copied().unwrap_or(1.0)
     }
 
-    /// The worker that operators have pinned a request to, if it is known. A tenant's own pin comes first.
+    /// The worker that operators have pinned a request to, if it is known. A tenant's pin overrides that of
+    /// the class.
     pub fn pinned_worker(&self, request: &Request) -> Option<WorkerIndex> {
         let own = request.tenant.and_then(|t| self.pins.get(&(request.class, Some(t))));
         let pin = own.or_else(|| self.pins.get(&(request.class, None)))?;
         self.index.get(pin).copied()
     }
 
-    /// Takes in what peers tell of a worker.
+    /// Applies a peer's hint about a worker.
     pub fn apply_peer_hint(&mut self, worker: WorkerId, in_flight: u32, refused: bool, now: Micros) {
         let Some(w) = self.index.get(&worker).and_then(|&ix| self.workers.get_mut(ix)) else { return };
         w.peer_jobs = in_flight;
@@ -512,7 +533,7 @@
         self.hints_until = now + HINT_TTL;
     }
 
-    /// Jobs of all dispatchers at the workers of a class, where peers or reports tell of those of others.
+    /// Jobs of all dispatchers at the workers of a class, if hints or reports tell of the jobs of others.
     pub fn class_jobs(&self, class: usize, now: Micros) -> Option<f64> {
         let all = self.ready[class].iter().map(|&w| &self.workers[w]);
         let others_known = now < self.hints_until || all.clone().any(|w| w.foreign_slots.is_some());
@@ -528,23 +549,23 @@
     }
 }
 
-/// An attempt that is out.
+/// An attempt in flight.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     pub number: AttemptNo,
     pub worker: WorkerIndex,
     pub sent: Micros,
-    /// Last sign of it: its send or a note of progress.
+    /// Time of its send or last progress message.
     pub last_activity: Micros,
     pub place: (ZoneId, CellId),
     pub cancelled: bool,
-    /// Jobs of all dispatchers that were there when it was sent, as far as known.
+    /// Jobs of all dispatchers known to be at the worker when it was sent.
     pub jobs_at_send: f64,
-    /// Its start is awaited.
+    /// Its start has not been reported yet.
     pub unstarted: bool,
-    /// Its start was told, and it counts in what runs at the worker.
+    /// Its start was reported; it counts in the worker's `running_slots`.
     pub running: bool,
-    /// Requests that the worker had in hand by a fresh report when this was sent.
+    /// Requests in flight at the worker by a fresh report when this attempt was sent.
     pub reported_before: Option<f64>,
 }
 
@@ -556,9 +577,10 @@
     pub arrived: Micros,
     pub attempt_count: u32,
     pub in_flight: Vec<Attempt>,
-    /// Where and when the first attempt that may have run was sent: it binds the later ones.
+    /// Place and time of the first attempt that may have run. Restricts where a repeat may go.
     pub first_may_have_run: Option<(ZoneId, CellId, Micros)>,
-    /// Candidates of the looks so far, how many looks, and until when the last one waits for probes.
+    /// Candidates considered so far, the number of selection rounds, and until when the current round waits
+    /// for probes.
     pub candidates: Vec<WorkerIndex>,
     pub rounds: u32,
     pub probing_until: Option<Micros>,
@@ -566,12 +588,12 @@
     pub done: bool,
     /// Workers that answered it with an error.
     pub failed_workers: Vec<WorkerIndex>,
-    /// It goes to other zones first: there is room.
+    /// Other zones come first, because they have room.
     pub prefers_other_zones: bool,
 }
 
 impl Job {
-    /// A request that has just come in.
+    /// A request that has just arrived.
     pub fn new(request: Request, job_type: usize, now: Micros) -> Self {
         Job {
             request,
@@ -590,20 +612,20 @@
         }
     }
 
-    /// The client has this attempt's stream: it is not to be called back.
+    /// This attempt's response is streaming to the client: it must not be cancelled.
     pub fn mark_streaming(&mut self, number: AttemptNo) {
         if let Some(a) = self.attempt(number) {
             a.cancelled = true;
         }
     }
 
-    /// An attempt that is out, by its number.
+    /// Finds an attempt in flight by its number.
     pub fn attempt(&mut self, number: AttemptNo) -> Option<&mut Attempt> {
         self.in_flight.iter_mut().find(|a| a.number == number)
     }
 }
 
-/// The median of all, and by kind.
+/// The median over all workers, and per kind.
 pub fn medians(seen: &mut [(KindId, f32)]) -> (Option<f32>, Vec<(KindId, f32)>) {
     let median = |part: &mut [(KindId, f32)]| {
         let middle = part.len() / 2;
@@ -615,7 +637,7 @@
     (all, kinds.map(|k| (k[0].0, median(k))).collect())
 }
 
-/// An event rate that looks back over a span, and the number of events that it rests on.
+/// An exponentially decaying event rate, with the number of events that it is based on.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rate {
     pub count: f64,
@@ -627,7 +649,7 @@
         self.count * (-(now.saturating_sub(self.at) as f64 / 1e6) / RATE_WINDOW_S).exp()
     }
 
-    /// Events a second, less doubt: a rate that rests on few is known to their square root.
+    /// Lower bound of events per second: a count of n events is uncertain by √n.
     pub fn lower_bound(&self, now: Micros) -> f64 {
         let count = self.count(now);
         (count - count.sqrt()).max(0.0) / RATE_WINDOW_S
@@ -638,7 +660,7 @@
     }
 }
 
-/// The bars that a request can meet at a worker.
+/// The ejections that can apply to a request at a worker.
 pub fn ejection_scopes(w: WorkerIndex, request: &Request) -> [EjectionScope; 3] {
     let class = Some(request.class);
     [(w, None, None), (w, class, None), (w, class, request.tenant)]
