--- a/dispatcher/src/fleet/prober.rs
+++ b/dispatcher/src/fleet/prober.rs
@@ -48,14 +48,8 @@
     load: Option<[Option<f64>; 3]>,
 }
 
-const OUTCOMES: [Outcome; 6] = [
-    Outcome::Served,
-    Outcome::Error,
-    Outcome::Rejected,
-    Outcome::TimedOut,
-    Outcome::ConnectFailed,
-    Outcome::ConnectionLost,
-];
+const OUTCOMES: [Outcome; 6] =
+    [Outcome::Served, Outcome::Fault, Outcome::NoRoom, Outcome::TimedOut, Outcome::NoRoute, Outcome::Cut];
 
 /// The prober of this process: it owns some zones and waits for the owners of others.
 pub struct Prober {
--- a/dispatcher/src/flow/core.rs
+++ b/dispatcher/src/flow/core.rs
@@ -170,8 +170,8 @@
         self.changed.push((target, Some(*out)));
         Some(match permit {
             Ok(permit) if is_known => Effect::Forward(permit, forward),
-            Ok(_) => Effect::NotMade(ticket, Outcome::ConnectFailed),
-            Err(_) => Effect::NotMade(ticket, Outcome::NotSent),
+            Ok(_) => Effect::NotMade(ticket, Outcome::NoRoute),
+            Err(_) => Effect::NotMade(ticket, Outcome::Moot),
         })
     }
 
@@ -204,7 +204,7 @@
         if *left == 0 {
             self.out.remove(&out.forward.target);
         }
-        if matches!(outcome, Outcome::Rejected | Outcome::ConnectFailed | Outcome::Error) {
+        if matches!(outcome, Outcome::NoRoom | Outcome::NoRoute | Outcome::Fault) {
             self.changed.push((out.forward.target, None));
         }
         let mut effects = Vec::new();
--- a/dispatcher/src/flow/mod.rs
+++ b/dispatcher/src/flow/mod.rs
@@ -367,7 +367,7 @@
                 Effect::Probe(id) => self.see_to_probe(id),
                 Effect::Closed(id, carrier) => targets[carrier].closed(id),
                 Effect::NotMade(ticket, outcome) => self.ended(ticket, outcome, None),
-                Effect::ProbeFailed(id) => self.probed(id, Outcome::ConnectFailed, None),
+                Effect::ProbeFailed(id) => self.probed(id, Outcome::NoRoute, None),
             }
         }
         self.settled.notify_one();
--- a/dispatcher/src/flow/targets.rs
+++ b/dispatcher/src/flow/targets.rs
@@ -22,7 +22,7 @@
                 let carrier = self.targets.borrow()[place.carrier].clone();
                 carrier.probe(target, place.addr, operation);
             }
-            None => self.probed(target, Outcome::ConnectFailed, None),
+            None => self.probed(target, Outcome::NoRoute, None),
         }
     }
 
@@ -71,7 +71,7 @@
 
     /// A probe has ended.
     pub fn probed(&self, target: TargetId, outcome: Outcome, load: Option<Load>) {
-        if !matches!(outcome, Outcome::Served | Outcome::NotSent) {
+        if !matches!(outcome, Outcome::Served | Outcome::Moot) {
             self.core.borrow_mut().changed.push((target, None));
         }
         let probing = self.probing.borrow().clone();
--- a/dispatcher/src/targets/beanstalkd.rs
+++ b/dispatcher/src/targets/beanstalkd.rs
@@ -215,7 +215,7 @@
                     };
                     self.flows.probed(
                         server.target,
-                        if alive { Outcome::Served } else { Outcome::ConnectFailed },
+                        if alive { Outcome::Served } else { Outcome::NoRoute },
                         None,
                     );
                     !alive
@@ -246,11 +246,11 @@
             Ok(open) => open,
             Err(e) if is_local(&e) => {
                 tokio::time::sleep(TRY_AGAIN_AFTER).await;
-                self.flows.ended(ticket, Outcome::NotSent, None);
+                self.flows.ended(ticket, Outcome::Moot, None);
                 return true;
             }
             Err(_) => {
-                self.flows.ended(ticket, Outcome::ConnectFailed, None);
+                self.flows.ended(ticket, Outcome::NoRoute, None);
                 return true;
             }
         };
@@ -258,7 +258,7 @@
         let permit = self.flows.send_permit(forward, None);
         if permit.and_then(|permit| permit.is_current(Instant::now())).is_err() {
             // Drained, over or given up since it was decided: nothing is sent.
-            self.flows.ended(ticket, Outcome::NotSent, None);
+            self.flows.ended(ticket, Outcome::Moot, None);
             return false;
         }
         let head =
@@ -274,7 +274,7 @@
             Ok(reply) => reply,
             Err(_) => {
                 // The job may lie there.
-                self.flows.ended(ticket, Outcome::ConnectionLost, None);
+                self.flows.ended(ticket, Outcome::Cut, None);
                 return true;
             }
         };
@@ -295,20 +295,16 @@
             ("BURIED", Ok(id)) => {
                 // The server had no memory to queue it: nobody can have had it.
                 let gone = open.expect(&format!("delete {id}\r\n"), &["DELETED"]).await.is_ok();
-                self.flows.ended(
-                    ticket,
-                    if gone { Outcome::Rejected } else { Outcome::ConnectionLost },
-                    None,
-                );
+                self.flows.ended(ticket, if gone { Outcome::NoRoom } else { Outcome::Cut }, None);
                 !gone
             }
             ("OUT_OF_MEMORY" | "DRAINING" | "JOB_TOO_BIG", _) => {
-                self.flows.ended(ticket, Outcome::Rejected, None);
+                self.flows.ended(ticket, Outcome::NoRoom, None);
                 false
             }
             _ => {
                 warn!(server = %server.addr, reply = ?reply, "beanstalkd server: put was not taken");
-                self.flows.ended(ticket, Outcome::Error, None);
+                self.flows.ended(ticket, Outcome::Fault, None);
                 true
             }
         }
@@ -325,7 +321,7 @@
             Err(e) => Err(e),
         };
         let outcome = match (&taken, why) {
-            (Ok(true), _) => Outcome::NotSent,
+            (Ok(true), _) => Outcome::Moot,
             // A worker has it, or it can't be told: it may have run.
             (_, Why::Cancelled) => Outcome::Cancelled,
             // A worker that drains completes what it has: its answer is awaited.
@@ -353,8 +349,8 @@
         let outcome = match word {
             "started" => return self.flows.begun(ticket),
             "served" => Outcome::Served,
-            "failed" => Outcome::Error,
-            "refused" => Outcome::Rejected,
+            "failed" => Outcome::Fault,
+            "refused" => Outcome::NoRoom,
             _ => {
                 warn!(server = %server.addr, word, "beanstalkd server: no word for what became of a job");
                 return;
@@ -380,8 +376,7 @@
                 Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => {
                     // The process is dead, and its jobs with it.
                     let lost: Vec<Ticket> = server.out.borrow_mut().drain().map(|(_, t)| t).collect();
-                    lost.into_iter()
-                        .for_each(|ticket| self.flows.ended(ticket, Outcome::ConnectionLost, None));
+                    lost.into_iter().for_each(|ticket| self.flows.ended(ticket, Outcome::Cut, None));
                 }
                 Err(e) => warn!(server = %server.addr, error = %e, "beanstalkd server: connection lost"),
             }
@@ -423,7 +418,7 @@
             within = RESERVE_WAIT;
             for (id, ticket) in gone.drain(..) {
                 if server.out.borrow_mut().remove(&id).is_some() {
-                    self.flows.ended(ticket, Outcome::ConnectionLost, None);
+                    self.flows.ended(ticket, Outcome::Cut, None);
                 }
             }
         }
--- a/dispatcher/src/targets/http.rs
+++ b/dispatcher/src/targets/http.rs
@@ -137,9 +137,9 @@
                 return true;
             }
             "done" => Outcome::Served,
-            "failed" => Outcome::Error,
-            "returned" => Outcome::Rejected,
-            "lost" => Outcome::ConnectionLost,
+            "failed" => Outcome::Fault,
+            "returned" => Outcome::NoRoom,
+            "lost" => Outcome::Cut,
             _ => return true,
         };
         let result = update.result.map(|r| match r {
@@ -162,7 +162,7 @@
         let own = out.get_mut(&forward.job.reference).filter(|o| o.forward.ticket == forward.ticket);
         let Some(own) = own else { return false };
         // Of one that may run on it can't be said that it never ran.
-        let end = if forward.again && end == Outcome::Rejected { Outcome::Error } else { end };
+        let end = if forward.again && end == Outcome::NoRoom { Outcome::Fault } else { end };
         let calling = own.giving_up.as_ref().map(|gate| gate.is_open());
         own.word = Some((end, load));
         if forward.again && calling.is_none() {
@@ -279,7 +279,7 @@
         let job = &forward.job;
         if self.flows.send_permit(forward, None).is_err() {
             // The worker began to drain between the decision and this moment, say: no connection is opened for it.
-            return self.end(&job.reference, forward.ticket, Outcome::NotSent, None, None);
+            return self.end(&job.reference, forward.ticket, Outcome::Moot, None, None);
         }
         let left = forward.until.saturating_duration_since(Instant::now());
         let budget = self.budget_passed_on(left);
@@ -300,25 +300,23 @@
         let outcome = match answer {
             Ok(HttpAnswer { status: 202, .. }) => return,
             // It may be the answer before it, said twice; then the worker has this job.
-            Ok(_) if gate.follows_closely() => return self.give_up(forward, None, Outcome::Error).await,
-            Ok(HttpAnswer { status: 503 | 504, rejected: true, .. }) => Outcome::Rejected,
-            Ok(_) => Outcome::Error,
-            Err(CallError::Refused | CallError::NoConnection(_) | CallError::Unsent) => {
-                Outcome::ConnectFailed
-            }
-            Err(CallError::Broken(_)) => Outcome::ConnectionLost,
-            Err(CallError::Busy | CallError::Shut | CallError::Stale) => Outcome::NotSent,
+            Ok(_) if gate.follows_closely() => return self.give_up(forward, None, Outcome::Fault).await,
+            Ok(HttpAnswer { status: 503 | 504, rejected: true, .. }) => Outcome::NoRoom,
+            Ok(_) => Outcome::Fault,
+            Err(CallError::Refused | CallError::NoConnection(_) | CallError::Unsent) => Outcome::NoRoute,
+            Err(CallError::Broken(_)) => Outcome::Cut,
+            Err(CallError::Busy | CallError::Shut | CallError::Stale) => Outcome::Moot,
             Err(CallError::Local(_)) => {
                 // Dropped here, nothing was sent, and the gate says so.
                 tokio::time::sleep(TRY_AGAIN_AFTER).await;
-                Outcome::NotSent
+                Outcome::Moot
             }
             Err(CallError::Timeout) if Instant::now() >= forward.until => Outcome::TimedOut,
             // The connection has fallen silent. The worker may have the job: if it says so, all is well, else
             // it is told that the job is given up, and only then the next attempt may go out.
             Err(CallError::Timeout) if self.is_told(forward) => return,
             Err(CallError::Timeout) => {
-                return self.give_up(forward, Some(Instant::now()), Outcome::ConnectionLost).await;
+                return self.give_up(forward, Some(Instant::now()), Outcome::Cut).await;
             }
         };
         self.end(&job.reference, forward.ticket, outcome, None, load);
@@ -350,7 +348,7 @@
                 closed = posting.then(Instant::now);
                 if posting && gate.is_some_and(|gate| !gate.is_open()) {
                     // Not a byte of it went out, and none will: there is nobody to tell, and it surely never ran.
-                    return this.end(&forward.job.reference, forward.ticket, Outcome::NotSent, None, None);
+                    return this.end(&forward.job.reference, forward.ticket, Outcome::Moot, None, None);
                 }
             }
             this.give_up(&forward, closed, Outcome::Cancelled).await;
@@ -378,11 +376,11 @@
             let load = call.as_ref().ok().and_then(|(_, body)| load::from_body(body));
             let outcome = match call {
                 Ok((200, _)) => Outcome::Served,
-                Ok((503, _)) => Outcome::Rejected,
-                Ok(_) => Outcome::Error,
-                Err(CallError::Refused | CallError::NoConnection(_)) => Outcome::ConnectFailed,
+                Ok((503, _)) => Outcome::NoRoom,
+                Ok(_) => Outcome::Fault,
+                Err(CallError::Refused | CallError::NoConnection(_)) => Outcome::NoRoute,
                 Err(CallError::Timeout | CallError::Busy) => Outcome::TimedOut,
-                Err(_) => Outcome::ConnectionLost,
+                Err(_) => Outcome::Cut,
             };
             if outcome != Outcome::Served {
                 debug!(target = %addr, outcome = ?outcome, "a probe failed");
--- a/dispatcher/src/targets/upstream.rs
+++ b/dispatcher/src/targets/upstream.rs
@@ -457,14 +457,14 @@
     fn end(&self, ticket: Ticket, ending: Ending) {
         self.0.out.borrow_mut().remove(&ticket);
         let outcome = match (ending.verdict, ending.blameless) {
-            (Verdict::NeverRan, true) => Outcome::NotSent,
-            (Verdict::NeverRan, false) => Outcome::ConnectFailed,
-            (Verdict::NoRoom, _) => Outcome::Rejected,
-            (Verdict::Failed, _) => Outcome::Error,
+            (Verdict::NeverRan, true) => Outcome::Moot,
+            (Verdict::NeverRan, false) => Outcome::NoRoute,
+            (Verdict::NoRoom, _) => Outcome::NoRoom,
+            (Verdict::Failed, _) => Outcome::Fault,
             (Verdict::GivenUp | Verdict::CutShort | Verdict::Broke, true) | (Verdict::GivenUp, _) => {
                 Outcome::Cancelled
             }
-            (Verdict::Broke | Verdict::CutShort, false) => Outcome::ConnectionLost,
+            (Verdict::Broke | Verdict::CutShort, false) => Outcome::Cut,
             (Verdict::Late, _) => Outcome::TimedOut,
             (Verdict::Served | Verdict::Passes, _) => Outcome::Served,
         };
@@ -520,7 +520,7 @@
                     Ok(Ok(_)) => break Outcome::Served,
                     // A probe that this machine could not make has no result.
                     Ok(Err(e)) if is_local(&e) => tokio::time::sleep(TRY_AGAIN_AFTER * 2).await,
-                    Ok(Err(_)) | Err(_) => break Outcome::ConnectFailed,
+                    Ok(Err(_)) | Err(_) => break Outcome::NoRoute,
                 }
             };
             this.0.flows.probed(target, outcome, None);
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -82,13 +82,13 @@
     pub fn outcome(&mut self, name: &str) -> Result<Outcome, String> {
         Ok(match self.text(name)? {
             "pass" => Outcome::Served,
-            "fault" => Outcome::Error,
-            "no_room" => Outcome::Rejected,
+            "fault" => Outcome::Fault,
+            "no_room" => Outcome::NoRoom,
             "too_slow" => Outcome::TimedOut,
-            "no_route" => Outcome::ConnectFailed,
-            "cut" => Outcome::ConnectionLost,
+            "no_route" => Outcome::NoRoute,
+            "cut" => Outcome::Cut,
             "undone" => Outcome::Cancelled,
-            "stale_send" => Outcome::NotSent,
+            "stale_send" => Outcome::Moot,
             other => return Err(format!("field {name}: unknown outcome {other:?}")),
         })
     }
--- a/src/api.rs
+++ b/src/api.rs
@@ -199,7 +199,7 @@
     pub overload_factor: f64,
     /// ... for this long.
     pub overload_for: Micros,
-    /// Workers also reject work that they have already begun, so [`Outcome::Rejected`] does not prove that a
+    /// Workers also reject work that they have already begun, so [`Outcome::NoRoom`] does not prove that a
     /// job never ran.
     pub may_shed_begun: bool,
     /// A worker that is listed as gone, or missing from the list, but was never seen draining, may still be
@@ -351,33 +351,33 @@
     pub work: Option<Micros>,
 }
 
-/// How an attempt or a probe ended.
+/// How an attempt or a probe ended. The dispatcher logs the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The worker completed it.
     Served,
     /// The worker responded with an error; the job may have run.
-    Error,
+    Fault,
     /// The worker rejected it: full or draining. The job did not run, unless [`Rules::may_shed_begun`].
-    Rejected,
+    NoRoom,
     /// No response in time; the job may have run or still be running.
     TimedOut,
     /// No connection was established in time.
-    ConnectFailed,
+    NoRoute,
     /// The connection broke; the job may have run.
-    ConnectionLost,
+    Cut,
     /// Cancelled; the job may have run.
     Cancelled,
     /// Never sent: the request was over, past its deadline or out of attempts.
-    NotSent,
+    Moot,
 }
 
 impl Outcome {
     /// Whether this outcome proves, under these rules, that the attempt never ran.
     pub fn never_ran(self, rules: &Rules) -> bool {
         match self {
-            Outcome::Rejected => !rules.may_shed_begun,
-            outcome => matches!(outcome, Outcome::ConnectFailed | Outcome::NotSent),
+            Outcome::NoRoom => !rules.may_shed_begun,
+            outcome => matches!(outcome, Outcome::NoRoute | Outcome::Moot),
         }
     }
 }
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -870,8 +870,8 @@
             job.first_may_have_run = Some((attempt.place.0, attempt.place.1, attempt.sent));
         }
         let (request, job_type) = (job.request.clone(), job.job_type);
-        let first_failed = job.failed_workers.first().copied().filter(|_| outcome == Outcome::Error);
-        job.failed_workers.extend((outcome == Outcome::Error).then_some(ix));
+        let first_failed = job.failed_workers.first().copied().filter(|_| outcome == Outcome::Fault);
+        job.failed_workers.extend((outcome == Outcome::Fault).then_some(ix));
         self.profiles.job_types[job_type].count_attempt(ix, false);
         let ran = self.fleet.workers[ix].record_stop(&attempt, request.slots, self.now);
         ran.into_iter().for_each(|slots| self.fleet.record_concurrency(ix, slots));
@@ -933,7 +933,7 @@
                 (w.unreachable, w.last_served) = (false, self.now);
                 self.fleet.record_success(ix, request);
             }
-            Outcome::Rejected => {
+            Outcome::NoRoom => {
                 let has_free_slot =
                     report.and_then(|r| r.free_slots).is_some_and(|free| free >= slots + 0.75);
                 if has_free_slot && !late {
@@ -951,8 +951,8 @@
                     self.admission.record_wait(w.entry.zone, true);
                 }
             }
-            Outcome::Error | Outcome::TimedOut if !cancelled => scope = Some((ix, Some(class), None)),
-            Outcome::ConnectFailed | Outcome::ConnectionLost => {
+            Outcome::Fault | Outcome::TimedOut if !cancelled => scope = Some((ix, Some(class), None)),
+            Outcome::NoRoute | Outcome::Cut => {
                 w.unreachable = self.settings.allowed.probe;
                 w.connected_until = 0;
                 w.failed_while_gone = w.entry.stage == Stage::Gone;
@@ -1130,7 +1130,7 @@
                 self.fleet.record_failure(scope, 1.0, base, self.now);
             }
             // A worker that answers is alive: it may be draining, and still completes its jobs.
-            if outcome != Outcome::Rejected {
+            if outcome != Outcome::NoRoom {
                 self.retry_overdue(Some(ix));
             }
         } else if was_unreachable {
--- a/tests/cold_ramp.rs
+++ b/tests/cold_ramp.rs
@@ -312,7 +312,7 @@
                 let report = self.servers.get_mut(&worker).expect("a worker").report(self.now);
                 let report =
                     Some(report).filter(|_| self.scenario.settings.report_source == ReportSource::Responses);
-                let outcome = if served { Outcome::Served } else { Outcome::Rejected };
+                let outcome = if served { Outcome::Served } else { Outcome::NoRoom };
                 self.result.served += usize::from(served);
                 let (id, attempt) = (RequestId(id.as_str().into()), AttemptNo(attempt));
                 let end = AttemptEnd { id, attempt, outcome, request_done: served, elapsed, report };
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -400,7 +400,7 @@
 /// A worker that says on a probe that it takes nothing ends what it has; one that can't be reached has lost it.
 #[test]
 fn jobs_are_called_back_from_a_dead_worker_and_left_at_one_that_drains() {
-    for (outcome, called_back) in [(Outcome::Rejected, false), (Outcome::ConnectFailed, true)] {
+    for (outcome, called_back) in [(Outcome::NoRoom, false), (Outcome::NoRoute, true)] {
         let mut s =
             Settings { report_source: ReportSource::None, tells_start: true, instances: 100, ..settings() };
         (s.allowed.probe, s.allowed.cancel, s.allowed.parallel) = (true, true, false);
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -90,7 +90,7 @@
         let acts = host.event(now, Event::Request(request(i, 0, now + 5000 * MS)));
         for (id, worker) in sends(&acts) {
             to_bad += u32::from(worker == 1);
-            let outcome = if worker == 1 { Outcome::Error } else { Outcome::Served };
+            let outcome = if worker == 1 { Outcome::Fault } else { Outcome::Served };
             host.close(now + MS, &id, 0, outcome, MS, None);
         }
     }
@@ -105,7 +105,7 @@
         let acts = host.event(now, Event::Request(request(i, 2, now + 5000 * MS)));
         let placed = sends(&acts);
         assert_eq!(placed.len(), 1, "request {i} is sent though all workers failed before");
-        host.close(now + MS, &placed[0].0, 0, Outcome::Error, MS, None);
+        host.close(now + MS, &placed[0].0, 0, Outcome::Fault, MS, None);
     }
 }
 
@@ -133,7 +133,7 @@
 fn a_once_job_in_doubt_is_failed_not_refused_nor_repeated() {
     let mut host = two_workers(settings());
     host.event(0, Event::Request(request(1, 2, 5000 * MS)));
-    let acts = host.close(10 * MS, "1", 0, Outcome::ConnectionLost, 10 * MS, None);
+    let acts = host.close(10 * MS, "1", 0, Outcome::Cut, 10 * MS, None);
     assert!(acts.contains(&Action::Fail(request(1, 2, 0).id)), "{acts:?}");
     assert!(sends(&acts).is_empty());
 }
@@ -143,7 +143,7 @@
     let mut host = two_workers(settings());
     let acts = host.event(0, Event::Request(request(1, 1, 5000 * MS)));
     let (_, first) = sends(&acts)[0].clone();
-    let acts = host.close(10 * MS, "1", 0, Outcome::Error, 10 * MS, None);
+    let acts = host.close(10 * MS, "1", 0, Outcome::Fault, 10 * MS, None);
     assert!(sends(&acts).iter().all(|(_, w)| *w == first), "the other worker is in another zone");
     assert!(!acts.iter().any(|a| matches!(a, Action::Refuse { .. })));
 }
@@ -211,7 +211,7 @@
     let acts = host.event(802 * MS, Event::Request(request(9, 0, 60_000 * MS)));
     assert_eq!(sends(&acts).len(), 1);
     // The first try is sent; refused there, it goes on to the other at once: its 'no free slot' is not believed.
-    let acts = host.close(803 * MS, "9", 0, Outcome::Rejected, MS, None);
+    let acts = host.close(803 * MS, "9", 0, Outcome::NoRoom, MS, None);
     assert_eq!(sends(&acts).len(), 1, "{acts:?}");
 }
 
@@ -222,8 +222,8 @@
     let mut host = two_workers(s);
     let deadline = 300 * MS;
     host.event(0, Event::Request(request(1, 2, deadline)));
-    host.close(MS, "1", 0, Outcome::Rejected, MS, None);
-    host.close(2 * MS, "1", 1, Outcome::Rejected, MS, None);
+    host.close(MS, "1", 0, Outcome::NoRoom, MS, None);
+    host.close(2 * MS, "1", 1, Outcome::NoRoom, MS, None);
     host.advance(deadline);
     assert_eq!(host.finals("1"), 1);
 }
@@ -244,7 +244,7 @@
         let acts = host.event(now, Event::Request(r));
         refused[tenant] += acts.iter().filter(|a| matches!(a, Action::Refuse { .. })).count();
         for (id, _) in sends(&acts) {
-            let outcome = if i % 4 == 0 { Outcome::Served } else { Outcome::Rejected };
+            let outcome = if i % 4 == 0 { Outcome::Served } else { Outcome::NoRoom };
             let acts = host.close(now + MS, &id, 0, outcome, 100 * MS, None);
             for (id, _) in sends(&acts) {
                 host.close(now + 2 * MS, &id, 1, Outcome::Served, 100 * MS, None);
@@ -309,7 +309,7 @@
     assert!(sends(&host.event(0, Event::Request(request(2, 0, 900 * MS)))).is_empty());
     assert_eq!((host.finals("1"), host.finals("2")), (0, 1));
     for attempt in 0..3 {
-        host.close(MS, "1", attempt, Outcome::ConnectFailed, MS, None);
+        host.close(MS, "1", attempt, Outcome::NoRoute, MS, None);
     }
     assert_eq!(host.finals("1"), 1, "three attempts are allowed");
 }
@@ -320,11 +320,11 @@
     s.rules.may_shed_begun = true;
     let mut host = two_workers(s);
     host.event(0, Event::Request(request(1, 2, 5000 * MS)));
-    let acts = host.close(MS, "1", 0, Outcome::Rejected, MS, None);
+    let acts = host.close(MS, "1", 0, Outcome::NoRoom, MS, None);
     assert!(sends(&acts).is_empty() && acts.contains(&Action::Fail(request(1, 2, 0).id)), "{acts:?}");
     let acts = host.event(2 * MS, Event::Request(request(2, 1, 5000 * MS)));
     let (_, first) = sends(&acts)[0].clone();
-    let mut acts = host.close(3 * MS, "2", 0, Outcome::Rejected, MS, None);
+    let mut acts = host.close(3 * MS, "2", 0, Outcome::NoRoom, MS, None);
     acts.extend(host.advance(5500 * MS));
     assert!(sends(&acts).iter().all(|(_, w)| *w == first), "the other worker is in another zone");
     assert!(!acts.iter().any(|a| matches!(a, Action::Refuse { .. })), "{acts:?}");
@@ -464,7 +464,7 @@
             bad[class / 2] += u32::from(worker == 1);
             let fails = worker == 1 && class == 2;
             let (outcome, spent) =
-                if fails { (Outcome::Error, MS) } else { (Outcome::Served, 50 * MS * u64::from(worker)) };
+                if fails { (Outcome::Fault, MS) } else { (Outcome::Served, 50 * MS * u64::from(worker)) };
             host.close(now + spent, &id, 0, outcome, spent, None);
         }
     }
@@ -488,7 +488,7 @@
         while let Some((id, worker)) = queue.pop() {
             to_throttler[tenant] += u32::from(worker == 1);
             let throttled = worker == 1 && tenant == 0;
-            let outcome = if throttled { Outcome::Rejected } else { Outcome::Served };
+            let outcome = if throttled { Outcome::NoRoom } else { Outcome::Served };
             let spent = 50 * MS * u64::from(worker);
             queue.extend(sends(&host.close(now + MS, &id, attempt, outcome, spent, Some(IDLE))));
             attempt += 1;
@@ -575,7 +575,7 @@
             let (now, class) = (i * 20 * MS, if i < 40 { (i % 2 * 2) as usize } else { 1 });
             for (id, worker) in sends(&host.event(now, Event::Request(request(i, class, now + 5000 * MS)))) {
                 third += u32::from(class == 1 && worker == 1);
-                let outcome = if worker == 1 { Outcome::Error } else { Outcome::Served };
+                let outcome = if worker == 1 { Outcome::Fault } else { Outcome::Served };
                 host.close(now + MS, &id, 0, outcome, MS, None);
             }
         }
@@ -610,7 +610,7 @@
     }
     // Every further attempt too, and with all that are open to it gone it is held or ended.
     for i in 0..8 {
-        let acts = host.close(10 * MS, &i.to_string(), 0, Outcome::Rejected, MS, None);
+        let acts = host.close(10 * MS, &i.to_string(), 0, Outcome::NoRoom, MS, None);
         assert!(sends(&acts).iter().all(|s| s.1 == 1), "{acts:?}");
     }
     let mut gone = entry(1, 0, None);
@@ -704,7 +704,7 @@
         let now = 2000 * MS * (i + 1);
         for (id, worker) in sends(&host.event(now, Event::Request(request(i, 0, now + 5000 * MS)))) {
             to_dead += u32::from(worker == 1);
-            let outcome = if worker == 1 { Outcome::ConnectFailed } else { Outcome::Served };
+            let outcome = if worker == 1 { Outcome::NoRoute } else { Outcome::Served };
             host.close(now + MS, &id, 0, outcome, MS, None);
         }
     }
@@ -784,7 +784,7 @@
 #[test]
 fn what_is_given_up_is_answered_in_the_same_event() {
     // A once job that may have run can't be tried again: its answer does not wait.
-    for outcome in [Outcome::Error, Outcome::ConnectionLost, Outcome::TimedOut] {
+    for outcome in [Outcome::Fault, Outcome::Cut, Outcome::TimedOut] {
         let mut host = two_workers(settings());
         host.event(0, Event::Request(request(0, 2, 5000 * MS)));
         let acts = host.close(10 * MS, "0", 0, outcome, 10 * MS, None);
@@ -795,7 +795,7 @@
     s.allowed.max_attempts = 1;
     let mut host = two_workers(s);
     host.event(0, Event::Request(request(0, 0, 5000 * MS)));
-    let acts = host.close(10 * MS, "0", 0, Outcome::Error, 10 * MS, None);
+    let acts = host.close(10 * MS, "0", 0, Outcome::Fault, 10 * MS, None);
     assert!(
         acts.iter().any(|a| matches!(a, Action::Refuse { retry_after, .. } if *retry_after > 0)),
         "{acts:?}"
@@ -825,7 +825,7 @@
         let mut at = sends(&host.event(now, Event::Request(request(i, 0, now + 5000 * MS))));
         let mut attempts = 0;
         while let Some((id, _)) = at.first().cloned() {
-            at = sends(&host.close(now + MS, &id, attempts, Outcome::Error, MS, None));
+            at = sends(&host.close(now + MS, &id, attempts, Outcome::Fault, MS, None));
             attempts += 1;
         }
         assert!(attempts <= 3, "{attempts} attempts for a request that fails anywhere");
@@ -885,7 +885,7 @@
 fn a_stream_that_has_begun_is_not_called_back_after_a_further_attempt() {
     let mut host = two_workers(settings());
     host.event(0, Event::Request(request(0, 0, 5000 * MS)));
-    assert_eq!(sends(&host.close(MS, "0", 0, Outcome::ConnectFailed, MS, None)).len(), 1);
+    assert_eq!(sends(&host.close(MS, "0", 0, Outcome::NoRoute, MS, None)).len(), 1);
     let mut acts = host.event(2 * MS, Event::ResponseStarted(request(0, 0, 0).id, AttemptNo(1)));
     acts.extend(host.advance(5000 * MS));
     assert!(!acts.iter().any(|a| matches!(a, Action::Cancel(..))), "{acts:?}");
@@ -960,7 +960,7 @@
 /// Seen: a connection broke under a probe, and all jobs of a healthy worker were called back and lost.
 #[test]
 fn jobs_are_called_back_only_when_a_second_probe_fails_too() {
-    for outcome in [Outcome::ConnectionLost, Outcome::ConnectFailed, Outcome::TimedOut] {
+    for outcome in [Outcome::Cut, Outcome::NoRoute, Outcome::TimedOut] {
         let (mut host, worker) = probed();
         host.advance(200 * MS);
         let acts = probe_ends(&mut host, 201 * MS, worker, outcome);
@@ -973,7 +973,7 @@
 /// Seen: connections broke here and there, and within a second no worker was trusted any more.
 #[test]
 fn a_connection_that_breaks_does_not_bar_a_worker_that_answers_a_probe() {
-    for outcome in [Outcome::ConnectionLost, Outcome::ConnectFailed] {
+    for outcome in [Outcome::Cut, Outcome::NoRoute] {
         let (mut host, worker) = probed();
         let acts = host.close(MS, "0", 0, outcome, MS, None);
         assert_eq!(probes(&acts), vec![worker]);
@@ -992,8 +992,8 @@
 #[test]
 fn a_worker_that_answers_again_is_back_at_once() {
     let (mut host, worker) = probed();
-    host.close(MS, "0", 0, Outcome::ConnectFailed, MS, None);
-    (2..100).for_each(|i| drop(probe_ends(&mut host, i * MS, worker, Outcome::ConnectFailed)));
+    host.close(MS, "0", 0, Outcome::NoRoute, MS, None);
+    (2..100).for_each(|i| drop(probe_ends(&mut host, i * MS, worker, Outcome::NoRoute)));
     probe_ends(&mut host, 100 * MS, worker, Outcome::Served);
     let placed: Vec<u32> = (1..4)
         .flat_map(|i| sends(&host.event(101 * MS, Event::Request(request(i, 0, 5000 * MS)))))
--- a/tests/overrides.rs
+++ b/tests/overrides.rs
@@ -141,7 +141,7 @@
     let sent = sends(&host.event(MS, Event::Request(request(1, 2, LATE))));
     assert_eq!(sent.len(), 1);
     host.event(2 * MS, out_of_service(&[1, 2]));
-    let actions = host.close(3 * MS, "1", 0, Outcome::ConnectionLost, 2 * MS, None);
+    let actions = host.close(3 * MS, "1", 0, Outcome::Cut, 2 * MS, None);
     assert_eq!((refused(&actions).len(), host.finals("1")), (0, 1));
 }
 
@@ -220,7 +220,7 @@
         let first = sends(&host.event(now + MS, Event::Request(request(now, class, now + LATE))));
         assert_eq!(first, [(now.to_string(), 1)]);
         host.event(now + 2 * MS, pins(&[(class, None, 2)]));
-        sends(&host.close(now + 3 * MS, &now.to_string(), 0, Outcome::ConnectionLost, MS, None))
+        sends(&host.close(now + 3 * MS, &now.to_string(), 0, Outcome::Cut, MS, None))
     };
     assert_eq!(sent(&mut host, 1000 * MS, 2), [], "once: no repeat, pinned or not");
     let again = sent(&mut host, 2000 * MS, 1);
--- a/tests/reports.rs
+++ b/tests/reports.rs
@@ -175,11 +175,8 @@
 fn a_dead_worker_is_not_looked_at_by_every_job_that_waits() {
     let (mut host, now) = taught([4.0, 4.0], 3);
     // Worker 2 dies: it is found out, and probes fail.
-    let dead = |worker| Event::ProbeEnded {
-        worker: WorkerId(worker),
-        outcome: Outcome::ConnectFailed,
-        report: None,
-    };
+    let dead =
+        |worker| Event::ProbeEnded { worker: WorkerId(worker), outcome: Outcome::NoRoute, report: None };
     host.event(now, dead(2));
     host.event(now + MS, dead(2));
     for i in 0..9 {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -217,7 +217,7 @@
         while !self.probing.is_empty() && self.rng.bool() {
             let k = self.rng.usize(0..self.probing.len());
             let worker = WorkerId(self.probing.swap_remove(k));
-            let outcome = if self.rng.u8(0..4) > 0 { Outcome::Served } else { Outcome::ConnectFailed };
+            let outcome = if self.rng.u8(0..4) > 0 { Outcome::Served } else { Outcome::NoRoute };
             let held = Some(f64::from(self.rng.u32(0..3)));
             let report = Some(Report { free_slots: held, queued: held, in_flight: held });
             self.feed(Event::ProbeEnded {
@@ -247,11 +247,11 @@
                     let all = [
                         Outcome::Served,
                         Outcome::Served,
-                        Outcome::Error,
-                        Outcome::Rejected,
+                        Outcome::Fault,
+                        Outcome::NoRoom,
                         Outcome::TimedOut,
-                        Outcome::ConnectFailed,
-                        Outcome::ConnectionLost,
+                        Outcome::NoRoute,
+                        Outcome::Cut,
                         Outcome::Cancelled,
                     ];
                     let outcome = all[self.rng.usize(0..all.len())];
