--- a/dispatcher/src/targets/upstream.rs
+++ b/dispatcher/src/targets/upstream.rs
@@ -470,13 +470,13 @@
     fn end(&self, ticket: Ticket, ending: Ending) {
         self.0.out.borrow_mut().remove(&ticket);
         let outcome = match (ending.verdict, ending.blameless) {
-            (AttemptResult::NotExecuted, true) => Outcome::NotSent,
-            (AttemptResult::NotExecuted, false) => Outcome::ConnectFailed,
-            (AttemptResult::Rejected, _) => Outcome::Rejected,
-            (AttemptResult::Failed, _) => Outcome::Error,
+            (AttemptResult::NotExecuted, true) => Outcome::Moot,
+            (AttemptResult::NotExecuted, false) => Outcome::NoRoute,
+            (AttemptResult::Rejected, _) => Outcome::NoRoom,
+            (AttemptResult::Failed, _) => Outcome::Fault,
             (AttemptResult::GivenUp | AttemptResult::Truncated | AttemptResult::ConnectionLost, true)
             | (AttemptResult::GivenUp, _) => Outcome::Cancelled,
-            (AttemptResult::ConnectionLost | AttemptResult::Truncated, false) => Outcome::ConnectionLost,
+            (AttemptResult::ConnectionLost | AttemptResult::Truncated, false) => Outcome::Cut,
             (AttemptResult::TimedOut, _) => Outcome::TimedOut,
             (AttemptResult::Completed | AttemptResult::Committed, _) => Outcome::Served,
         };
@@ -532,7 +532,7 @@
                     Ok(Ok(_)) => break Outcome::Served,
                     // A probe that this machine could not make has no result.
                     Ok(Err(e)) if is_local(&e) => tokio::time::sleep(TRY_AGAIN_AFTER * 2).await,
-                    Ok(Err(_)) | Err(_) => break Outcome::ConnectFailed,
+                    Ok(Err(_)) | Err(_) => break Outcome::NoRoute,
                 }
             };
             this.0.flows.probed(target, outcome, None);
