--- a/dispatcher/src/admin/calls.rs
+++ b/dispatcher/src/admin/calls.rs
@@ -7,7 +7,7 @@
 use crate::body::Budgets;
 use crate::facade::Stage;
 use crate::fleet::api::ReplaceOrder;
-use crate::flow::{Flows, LedgerReport};
+use crate::flow::{Flows, PermitStatsReport};
 use crate::listeners::http::Phase;
 use crate::overrides::{now, Overrides};
 use crate::siblings::Siblings;
@@ -120,7 +120,7 @@
 
     fn workers(&self) -> Workers {
         let forces = self.overrides.in_force();
-        let workers = self.flows.targets().into_iter().map(|seen| {
+        let workers = self.flows.listed_targets().into_iter().map(|seen| {
             let weight = forces.weights.iter().find(|w| *w.0 == *seen.name).map_or(1.0, |w| w.1);
             let pins = forces.pins.iter().filter(|p| *p.worker == *seen.name);
             WorkerLine {
@@ -128,7 +128,7 @@
                 zone: seen.zone.to_string(),
                 kind: seen.kind.to_string(),
                 state: if seen.stage == Stage::Ready { "up" } else { "draining" }.into(),
-                forwards: seen.out,
+                forwards: seen.in_flight,
                 weight,
                 out_of_service: forces.out.iter().any(|w| **w == *seen.name),
                 pinned: pins
@@ -148,7 +148,7 @@
     }
 
     fn counts(&self) -> FlowCounts {
-        let counted = self.flows.counted(self.classes.len());
+        let totals = self.flows.flow_totals(self.classes.len());
         let peers = self.peers.as_ref().map(|peers| {
             let Counts { sent, taken, learnt, malformed, unauthentic, replayed, strangers, refused } =
                 peers.counts();
@@ -158,12 +158,12 @@
         FlowCounts {
             streams,
             stream_bytes,
-            cut_short: counted.cut_short,
+            cut_short: totals.cut_short,
             dispatcher: self.dispatcher.clone(),
-            open: counted.open,
-            forwards: counted.out,
-            bytes: counted.bytes,
-            classes: self.classes.iter().cloned().zip(counted.classes).collect(),
+            open: totals.open,
+            forwards: totals.in_flight,
+            bytes: totals.bytes,
+            classes: self.classes.iter().cloned().zip(totals.classes).collect(),
             list: self.list(),
             permits: self.permits(),
             job_updates: self.targets.update_counts(),
@@ -185,7 +185,7 @@
     }
 
     fn permits(&self) -> PermitCounts {
-        let LedgerReport { sent, sent_on_invalid_list, refused, violations } = self.flows.ledger();
+        let PermitStatsReport { sent, sent_on_invalid_list, refused, violations } = self.flows.permit_stats();
         PermitCounts { sent, sent_on_invalid_list, refused, violations }
     }
 
--- a/dispatcher/src/fleet/mod.rs
+++ b/dispatcher/src/fleet/mod.rs
@@ -158,7 +158,7 @@
     if config.one_prober {
         let prober = Prober::new(handle.clone(), flows.clone());
         *inner.prober.borrow_mut() = Some(prober.clone());
-        flows.probing(prober);
+        flows.set_prober(prober);
     }
     if let Some(mut written) = written {
         let inner = inner.clone();
--- a/dispatcher/src/fleet/prober.rs
+++ b/dispatcher/src/fleet/prober.rs
@@ -23,7 +23,7 @@
 
 /// Who sees to probes in place of their carriers.
 pub trait Probing {
-    /// Whether a probe is seen to: `Flows::probed` is called for it in the end. If not, the caller makes it, and
+    /// Whether a probe is seen to: `Flows::probe_ended` is called for it in the end. If not, the caller makes it, and
     /// for the fleet if it is given a fenced operation.
     fn takes(&self, target: TargetId, name: &str, zone: &str) -> Result<(), Option<FencedOperation>>;
     /// A fenced operation could not be done: this process may not act for the fleet any longer.
@@ -87,7 +87,7 @@
 
     /// Looks that others have waited for too long are made by this process, at its share of the rate.
     pub fn tick(&self) {
-        for seen in self.flows.targets() {
+        for seen in self.flows.listed_targets() {
             let _ = self.thing(&seen.zone);
         }
         let now = Instant::now();
@@ -140,16 +140,16 @@
         }
         let Some(waiting) = self.waiting.borrow_mut().remove(&found.name) else { return };
         let load = found.load.map(|[free, waiting, held]| Load { free, waiting, held });
-        self.flows.probed_by_another(waiting.target, outcome, load);
+        self.flows.shared_probe_ended(waiting.target, outcome, load);
     }
 
     /// Somebody would have this process look at a target of a zone that it owns.
     pub fn asked(&self, request: &HealthCheckRequest) {
         let Ok(name) = std::str::from_utf8(&request.words) else { return };
         let Some(operation) = self.operation(&request.thing) else { return };
-        let seen = self.flows.targets().into_iter().find(|seen| *seen.name == *name);
+        let seen = self.flows.listed_targets().into_iter().find(|seen| *seen.name == *name);
         let of_it = seen.filter(|seen| self.thing(&seen.zone).as_ref() == Some(&request.thing));
-        let found = of_it.and_then(|seen| Some((self.flows.find(&seen.name)?, seen.zone)));
+        let found = of_it.and_then(|seen| Some((self.flows.find_target(&seen.name)?, seen.zone)));
         let Some((target, zone)) = found else { return };
         if self.is_fresh(name, &zone, target) {
             return;
--- a/dispatcher/src/flow/contract.rs
+++ b/dispatcher/src/flow/contract.rs
@@ -21,25 +21,25 @@
     /// What it concerns.
     pub key: Option<String>,
     /// By this targets know a repeat.
-    pub idempotency: Option<String>,
+    pub idempotency_key: Option<String>,
     pub slots: f64,
     /// Its running time as the client guesses it.
-    pub work: Option<Duration>,
+    pub expected_run_time: Option<Duration>,
     /// What is asked for, where the wire has such a thing.
     pub path: String,
-    /// What a front says to a carrier of the same wire. The core never looks at it.
-    pub detail: Option<Rc<dyn Any>>,
+    /// What a front says to a transport of the same wire. The core never looks at it.
+    pub protocol_data: Option<Rc<dyn Any>>,
     pub body: Body,
 }
 
 /// An answer that passes as it comes: its head, which a front of the same wire can read, and its body. Whoever
 /// reads the body to its end knows whether it was whole.
-pub struct Passing {
+pub struct StreamedAnswer {
     pub head: Box<dyn Any>,
     pub body: Reader,
 }
 
-impl fmt::Debug for Passing {
+impl fmt::Debug for StreamedAnswer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Passing")
     }
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub enum Answer {
     /// A target's answer, as it comes.
-    Passing(Passing),
+    Streamed(StreamedAnswer),
     /// A target's result.
     Served(Bytes),
     /// Not done, and trying again is harmless, after that time.
@@ -65,7 +65,7 @@
 
 /// Names one forward.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Ticket {
+pub struct ForwardId {
     pub flow: FlowId,
     pub number: u32,
 }
@@ -73,20 +73,20 @@
 /// One attempt, as a target carries it.
 #[derive(Clone, Debug)]
 pub struct Forward {
-    pub ticket: Ticket,
+    pub ticket: ForwardId,
     pub target: TargetId,
-    pub name: Rc<str>,
+    pub target_name: Rc<str>,
     pub addr: SocketAddr,
-    pub carrier: usize,
+    pub transport: usize,
     /// What the list said of the target when this was decided.
     pub stage: Stage,
     pub job: Rc<Job>,
     /// When the dispatcher stops waiting.
-    pub until: Instant,
+    pub deadline: Instant,
     /// Until when its first byte may go out, where an earlier forward may have run: the workers' memory of that one ends.
     pub start_by: Option<Instant>,
     /// An earlier forward of the flow ended at this target: what is said again of that one looks like this one's.
-    pub again: bool,
+    pub repeats_target: bool,
 }
 
 /// The workers' side: one implementation for each protocol that workers speak.
@@ -100,17 +100,17 @@
     /// `Flows::lapsed` is called.
     fn probe(&self, target: TargetId, addr: SocketAddr, operation: Option<FencedOperation>);
     /// The worker drains, or has left the list.
-    fn closed(&self, _target: TargetId) {}
+    fn target_closed(&self, _target: TargetId) {}
 }
 
 /// Who is told of the forwards that are out.
 pub trait ForwardObserver {
     /// So many forwards are out at a target now; `None`: it has just refused one, or was not reached.
-    fn out(&self, name: &str, zone: &str, out: Option<usize>);
+    fn in_flight_changed(&self, name: &str, zone: &str, out: Option<usize>);
     /// The list names a target.
-    fn listed(&self, target: TargetId, name: &str, zone: &str);
+    fn target_listed(&self, target: TargetId, name: &str, zone: &str);
     /// A flow has come. True: it waits for what peers have out, until `Flows::place`.
-    fn ask(&self, flow: FlowId) -> bool;
+    fn flow_opened(&self, flow: FlowId) -> bool;
 }
 
 /// Where operators' words are kept that reach this dispatcher by whichever of its processes.
@@ -122,38 +122,38 @@
 
 /// What peers tell of a target: their forwards there, and whether it has just refused one.
 #[derive(Clone, Copy, Debug)]
-pub struct Others {
+pub struct PeerLoad {
     pub target: TargetId,
-    pub out: u32,
+    pub in_flight: u32,
     pub refused: bool,
 }
 
 /// One line of the list, with what only sockets and people need of it.
-pub struct Entry {
+pub struct ListEntry {
     pub listed: Listed,
-    pub place: Place,
+    pub place: Endpoint,
     pub zone: Rc<str>,
     pub kind: Rc<str>,
 }
 
 /// A target as operators see it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct TargetStatus {
     pub name: Rc<str>,
     pub addr: SocketAddr,
     pub stage: Stage,
     pub zone: Rc<str>,
     pub kind: Rc<str>,
     /// Forwards that are out there.
-    pub out: usize,
+    pub in_flight: usize,
 }
 
 /// Flows as operators see them.
 #[derive(Clone, Debug, Default)]
-pub struct Counted {
+pub struct FlowTotals {
     /// Owed an answer; with a forward out; bytes of bodies.
     pub open: usize,
-    pub out: usize,
+    pub in_flight: usize,
     pub bytes: usize,
     /// Answers that broke off while they passed, since the start.
     pub cut_short: u64,
@@ -163,9 +163,9 @@
 
 /// Where a target is reached, and who carries forwards there, by position among those plugged in.
 #[derive(Clone, Copy, Debug)]
-pub struct Place {
+pub struct Endpoint {
     pub addr: SocketAddr,
-    pub carrier: usize,
+    pub transport: usize,
 }
 
 /// How much the core takes on.
@@ -180,7 +180,7 @@
 
 /// Why a flow was not taken.
 #[derive(Debug, PartialEq)]
-pub enum NotTaken {
+pub enum OpenError {
     /// The reference belongs to a flow that is still open.
     Duplicate,
     /// The bounds are reached.
--- a/dispatcher/src/flow/core.rs
+++ b/dispatcher/src/flow/core.rs
@@ -1,8 +1,8 @@
 //! The state behind [`super::Flows`]: open flows, their deadlines and what is out. Every change comes here, and what it
 //! makes necessary outside goes back as effects.
 
-use super::contract::{Answer, Bounds, Forward, Job, Listener, Place, Ticket};
-use super::ledger::Ledger;
+use super::contract::{Answer, Bounds, Endpoint, Forward, ForwardId, Job, Listener};
+use super::permit_stats::PermitStats;
 use super::OVERDUE;
 use crate::facade::{Ask, Decision, Facade, FlowId, Load, News, Outcome, Stage, TargetId};
 use crate::list::monitor::ListMonitor;
@@ -44,7 +44,7 @@
 #[derive(Clone)]
 pub(super) struct Known {
     pub(super) name: Rc<str>,
-    pub(super) place: Place,
+    pub(super) place: Endpoint,
     pub(super) stage: Stage,
     /// Since when the list says that it drains or is gone.
     pub(super) unready_since: Option<Instant>,
@@ -60,7 +60,7 @@
     Probe(TargetId),
     Closed(TargetId, usize),
     /// A forward that can't be made, or must not be.
-    NotMade(Ticket, Outcome),
+    NotMade(ForwardId, Outcome),
     ProbeFailed(TargetId),
 }
 
@@ -81,13 +81,13 @@
     pub(super) list: Rc<ListMonitor>,
     /// Whether the module takes the list for valid.
     pub(super) list_heeded: bool,
-    pub(super) ledger: Ledger,
+    pub(super) permit_stats: PermitStats,
     /// Workers that operators have taken out, and since when this process knows.
     pub(super) out_of_service: FxHashMap<TargetId, Instant>,
 }
 
 impl Core {
-    pub(super) fn is_out(&self, ticket: Ticket) -> bool {
+    pub(super) fn is_out(&self, ticket: ForwardId) -> bool {
         let out = self.flows.get(&ticket.flow).and_then(|f| f.out.as_ref());
         out.is_some_and(|o| o.forward.ticket == ticket)
     }
@@ -98,7 +98,7 @@
         for decision in decisions {
             match decision {
                 Decision::Forward { flow, number, target } => {
-                    effects.extend(self.forward(Ticket { flow, number }, target));
+                    effects.extend(self.forward(ForwardId { flow, number }, target));
                 }
                 Decision::Wait(_) => {}
                 Decision::FixedResponse { flow: id, retry_after } => {
@@ -111,7 +111,7 @@
                     self.drop_if_over(id);
                 }
                 Decision::Cancel { flow, number } => {
-                    if self.is_out(Ticket { flow, number }) {
+                    if self.is_out(ForwardId { flow, number }) {
                         effects.extend(self.cancel(flow));
                     }
                 }
@@ -125,7 +125,7 @@
         effects
     }
 
-    pub(super) fn forward(&mut self, ticket: Ticket, target: TargetId) -> Option<Effect> {
+    pub(super) fn forward(&mut self, ticket: ForwardId, target: TargetId) -> Option<Effect> {
         let known = self.targets.get(&target).cloned();
         let flow = self.flows.get_mut(&ticket.flow)?;
         // Whatever was decided.
@@ -138,14 +138,14 @@
             },
             is_out: flow.out.is_some(),
         };
-        let permit = self.ledger.retry(ticket, facts.permit());
+        let permit = self.permit_stats.retry(ticket, facts.permit());
         if flow.out.is_some() {
             return None;
         }
         let is_known = known.is_some();
         let known = known.unwrap_or_else(|| Known {
             name: "?".into(),
-            place: Place { addr: ([127, 0, 0, 1], 0).into(), carrier: 0 },
+            place: Endpoint { addr: ([127, 0, 0, 1], 0).into(), transport: 0 },
             stage: Stage::Gone,
             unready_since: None,
             zone: "".into(),
@@ -154,14 +154,14 @@
         let forward = Forward {
             ticket,
             target,
-            name: known.name,
+            target_name: known.name,
             addr: known.place.addr,
-            carrier: known.place.carrier,
+            transport: known.place.transport,
             stage: known.stage,
             job: flow.job.clone(),
-            until: flow.until,
+            deadline: flow.until,
             start_by: flow.start_by,
-            again: flow.before.contains(&target),
+            repeats_target: flow.before.contains(&target),
         };
         flow.out =
             Some(Out { forward: forward.clone(), sent: Instant::now(), cancelling: false, written: false });
@@ -183,7 +183,7 @@
 
     pub(super) fn ended(
         &mut self,
-        ticket: Ticket,
+        ticket: ForwardId,
         outcome: Outcome,
         result: Option<Bytes>,
         load: Option<Load>,
@@ -220,11 +220,11 @@
         let over = over || flow.listener.is_none();
         // A slow client must not make its target look slow.
         let (number, spent) = (ticket.number, flow.bound.unwrap_or_else(|| out.sent.elapsed()));
-        debug!(flow = ticket.flow.0, forward = number, target = %out.forward.name, class = flow.job.class,
+        debug!(flow = ticket.flow.0, forward = number, target = %out.forward.target_name, class = flow.job.class,
             outcome = ?outcome, spent_ms = spent.as_millis() as u64, "forward ended");
         if flow.bound.is_some() && outcome != Outcome::Served {
             self.cut_short += 1;
-            warn!(flow = ticket.flow.0, target = %out.forward.name, class = flow.job.class,
+            warn!(flow = ticket.flow.0, target = %out.forward.target_name, class = flow.job.class,
                 outcome = ?outcome, "an answer was cut short");
         }
         let news = News::Ended { flow: ticket.flow, number, outcome, over, spent, load };
--- a/dispatcher/src/flow/mod.rs
+++ b/dispatcher/src/flow/mod.rs
@@ -7,15 +7,15 @@
 
 mod contract;
 mod core;
-mod ledger;
+mod permit_stats;
 mod permits;
 mod targets;
 
 pub use contract::*;
-pub use ledger::LedgerReport;
+pub use permit_stats::PermitStatsReport;
 
 use self::core::{Core, Effect, Flow};
-use self::ledger::Ledger;
+use self::permit_stats::PermitStats;
 use crate::facade::{Ask, Facade, FlowId, Load, News, Outcome};
 use crate::fleet::prober::Probing;
 use crate::list::monitor::ListMonitor;
@@ -64,7 +64,7 @@
             bounds,
             list,
             list_heeded: true,
-            ledger: Ledger::default(),
+            permit_stats: PermitStats::default(),
             out_of_service: FxHashMap::default(),
         };
         Flows {
@@ -80,7 +80,7 @@
     }
 
     /// Adds one who carries forwards; its position.
-    pub fn plug(&self, target: Rc<dyn Target>) -> usize {
+    pub fn add_target(&self, target: Rc<dyn Target>) -> usize {
         let mut targets = self.targets.borrow_mut();
         targets.push(target);
         targets.len() - 1
@@ -89,12 +89,12 @@
     /// Has one told of the forwards that are out, and of the targets that are listed.
     pub fn observe_forwards(&self, observer: Rc<dyn ForwardObserver>) {
         let core = self.core.borrow();
-        core.targets.iter().for_each(|(id, known)| observer.listed(*id, &known.name, &known.zone));
+        core.targets.iter().for_each(|(id, known)| observer.target_listed(*id, &known.name, &known.zone));
         *self.observer.borrow_mut() = Some(observer);
     }
 
     /// Whether flows are held: nothing of theirs is out, and they wait for no picture.
-    pub fn holds(&self) -> bool {
+    pub fn has_held_flows(&self) -> bool {
         let core = self.core.borrow();
         core.flows.values().any(|f| f.listener.is_some() && f.out.is_none() && f.ask.is_none())
     }
@@ -106,16 +106,16 @@
         budget: Duration,
         _permit: StartPermit,
         listener: impl FnOnce(FlowId) -> Box<dyn Listener>,
-    ) -> Result<FlowId, NotTaken> {
+    ) -> Result<FlowId, OpenError> {
         let until = Instant::now() + budget.saturating_sub(ANSWER_MARGIN);
         let id = {
             let core = &mut *self.core.borrow_mut();
             let size = job.body.len();
             if core.flows.len() >= core.bounds.flows || core.bytes + size > core.bounds.bytes {
-                return Err(NotTaken::Full);
+                return Err(OpenError::Full);
             }
             if !core.references.insert(job.reference.clone()) {
-                return Err(NotTaken::Duplicate);
+                return Err(OpenError::Duplicate);
             }
             core.next += 1;
             core.bytes += size;
@@ -125,7 +125,7 @@
                 tenant: job.tenant,
                 key: job.key.clone(),
                 slots: job.slots,
-                work: job.work,
+                work: job.expected_run_time,
                 deadline: until,
             };
             core.deadlines.insert((until, id));
@@ -149,8 +149,8 @@
             id
         };
         let observer = self.observer.borrow().clone();
-        if !observer.is_some_and(|observer| observer.ask(id)) {
-            self.place(id);
+        if !observer.is_some_and(|observer| observer.flow_opened(id)) {
+            self.dispatch(id);
         }
         // Until it is placed only its deadline is to be heeded.
         self.timer.notify_one();
@@ -158,7 +158,7 @@
     }
 
     /// Has it decided where a flow goes, unless that was done or the client has left.
-    pub fn place(&self, id: FlowId) {
+    pub fn dispatch(&self, id: FlowId) {
         let effects = {
             let core = &mut *self.core.borrow_mut();
             let ask = core.flows.get_mut(&id).filter(|f| f.listener.is_some()).and_then(|f| f.ask.take());
@@ -170,7 +170,7 @@
     }
 
     /// The client has gone: it is owed nothing more, and its forward is given up. False: no such open flow.
-    pub fn leave(&self, id: FlowId) -> bool {
+    pub fn client_left(&self, id: FlowId) -> bool {
         let effects = {
             let core = &mut *self.core.borrow_mut();
             let Some(flow) = core.flows.get_mut(&id).filter(|f| f.listener.is_some()) else { return false };
@@ -187,19 +187,19 @@
     }
 
     /// A target tells that the job has begun.
-    pub fn begun(&self, ticket: Ticket) {
+    pub fn job_started(&self, ticket: ForwardId) {
         debug!(flow = ticket.flow.0, forward = ticket.number, "forward began");
         self.news(ticket, News::Begun(ticket.flow, ticket.number));
     }
 
     /// A target tells how far the job has got.
-    pub fn progress(&self, ticket: Ticket, share: f64) {
+    pub fn job_progress(&self, ticket: ForwardId, share: f64) {
         self.news(ticket, News::Progress(ticket.flow, ticket.number, share));
     }
 
     /// The head of an answer has come, and the answer passes from here on: the flow has its one answer, and is
     /// bound to this forward until `ended` is called for it. False: nobody wants it.
-    pub fn passes(&self, ticket: Ticket, passing: Passing) -> bool {
+    pub fn stream_answer(&self, ticket: ForwardId, passing: StreamedAnswer) -> bool {
         let effects = {
             let core = &mut *self.core.borrow_mut();
             if !core.is_out(ticket) {
@@ -208,7 +208,7 @@
             let Some(flow) = core.flows.get_mut(&ticket.flow) else { return false };
             let Some(listener) = flow.listener.take() else { return false };
             flow.bound = flow.out.as_ref().map(|out| out.sent.elapsed());
-            let mut effects = vec![Effect::Answer(listener, Answer::Passing(passing))];
+            let mut effects = vec![Effect::Answer(listener, Answer::Streamed(passing))];
             let decisions = core.facade.report(News::Passes(ticket.flow, ticket.number));
             effects.extend(core.effects(decisions, &self.watch));
             effects
@@ -218,7 +218,7 @@
     }
 
     /// Answers every flow that is owed an answer, since this process may end at any moment from now on; how many those are.
-    pub fn give_up_all(&self, retry_after: Duration) -> usize {
+    pub fn answer_all_pending(&self, retry_after: Duration) -> usize {
         let (count, effects) = {
             let core = &mut *self.core.borrow_mut();
             let owed = core.flows.iter().filter(|(_, flow)| flow.listener.is_some());
@@ -231,7 +231,7 @@
         count
     }
 
-    fn news(&self, ticket: Ticket, news: News) {
+    fn news(&self, ticket: ForwardId, news: News) {
         let effects = {
             let core = &mut *self.core.borrow_mut();
             if !core.is_out(ticket) {
@@ -244,12 +244,18 @@
     }
 
     /// A forward has ended. Said again, or of one that ended otherwise before, it changes nothing.
-    pub fn ended(&self, ticket: Ticket, outcome: Outcome, result: Option<Bytes>) {
-        self.ended_with(ticket, outcome, result, None);
+    pub fn forward_ended(&self, ticket: ForwardId, outcome: Outcome, result: Option<Bytes>) {
+        self.forward_ended_with_load(ticket, outcome, result, None);
     }
 
     /// The same, with the target's account of its load.
-    pub fn ended_with(&self, ticket: Ticket, outcome: Outcome, result: Option<Bytes>, load: Option<Load>) {
+    pub fn forward_ended_with_load(
+        &self,
+        ticket: ForwardId,
+        outcome: Outcome,
+        result: Option<Bytes>,
+        load: Option<Load>,
+    ) {
         let effects = {
             let core = &mut *self.core.borrow_mut();
             core.ended(ticket, outcome, result, load, &self.watch)
@@ -267,51 +273,51 @@
     }
 
     /// Counts the open flows, of so many classes.
-    pub fn counted(&self, classes: usize) -> Counted {
+    pub fn flow_totals(&self, classes: usize) -> FlowTotals {
         let core = self.core.borrow();
-        let mut counted = Counted {
+        let mut totals = FlowTotals {
             bytes: core.bytes,
             cut_short: core.cut_short,
             classes: vec![0; classes],
-            ..Counted::default()
+            ..FlowTotals::default()
         };
         for flow in core.flows.values() {
-            counted.open += usize::from(flow.listener.is_some());
-            counted.out += usize::from(flow.out.is_some());
-            if let Some(count) = counted.classes.get_mut(flow.job.class) {
+            totals.open += usize::from(flow.listener.is_some());
+            totals.in_flight += usize::from(flow.out.is_some());
+            if let Some(count) = totals.classes.get_mut(flow.job.class) {
                 *count += usize::from(flow.listener.is_some());
             }
         }
-        counted
+        totals
     }
 
     /// Flows that are owed an answer.
-    pub fn owed(&self) -> usize {
+    pub fn unanswered_flows(&self) -> usize {
         self.core.borrow().flows.values().filter(|f| f.listener.is_some()).count()
     }
 
     /// Flows with an attempt out.
-    pub fn attempts_out(&self) -> usize {
+    pub fn forwards_in_flight(&self) -> usize {
         self.core.borrow().flows.values().filter(|f| f.out.is_some()).count()
     }
 
     /// Flows whose answer is passing.
-    pub fn passing(&self) -> usize {
+    pub fn streaming_answers(&self) -> usize {
         self.core.borrow().flows.values().filter(|f| f.bound.is_some()).count()
     }
 
     /// Resolves when somebody should look at `owed` again.
-    pub async fn settled(&self) {
+    pub async fn unanswered_changed(&self) {
         self.settled.notified().await;
     }
 
     /// Resolves when the module wants the list watched.
-    pub async fn watch_wanted(&self) {
+    pub async fn watch_requested(&self) {
         self.watch.notified().await;
     }
 
     /// Runs the clock: the module's ticks, and the flows' deadlines. Never ends.
-    pub async fn run_clock(&self) {
+    pub async fn run_timers(&self) {
         loop {
             let due = {
                 let core = self.core.borrow();
@@ -350,7 +356,7 @@
             told.filter_map(place).collect::<Vec<_>>()
         };
         if let Some(observer) = self.observer.borrow().as_ref() {
-            changed.iter().for_each(|(name, zone, out)| observer.out(name, zone, *out));
+            changed.iter().for_each(|(name, zone, out)| observer.in_flight_changed(name, zone, *out));
         }
         if effects.is_empty() {
             return;
@@ -362,12 +368,12 @@
                     listener.answer(answer);
                     self.settled.notify_one();
                 }
-                Effect::Forward(permit, forward) => targets[forward.carrier].forward(permit, forward),
-                Effect::Cancel(forward) => targets[forward.carrier].cancel(forward),
-                Effect::Probe(id) => self.see_to_probe(id),
-                Effect::Closed(id, carrier) => targets[carrier].closed(id),
-                Effect::NotMade(ticket, outcome) => self.ended(ticket, outcome, None),
-                Effect::ProbeFailed(id) => self.probed(id, Outcome::NoRoute, None),
+                Effect::Forward(permit, forward) => targets[forward.transport].forward(permit, forward),
+                Effect::Cancel(forward) => targets[forward.transport].cancel(forward),
+                Effect::Probe(id) => self.request_probe(id),
+                Effect::Closed(id, transport) => targets[transport].target_closed(id),
+                Effect::NotMade(ticket, outcome) => self.forward_ended(ticket, outcome, None),
+                Effect::ProbeFailed(id) => self.probe_ended(id, Outcome::NoRoute, None),
             }
         }
         self.settled.notify_one();
--- a/dispatcher/src/flow/ledger.rs
+++ b/dispatcher/src/flow/permit_stats.rs
@@ -1,6 +1,6 @@
 //! Permits that were refused, and rules that were broken all the same, by reason. Each is logged with its ids.
 
-use super::contract::Ticket;
+use super::contract::ForwardId;
 use enum_map::EnumMap;
 use lineroute_permit::{
     ClosePermit, CloseRefusal, RetryPermit, RetryRefusal, SendPermit, SendRefusal, StartPermit, StartRefusal,
@@ -11,7 +11,7 @@
 
 /// Counts since the start.
 #[derive(Clone, Default)]
-pub struct Ledger {
+pub struct PermitStats {
     sent: u64,
     sent_on_invalid_list: u64,
     send: EnumMap<SendRefusal, u64>,
@@ -23,7 +23,7 @@
 
 /// The ledger as operators see it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct LedgerReport {
+pub struct PermitStatsReport {
     /// First bytes that were written.
     pub sent: u64,
     /// Those of them by a list that was not confirmed, or too long ago.
@@ -34,11 +34,11 @@
     pub violations: BTreeMap<String, u64>,
 }
 
-impl Ledger {
+impl PermitStats {
     /// Takes note of what became of the permit for a first byte.
     pub fn send(
         &mut self,
-        ticket: Ticket,
+        ticket: ForwardId,
         target: &str,
         permit: Result<SendPermit, SendRefusal>,
     ) -> Result<SendPermit, SendRefusal> {
@@ -51,7 +51,7 @@
     /// The same of one for an attempt. The decisions should not have asked for it.
     pub fn retry(
         &mut self,
-        ticket: Ticket,
+        ticket: ForwardId,
         permit: Result<RetryPermit, RetryRefusal>,
     ) -> Result<RetryPermit, RetryRefusal> {
         permit.inspect_err(|reason| {
@@ -90,7 +90,7 @@
     ///
     /// # Panics
     /// In builds with debug assertions, so that no test passes over it.
-    pub fn violation(&mut self, ticket: Option<Ticket>, target: Option<&str>, violation: Violation) {
+    pub fn violation(&mut self, ticket: Option<ForwardId>, target: Option<&str>, violation: Violation) {
         self.violations[violation] += 1;
         let (flow, forward) = (ticket.map(|t| t.flow.0), ticket.map(|t| t.number));
         error!(?violation, flow, forward, target, "rule broken");
@@ -98,7 +98,7 @@
     }
 
     /// What operators are shown: reasons that came up.
-    pub fn report(&self) -> LedgerReport {
+    pub fn report(&self) -> PermitStatsReport {
         let mut refused = BTreeMap::new();
         let mut add = |act: &str, reason: String, count: u64| {
             if count > 0 {
@@ -111,6 +111,11 @@
         self.start.iter().for_each(|(reason, count)| add("start", format!("{reason:?}"), *count));
         let broken = self.violations.iter().filter(|(_, count)| **count > 0);
         let violations = broken.map(|(rule, count)| (format!("{rule:?}"), *count)).collect();
-        LedgerReport { sent: self.sent, sent_on_invalid_list: self.sent_on_invalid_list, refused, violations }
+        PermitStatsReport {
+            sent: self.sent,
+            sent_on_invalid_list: self.sent_on_invalid_list,
+            refused,
+            violations,
+        }
     }
 }
--- a/dispatcher/src/flow/permits.rs
+++ b/dispatcher/src/flow/permits.rs
@@ -1,9 +1,9 @@
 //! Where the core takes its facts together for the permits, and for the audit behind each first byte. What may be done is
 //! decided in `lineroute_permit` alone.
 
-use super::contract::{Forward, Ticket};
+use super::contract::{Forward, ForwardId};
 use super::core::Core;
-use super::ledger::LedgerReport;
+use super::permit_stats::PermitStatsReport;
 use super::Flows;
 use crate::facade::{News, Stage};
 use crate::list::monitor::ListReport;
@@ -54,7 +54,7 @@
             },
             attempt: if is_out { AttemptState::Out } else { AttemptState::Over },
             client: if waits { ClientState::Waiting } else { ClientState::Gone },
-            deadline: forward.until,
+            deadline: forward.deadline,
             repeat_until: forward.start_by,
             passed_on,
         }
@@ -65,11 +65,11 @@
         let unready = self.targets.get(&forward.target).and_then(|known| known.unready_since);
         SendAudit {
             now,
-            list_valid: self.list.was_valid_lately(),
+            list_valid: self.list.was_recently_valid(),
             unready: unready.zip(self.bounds.drain_grace),
             out_of_service: self.out_of_service.get(&forward.target).copied(),
             client_gone: flow.and_then(|f| f.left_at),
-            deadline: forward.until,
+            deadline: forward.deadline,
             repeat_until: forward.start_by,
             passed_on,
             out: usize::from(flow.is_some_and(|f| f.out.is_some())),
@@ -90,17 +90,17 @@
         let permit = {
             let core = &mut *self.core.borrow_mut();
             let permit = core.send_facts(forward, passed_on, Instant::now()).permit();
-            core.ledger.send(forward.ticket, &forward.name, permit)
+            core.permit_stats.send(forward.ticket, &forward.target_name, permit)
         };
         if matches!(permit, Err(SendRefusal::ListUnconfirmed | SendRefusal::ListExpired)) {
             // Before the refusal becomes an outcome, and the module decides anew.
-            self.heed_list();
+            self.update_list_validity();
         }
         permit
     }
 
     /// Tells the module whether the list is valid, if that has changed. While it is not, nothing is sent and requests wait.
-    pub fn heed_list(&self) {
+    pub fn update_list_validity(&self) {
         let effects = {
             let core = &mut *self.core.borrow_mut();
             let valid = core.list.state().is_valid();
@@ -116,35 +116,35 @@
     /// The first byte of a forward was written: whether that was right is looked at anew.
     pub fn first_byte_written(&self, forward: &Forward, passed_on: Option<Duration>) {
         let core = &mut *self.core.borrow_mut();
-        core.ledger.was_sent(core.list.was_valid_lately());
+        core.permit_stats.was_sent(core.list.was_recently_valid());
         let out = core.flows.get_mut(&forward.ticket.flow).and_then(|flow| flow.out.as_mut());
         if let Some(out) = out.filter(|out| out.forward.ticket == forward.ticket) {
             out.written = true;
         }
-        let Ticket { flow, number } = forward.ticket;
+        let ForwardId { flow, number } = forward.ticket;
         let list = core.list.report();
-        debug!(flow = flow.0, forward = number, target = %forward.name, list = %list.state,
+        debug!(flow = flow.0, forward = number, target = %forward.target_name, list = %list.state,
             version = list.version, confirmed_ms_ago = list.confirmed_ago.map(|ago| ago.as_millis() as u64),
             "forward sent");
         let broken: Vec<Violation> = core.audit(forward, passed_on, Instant::now()).violations().collect();
         for violation in broken {
-            core.ledger.violation(Some(forward.ticket), Some(&forward.name), violation);
+            core.permit_stats.violation(Some(forward.ticket), Some(&forward.target_name), violation);
         }
     }
 
     /// The permit to take a request.
     pub fn start_permit(&self, reference: &str, facts: StartFacts) -> Result<StartPermit, StartRefusal> {
-        self.core.borrow_mut().ledger.start(reference, facts.permit())
+        self.core.borrow_mut().permit_stats.start(reference, facts.permit())
     }
 
     /// The permit to end a client's connection; `None`: it has to stay.
     pub fn close_permit(&self, facts: CloseFacts) -> Option<ClosePermit> {
-        self.core.borrow_mut().ledger.close(facts.permit()).ok()
+        self.core.borrow_mut().permit_stats.close(facts.permit()).ok()
     }
 
     /// A connection that owed its client an answer has ended.
-    pub fn closed_owing(&self) {
-        self.core.borrow_mut().ledger.violation(None, None, Violation::AnswerOwed);
+    pub fn closed_with_answer_pending(&self) {
+        self.core.borrow_mut().permit_stats.violation(None, None, Violation::AnswerOwed);
     }
 
     /// The worker list, for operators.
@@ -153,7 +153,7 @@
     }
 
     /// Permits refused and rules broken, for operators.
-    pub fn ledger(&self) -> LedgerReport {
-        self.core.borrow().ledger.report()
+    pub fn permit_stats(&self) -> PermitStatsReport {
+        self.core.borrow().permit_stats.report()
     }
 }
--- a/dispatcher/src/flow/targets.rs
+++ b/dispatcher/src/flow/targets.rs
@@ -1,7 +1,7 @@
 //! What the core knows of targets: the list, what peers and operators say of them, and who probes them.
 
 use super::core::{Effect, Known};
-use super::{Entry, Flows, Forward, ListKind, OperatorStateSource, Others, Seen};
+use super::{Flows, Forward, ListEntry, ListKind, OperatorStateSource, PeerLoad, TargetStatus};
 use crate::facade::{Load, News, Outcome, Stage, Steer, TargetId};
 use crate::fleet::prober::Probing;
 use crate::fleet::FencedOperation;
@@ -10,7 +10,7 @@
 use std::time::Instant;
 impl Flows {
     /// Has another see to probes.
-    pub fn probing(&self, probing: Rc<dyn Probing>) {
+    pub fn set_prober(&self, probing: Rc<dyn Probing>) {
         *self.probing.borrow_mut() = Some(probing);
     }
 
@@ -19,25 +19,25 @@
         let place = self.core.borrow().targets.get(&target).map(|known| known.place);
         match place {
             Some(place) => {
-                let carrier = self.targets.borrow()[place.carrier].clone();
-                carrier.probe(target, place.addr, operation);
+                let transport = self.targets.borrow()[place.transport].clone();
+                transport.probe(target, place.addr, operation);
             }
-            None => self.probed(target, Outcome::NoRoute, None),
+            None => self.probe_ended(target, Outcome::NoRoute, None),
         }
     }
 
     /// A probe was to be made for the fleet, and this process may not act for it any longer: nothing was sent.
-    pub fn lapsed(&self, target: TargetId) {
+    pub fn probe_not_permitted(&self, target: TargetId) {
         let probing = self.probing.borrow().clone();
         let known = self.core.borrow().targets.get(&target).map(|k| k.name.clone());
         if let (Some(probing), Some(name)) = (probing, known) {
             probing.lapsed(&name);
         }
-        self.see_to_probe(target);
+        self.request_probe(target);
     }
 
     /// Has a probe made, by this process or by who sees to probes.
-    pub(super) fn see_to_probe(&self, target: TargetId) {
+    pub(super) fn request_probe(&self, target: TargetId) {
         let probing = self.probing.borrow().clone();
         let known = self.core.borrow().targets.get(&target).map(|k| (k.name.clone(), k.zone.clone()));
         let seen_to = match (probing, known) {
@@ -50,18 +50,18 @@
     }
 
     /// The target of a name, as it is listed.
-    pub fn find(&self, name: &str) -> Option<TargetId> {
+    pub fn find_target(&self, name: &str) -> Option<TargetId> {
         let core = self.core.borrow();
         core.targets.iter().find(|(_, known)| *known.name == *name).map(|(id, _)| *id)
     }
 
     /// Peers tell of targets.
-    pub fn others(&self, news: &[Others]) {
+    pub fn report_peer_load(&self, news: &[PeerLoad]) {
         let effects = {
             let core = &mut *self.core.borrow_mut();
             let mut effects = Vec::new();
-            for Others { target, out, refused } in news {
-                let decisions = core.facade.report(News::Others(*target, *out, *refused));
+            for PeerLoad { target, in_flight, refused } in news {
+                let decisions = core.facade.report(News::Others(*target, *in_flight, *refused));
                 effects.extend(core.effects(decisions, &self.watch));
             }
             effects
@@ -70,7 +70,7 @@
     }
 
     /// A probe has ended.
-    pub fn probed(&self, target: TargetId, outcome: Outcome, load: Option<Load>) {
+    pub fn probe_ended(&self, target: TargetId, outcome: Outcome, load: Option<Load>) {
         if !matches!(outcome, Outcome::Served | Outcome::Moot) {
             self.core.borrow_mut().changed.push((target, None));
         }
@@ -79,11 +79,11 @@
             let known = self.core.borrow().targets.get(&target).map(|k| (k.name.clone(), k.zone.clone()));
             known.iter().for_each(|(name, zone)| probing.ended(name, zone, outcome, load));
         }
-        self.probed_by_another(target, outcome, load);
+        self.shared_probe_ended(target, outcome, load);
     }
 
     /// A probe that another made for this process has ended.
-    pub fn probed_by_another(&self, target: TargetId, outcome: Outcome, load: Option<Load>) {
+    pub fn shared_probe_ended(&self, target: TargetId, outcome: Outcome, load: Option<Load>) {
         self.report(News::Probed(target, outcome, load));
     }
 
@@ -93,12 +93,12 @@
     }
 
     /// The number of a target, by its name.
-    pub fn target(&self, name: &str) -> TargetId {
+    pub fn target_id(&self, name: &str) -> TargetId {
         self.core.borrow_mut().facade.target(name)
     }
 
     /// What operators have set, all of it.
-    pub fn steer(&self, steer: Steer) {
+    pub fn apply_overrides(&self, steer: Steer) {
         {
             let core = &mut *self.core.borrow_mut();
             let now = Instant::now();
@@ -109,7 +109,7 @@
     }
 
     /// Has what operators set brought up to date by this source before each first byte.
-    pub fn heed_operators(&self, source: Rc<dyn OperatorStateSource>) {
+    pub fn set_operator_state_source(&self, source: Rc<dyn OperatorStateSource>) {
         *self.operator_state.borrow_mut() = Some(source);
     }
 
@@ -133,21 +133,21 @@
     }
 
     /// The targets that have not left, by name.
-    pub fn targets(&self) -> Vec<Seen> {
+    pub fn listed_targets(&self) -> Vec<TargetStatus> {
         let core = self.core.borrow();
         let mut out: FxHashMap<TargetId, usize> = FxHashMap::default();
         for forward in core.flows.values().filter_map(|f| f.out.as_ref()) {
             *out.entry(forward.forward.target).or_default() += 1;
         }
         let listed = core.targets.iter().filter(|(_, t)| t.stage != Stage::Gone);
-        let mut seen: Vec<Seen> = listed
-            .map(|(id, Known { name, place, stage, zone, kind, .. })| Seen {
+        let mut seen: Vec<TargetStatus> = listed
+            .map(|(id, Known { name, place, stage, zone, kind, .. })| TargetStatus {
                 name: name.clone(),
                 addr: place.addr,
                 stage: *stage,
                 zone: zone.clone(),
                 kind: kind.clone(),
-                out: out.get(id).copied().unwrap_or(0),
+                in_flight: out.get(id).copied().unwrap_or(0),
             })
             .collect();
         seen.sort_by(|a, b| a.name.cmp(&b.name));
@@ -155,7 +155,7 @@
     }
 
     /// News of the targets, with their addresses.
-    pub fn list(&self, kind: ListKind, entries: Vec<Entry>) {
+    pub fn update_list(&self, kind: ListKind, entries: Vec<ListEntry>) {
         let effects = {
             let core = &mut *self.core.borrow_mut();
             let (mut effects, now) = (Vec::new(), Instant::now());
@@ -164,10 +164,10 @@
                 for (id, known) in core.targets.iter_mut().filter(|(id, _)| !named.contains(id)) {
                     known.stage = Stage::Gone;
                     known.unready_since.get_or_insert(now);
-                    effects.push(Effect::Closed(*id, known.place.carrier));
+                    effects.push(Effect::Closed(*id, known.place.transport));
                 }
             }
-            for Entry { listed, place, zone, kind } in &entries {
+            for ListEntry { listed, place, zone, kind } in &entries {
                 let (name, stage) = (core.facade.name(listed.target).into(), listed.stage);
                 let before = core.targets.get(&listed.target).and_then(|known| known.unready_since);
                 let unready_since = (stage != Stage::Ready).then(|| before.unwrap_or(now));
@@ -175,12 +175,12 @@
                 let known = Known { name, place: *place, stage, unready_since, zone, kind };
                 core.targets.insert(listed.target, known);
                 if listed.stage != Stage::Ready {
-                    effects.push(Effect::Closed(listed.target, place.carrier));
+                    effects.push(Effect::Closed(listed.target, place.transport));
                 }
             }
             if let Some(observer) = self.observer.borrow().as_ref() {
                 entries.iter().for_each(|e| {
-                    observer.listed(e.listed.target, core.facade.name(e.listed.target), &e.zone)
+                    observer.target_listed(e.listed.target, core.facade.name(e.listed.target), &e.zone)
                 });
             }
             let listed = entries.into_iter().map(|e| e.listed).collect();
@@ -192,7 +192,7 @@
     }
 
     /// Whether the list still says of the target what it said when the forward was decided, and it may still go out.
-    pub fn stands(&self, forward: &Forward) -> bool {
+    pub fn is_still_valid(&self, forward: &Forward) -> bool {
         if forward.start_by.is_some_and(|by| Instant::now() >= by) {
             return false;
         }
--- a/dispatcher/src/list/follow.rs
+++ b/dispatcher/src/list/follow.rs
@@ -3,7 +3,7 @@
 use super::calls::{call, NoList};
 use super::monitor::Change;
 use super::watch::pause_until;
-use super::{take, ListSource};
+use super::{apply_list, ListSource};
 use std::time::Duration;
 use tracing::{debug, info, warn};
 
@@ -19,9 +19,9 @@
 ///
 /// `drains`: how long sends to a worker that drains may go on.
 pub async fn follow(source: ListSource, drains: Duration) {
-    let ListSource { flows, client, mut discovery, mut names, known, monitor, .. } = source;
+    let ListSource { flows, client, mut discovery, mut names, initial_version, monitor, .. } = source;
     let wait = (drains / PUSHED_PART).clamp(PUSHED_WAITS.0, PUSHED_WAITS.1);
-    let (mut after, mut asked_at) = (known, *discovery.borrow_and_update());
+    let (mut after, mut asked_at) = (initial_version, *discovery.borrow_and_update());
     let mut silent = false;
     loop {
         let (asked, at) = (tokio::time::Instant::now(), *discovery.borrow_and_update());
@@ -42,9 +42,9 @@
                 after = list.known(after);
                 if list.full || !list.servers.is_empty() {
                     debug!(version = list.version, lines = list.servers.len(), "discovery: a list came");
-                    take(&flows, &mut names, &list, list.kind());
+                    apply_list(&flows, &mut names, &list, list.kind());
                 }
-                monitor.has_version(list.version);
+                monitor.set_version(list.version);
                 monitor.answered(asked.into());
                 if std::mem::take(&mut silent) {
                     info!(discovery = %at, "discovery: lists come again");
--- a/dispatcher/src/list/mod.rs
+++ b/dispatcher/src/list/mod.rs
@@ -10,7 +10,7 @@
 pub use watch::watch;
 
 use crate::facade::{ListKind, Listed, Stage};
-use crate::flow::{Entry, Flows, Place};
+use crate::flow::{Endpoint, Flows, ListEntry};
 use crate::peers::discovery_reports::DiscoveryReports;
 use crate::targets::client::HttpClient;
 use monitor::ListMonitor;
@@ -29,9 +29,9 @@
     pub flows: Flows,
     pub client: HttpClient,
     pub discovery: Address,
-    pub names: Names,
+    pub names: NameTable,
     /// The version of the list that was told at the start.
-    pub known: Option<u64>,
+    pub initial_version: Option<u64>,
     pub monitor: Rc<ListMonitor>,
     pub reports: Rc<DiscoveryReports>,
 }
@@ -92,14 +92,14 @@
 
 /// The names of zones and kinds, by position.
 #[derive(Clone, Debug)]
-pub struct Names {
+pub struct NameTable {
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
     /// Who carries forwards to workers of a kind, where that is not the first.
-    pub carriers: FxHashMap<String, usize>,
+    pub transports: FxHashMap<String, usize>,
 }
 
-impl Names {
+impl NameTable {
     /// The position of a name. One that the settings don't hold gets a position of its own behind them.
     fn position(names: &mut Vec<String>, name: &str) -> u32 {
         let at = names.iter().position(|n| n == name).unwrap_or_else(|| {
@@ -111,16 +111,16 @@
 }
 
 /// Hands a list to the core.
-pub fn take(flows: &Flows, names: &mut Names, list: &HostList, kind: ListKind) {
+pub fn apply_list(flows: &Flows, names: &mut NameTable, list: &HostList, kind: ListKind) {
     // A worker that a list names twice counts as its last entry says.
-    let mut entries: FxHashMap<&str, Entry> = FxHashMap::default();
+    let mut entries: FxHashMap<&str, ListEntry> = FxHashMap::default();
     for host in &list.servers {
         debug!(target = %host.id, zone = %host.zone, kind = %host.kind, state = ?host.state,
             started_ms = host.started_ms, size = host.weight, "listed");
         let listed = Listed {
-            target: flows.target(&host.id),
-            zone: Names::position(&mut names.zones, &host.zone),
-            kind: Names::position(&mut names.kinds, &host.kind),
+            target: flows.target_id(&host.id),
+            zone: NameTable::position(&mut names.zones, &host.zone),
+            kind: NameTable::position(&mut names.kinds, &host.kind),
             cell: host.cell,
             stage: match host.state {
                 State::Up => Stage::Ready,
@@ -130,20 +130,20 @@
             started_ms: host.started_ms,
             size: host.weight,
         };
-        let carrier = names.carriers.get(&host.kind).copied().unwrap_or(0);
+        let transport = names.transports.get(&host.kind).copied().unwrap_or(0);
         let (zone, kind) = (host.zone.as_str().into(), host.kind.as_str().into());
-        let place = Place { addr: host.addr, carrier };
-        entries.insert(&host.id, Entry { listed, place, zone, kind });
+        let place = Endpoint { addr: host.addr, transport };
+        entries.insert(&host.id, ListEntry { listed, place, zone, kind });
     }
     let mut entries: Vec<_> = entries.into_values().collect();
     entries.sort_by_key(|e| e.listed.target.0);
-    flows.list(kind, entries);
+    flows.update_list(kind, entries);
 }
 
 /// Stands in for discovery where the operator's file lists the hosts: nothing ever changes. Never ends.
-pub async fn stand(flows: Flows) {
+pub async fn serve_fixed_list(flows: Flows) {
     loop {
-        flows.watch_wanted().await;
-        flows.list(ListKind::Delta, Vec::new());
+        flows.watch_requested().await;
+        flows.update_list(ListKind::Delta, Vec::new());
     }
 }
--- a/dispatcher/src/list/monitor.rs
+++ b/dispatcher/src/list/monitor.rs
@@ -89,7 +89,7 @@
     /// holds nothing.
     pub async fn run(self: Rc<Self>, flows: Flows) {
         loop {
-            flows.heed_list();
+            flows.update_list_validity();
             let due = self.expires().unwrap_or_else(|| Instant::now() + LOOK_EVERY);
             // Either branch can be dropped: the state is read anew.
             tokio::select! {
@@ -119,12 +119,12 @@
     }
 
     /// A list with this version is in use: told at the start, or by discovery.
-    pub fn has_version(&self, version: u64) {
+    pub fn set_version(&self, version: u64) {
         self.version.set(Some(version));
     }
 
     /// Peers report from now on that discovery has answered them.
-    pub fn hears_peers(&self) {
+    pub fn expect_peer_reports(&self) {
         self.status.borrow_mut().hears_peers();
     }
 
@@ -135,7 +135,7 @@
     }
 
     /// The same, where the call did not wait for news.
-    pub fn answered_in_turn(&self, asked: Instant) {
+    pub fn queued_call_answered(&self, asked: Instant) {
         self.status.borrow_mut().took_turn(asked.elapsed().as_millis() as u64);
         self.answered(asked);
     }
@@ -208,7 +208,7 @@
     }
 
     /// Whether the list is valid, or was until a moment ago: a permit was given by then.
-    pub fn was_valid_lately(&self) -> bool {
+    pub fn was_recently_valid(&self) -> bool {
         let now = self.now();
         let status = self.status.borrow();
         status.at(now).is_valid() || status.at(now.saturating_sub(MOMENT)).is_valid()
--- a/dispatcher/src/list/watch.rs
+++ b/dispatcher/src/list/watch.rs
@@ -3,7 +3,7 @@
 
 use super::calls::{call, call_in_turn, NoList};
 use super::monitor::Change;
-use super::{take, Address, HostList, ListSource};
+use super::{apply_list, Address, HostList, ListSource};
 use futures_util::FutureExt;
 use lineroute_control::list_status::{ListState, WATCH_CONTINUES_WITHIN};
 use lineroute_control::watch::{FailedCall, WatchSchedule};
@@ -29,7 +29,7 @@
 pub async fn watch(source: ListSource, schedule: WatchSchedule) {
     let asked_at = *source.discovery.borrow();
     let mut watcher = Watcher {
-        after: source.known,
+        after: source.initial_version,
         asked_at,
         wait: Duration::ZERO,
         was_unreadable: false,
@@ -113,10 +113,10 @@
             info!(version, lines, full = list.full, took_ms, "discovery: the first list came");
         }
         debug!(version, lines, full = list.full, took_ms, "discovery: a list came");
-        take(flows, names, &list, list.kind());
-        monitor.has_version(version);
+        apply_list(flows, names, &list, list.kind());
+        monitor.set_version(version);
         if self.wait.is_zero() && !std::mem::take(&mut self.was_unreadable) {
-            monitor.answered_in_turn(asked.into());
+            monitor.queued_call_answered(asked.into());
         } else {
             monitor.answered(asked.into());
         }
@@ -156,12 +156,12 @@
     async fn until_wanted(&mut self) {
         let ListSource { flows, discovery, .. } = &mut self.with;
         // What the module wished for before the failure is no leave to call again at once.
-        let _ = flows.watch_wanted().now_or_never();
+        let _ = flows.watch_requested().now_or_never();
         flows.list_failed();
         // A move need not wait until the module wants the list again. Neither branch loses anything when it is dropped:
         // the wish and the address stay until they are taken.
         tokio::select! {
-            () = flows.watch_wanted() => {}
+            () = flows.watch_requested() => {}
             Ok(()) = discovery.changed() => {}
         }
     }
--- a/dispatcher/src/listeners/beanstalkd/mod.rs
+++ b/dispatcher/src/listeners/beanstalkd/mod.rs
@@ -152,11 +152,11 @@
             class: mapped.class,
             tenant: mapped.tenant,
             key: None,
-            idempotency: Some(format!("{}-{id}", self.prefix)),
+            idempotency_key: Some(format!("{}-{id}", self.prefix)),
             slots: 1.0,
-            work: None,
+            expected_run_time: None,
             path: self.settings.path.clone(),
-            detail: None,
+            protocol_data: None,
             body: Body::Whole(body),
         };
         let (budget, answers) = (mapped.budget, mapped.answers.clone());
@@ -218,7 +218,7 @@
             }
         };
         if let Some(flow) = flow {
-            self.flows.leave(flow);
+            self.flows.client_left(flow);
         }
         true
     }
--- a/dispatcher/src/listeners/http.rs
+++ b/dispatcher/src/listeners/http.rs
@@ -8,7 +8,7 @@
 use crate::body::{Body, Budgets};
 use crate::config::Route;
 use crate::facade::FlowId;
-use crate::flow::{Answer, Flows, Job, Listener, NotTaken};
+use crate::flow::{Answer, Flows, Job, Listener, OpenError};
 use crate::list::monitor::ListMonitor;
 use crate::siblings::{Delivery, Siblings};
 use crate::stops;
@@ -215,7 +215,7 @@
 impl Drop for Claim {
     fn drop(&mut self) {
         if !self.answered {
-            self.flows.leave(self.id);
+            self.flows.client_left(self.id);
         }
     }
 }
@@ -329,7 +329,7 @@
                     // Errors here are those of the peer: it went, or what it sent was no HTTP.
                     _ = served.as_mut() => {
                         if taken.slot.stage() == Stage::InWork && !taken.slot.has_left() {
-                            flows.closed_owing();
+                            flows.closed_with_answer_pending();
                         }
                         break None;
                     }
@@ -411,7 +411,7 @@
     /// them has taken it or none has the job; else the worker tells it again.
     async fn job_update(&self, update: JobUpdate, slot: Option<&ConnectionSlot>) -> Response<Bytes> {
         let delivery = if self.targets.has_attempt(&update) {
-            self.targets.take_update(update);
+            self.targets.apply_update(update);
             Delivery::Taken
         } else {
             let delivery = match &self.siblings {
@@ -419,7 +419,7 @@
                 None if self.phase.may_have_sibling() => Delivery::NotNow,
                 None => Delivery::Unknown,
             };
-            self.targets.count_elsewhere(&update, delivery);
+            self.targets.count_foreign_update(&update, delivery);
             delivery
         };
         match delivery {
@@ -452,8 +452,8 @@
         let Ok(permit) = self.start_permit(&job.reference, slot) else { return refused(BUSY_RETRY) };
         let budget = budget.saturating_sub(arrived.elapsed());
         match self.take(job, budget, permit).await {
-            Err(NotTaken::Full) => refused(BUSY_RETRY),
-            Err(NotTaken::Duplicate) => plain(StatusCode::CONFLICT, "this id is in work\n"),
+            Err(OpenError::Full) => refused(BUSY_RETRY),
+            Err(OpenError::Duplicate) => plain(StatusCode::CONFLICT, "this id is in work\n"),
             Ok(Some(Answer::Served(result))) => respond(StatusCode::OK, result, None),
             Ok(Some(Answer::Refused(after))) => refused(after),
             Ok(_) => plain(StatusCode::GATEWAY_TIMEOUT, "the job was not done\n"),
@@ -476,7 +476,7 @@
         job: Job,
         budget: Duration,
         permit: StartPermit,
-    ) -> Result<Option<Answer>, NotTaken> {
+    ) -> Result<Option<Answer>, OpenError> {
         let (sender, answer) = oneshot::channel();
         let id = self.flows.open(job, budget, permit, |_| Box::new(Waiting(sender)))?;
         let mut claim = Claim { flows: self.flows.clone(), id, answered: false };
@@ -531,11 +531,11 @@
             class,
             tenant,
             key: owned("x-route-hash")?,
-            idempotency: owned("idempotency-key")?,
+            idempotency_key: owned("idempotency-key")?,
             slots,
-            work: work.map(|us| Duration::from_micros(us as u64)),
+            expected_run_time: work.map(|us| Duration::from_micros(us as u64)),
             path: request.uri().path_and_query().map_or("/".into(), |p| p.as_str().to_owned()),
-            detail: None,
+            protocol_data: None,
             body: Body::Whole(Bytes::new()),
         };
         Ok((job, Duration::from_millis(budget).min(longest.max(Duration::from_secs(3600)))))
--- a/dispatcher/src/listeners/pass.rs
+++ b/dispatcher/src/listeners/pass.rs
@@ -4,8 +4,8 @@
 use super::http::{plain, refused, HttpListener, Passes, BUSY_RETRY};
 use crate::body::{Body, Ended, Reader, Upload, Writer};
 use crate::config::{PassingRoute, Route};
-use crate::flow::{Answer, NotTaken};
-use crate::targets::upstream::Asked;
+use crate::flow::{Answer, OpenError};
+use crate::targets::upstream::RequestContext;
 use actix_http::body::{BodySize, BoxBody, MessageBody};
 use actix_http::{header as actix_header, HttpMessage, Request, Response, StatusCode};
 use bytes::Bytes;
@@ -112,12 +112,13 @@
         let method = head.method.clone();
         let client = request.peer_addr().map(|p| p.ip());
         let answer = RefCell::new(Some(answer));
-        job.detail = Some(Rc::new(Asked { head, client, length, pace: passing.pace, answer }));
+        job.protocol_data =
+            Some(Rc::new(RequestContext { head, client, length, pace: passing.pace, answer }));
         let budget = budget.saturating_sub(arrived.elapsed());
         match self.take(job, budget, permit).await {
-            Err(NotTaken::Full) => refused(BUSY_RETRY).map_into_boxed_body(),
-            Err(NotTaken::Duplicate) => text(StatusCode::CONFLICT, "this id is in work\n"),
-            Ok(Some(Answer::Passing(passed))) => match passed.head.downcast::<ResponseHead>() {
+            Err(OpenError::Full) => refused(BUSY_RETRY).map_into_boxed_body(),
+            Err(OpenError::Duplicate) => text(StatusCode::CONFLICT, "this id is in work\n"),
+            Ok(Some(Answer::Streamed(passed))) => match passed.head.downcast::<ResponseHead>() {
                 Ok(head) => passed_on(*head, passed.body, &method, slot),
                 Err(_) => text(StatusCode::BAD_GATEWAY, "the answer can't be passed on\n"),
             },
--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -35,7 +35,7 @@
 use lineroute_control::overrides::Table;
 use lineroute_control::watch::WatchSchedule;
 use list::monitor::ListMonitor;
-use list::{ListSource, Names};
+use list::{ListSource, NameTable};
 use listeners::beanstalkd::BeanstalkdListener;
 use listeners::connection_slots::ConnectionSlots;
 use listeners::http::{HttpListener, Phase, Vocabulary};
@@ -163,7 +163,7 @@
     actix_rt::spawn(overrides.clone().run());
     let store = store.map(|store| {
         let handle = store.start(overrides.clone());
-        flows.heed_operators(Rc::new(LoggedOperatorState { store, overrides: overrides.clone() }));
+        flows.set_operator_state_source(Rc::new(LoggedOperatorState { store, overrides: overrides.clone() }));
         handle
     });
     let peers = match config.peers.take() {
@@ -241,26 +241,26 @@
     let monitor = Rc::new(ListMonitor::new(status, arrivals.clone()));
     let facade = Facade::new(site.settings, config.seed).map_err(|e| e.to_string())?;
     let flows = Flows::new(facade, bounds, monitor.clone());
-    flows.heed_list();
+    flows.update_list_validity();
     let discovery_reports = Rc::new(DiscoveryReports::new(monitor.clone()));
     actix_rt::spawn(monitor.clone().run(flows.clone()));
     let budgets = Budgets::new(config.memory / STREAM_PART, STREAM_FLOOR, STREAM_CEILING);
     let client = HttpClient::new(connect_within, keepalive, config.outbound, config.connections);
     let targets = HttpTargets::new(flows.clone(), client.clone(), connect_within, reports);
-    flows.plug(Rc::new(targets.clone()));
-    let mut carriers = FxHashMap::default();
+    flows.add_target(Rc::new(targets.clone()));
+    let mut transports = FxHashMap::default();
     for workers in &config.workers {
-        let carrier = BeanstalkdTargets::new(flows.clone(), workers, &config.name, connect_within);
-        carriers.insert(workers.kind.clone(), flows.plug(Rc::new(carrier)));
+        let transport = BeanstalkdTargets::new(flows.clone(), workers, &config.name, connect_within);
+        transports.insert(workers.kind.clone(), flows.add_target(Rc::new(transport)));
     }
     for workers in &config.upstreams {
-        let carrier = Upstreams::new(flows.clone(), workers, connect_within, keepalive, config.outbound);
-        carriers.insert(workers.kind.clone(), flows.plug(Rc::new(carrier)));
+        let transport = Upstreams::new(flows.clone(), workers, connect_within, keepalive, config.outbound);
+        transports.insert(workers.kind.clone(), flows.add_target(Rc::new(transport)));
     }
-    let mut names = Names { zones: site.zones, kinds: site.kinds, carriers };
+    let mut names = NameTable { zones: site.zones, kinds: site.kinds, transports };
     if let Some(known) = &config.known {
-        list::take(&flows, &mut names, known, ListKind::Cached);
-        monitor.has_version(known.version);
+        list::apply_list(&flows, &mut names, known, ListKind::Cached);
+        monitor.set_version(known.version);
         info!(version = known.version, workers = known.servers.len(), "worker list: told at the start");
     }
     if let Some(peers) = config.load_gossip.take() {
@@ -291,21 +291,21 @@
     let listen = socket.local_addr().map_err(|e| e.to_string())?;
     info!(addr = %listen, "listens");
     let clock = flows.clone();
-    actix_rt::spawn(async move { clock.run_clock().await });
+    actix_rt::spawn(async move { clock.run_timers().await });
     let version = known.map(|k| k.version);
     let source = ListSource {
         flows: flows.clone(),
         client,
         discovery: discovery_at,
         names,
-        known: version,
+        initial_version: version,
         monitor: monitor.clone(),
         reports: discovery_reports,
     };
     match source_kind {
         ListSourceKind::Pushed => drop(actix_rt::spawn(list::follow(source, drains))),
         ListSourceKind::Asked => drop(actix_rt::spawn(list::watch(source, schedule))),
-        ListSourceKind::Fixed => drop(actix_rt::spawn(list::stand(flows.clone()))),
+        ListSourceKind::Fixed => drop(actix_rt::spawn(list::serve_fixed_list(flows.clone()))),
     }
     // Before clients are served: what concerns them may come to a sibling.
     let siblings = calls.as_ref().and_then(|calls| calls.siblings.clone());
--- a/dispatcher/src/overrides.rs
+++ b/dispatcher/src/overrides.rs
@@ -148,8 +148,8 @@
         );
         let flows = &self.0.flows;
         let mut steer = Steer {
-            weights: weights.iter().map(|(w, factor)| (flows.target(w), *factor)).collect(),
-            barred: out.iter().map(|w| flows.target(w)).collect(),
+            weights: weights.iter().map(|(w, factor)| (flows.target_id(w), *factor)).collect(),
+            barred: out.iter().map(|w| flows.target_id(w)).collect(),
             pins: Vec::new(),
         };
         for pin in pins {
@@ -157,7 +157,7 @@
             let tenant = pin.tenant.as_ref().map(|t| self.0.tenants.iter().position(|own| **own == **t));
             match (class, tenant) {
                 (Some(class), None | Some(Some(_))) => {
-                    let target = flows.target(&pin.worker);
+                    let target = flows.target_id(&pin.worker);
                     steer.pins.push(Pinned { class, tenant: tenant.flatten(), target });
                 }
                 // Set at a dispatcher whose settings differ.
@@ -167,7 +167,7 @@
             }
         }
         *self.0.applied.borrow_mut() = forces;
-        self.0.flows.steer(steer);
+        self.0.flows.apply_overrides(steer);
     }
 
     /// Ends overrides at their time. Never ends itself.
--- a/dispatcher/src/peers/discovery_reports.rs
+++ b/dispatcher/src/peers/discovery_reports.rs
@@ -24,7 +24,7 @@
 }
 
 impl DiscoveryReports {
-    /// For the list that is watched by this monitor. Nobody is told anything before [`DiscoveryReports::send_by`].
+    /// For the list that is watched by this monitor. Nobody is told anything before [`DiscoveryReports::set_sender`].
     pub fn new(monitor: Rc<ListMonitor>) -> Self {
         DiscoveryReports {
             monitor,
@@ -35,9 +35,9 @@
     }
 
     /// Peers are reached this way from now on; the first way stays.
-    pub fn send_by(&self, sender: Rc<dyn ReportSender>) {
+    pub fn set_sender(&self, sender: Rc<dyn ReportSender>) {
         let _ = self.sender.set(sender);
-        self.monitor.hears_peers();
+        self.monitor.expect_peer_reports();
     }
 
     /// Discovery has answered a call that took its turn there, with its list of this version.
--- a/dispatcher/src/peers/load_gossip.rs
+++ b/dispatcher/src/peers/load_gossip.rs
@@ -4,7 +4,7 @@
 
 use crate::config::LoadGossipPeers;
 use crate::facade::{FlowId, TargetId};
-use crate::flow::{Flows, ForwardObserver, Others};
+use crate::flow::{Flows, ForwardObserver, PeerLoad};
 use crate::local_faults::open_patiently;
 use crate::peers::discovery_reports::{DiscoveryReports, ReportSender};
 use lineroute_control::discovery_report::DiscoveryReport;
@@ -114,7 +114,7 @@
         state: RefCell::new(state),
     });
     flows.observe_forwards(gossip.clone());
-    reports.send_by(gossip.clone());
+    reports.set_sender(gossip.clone());
     actix_rt::spawn(gossip.clone().hear());
     actix_rt::spawn(gossip.clone().repeat());
     actix_rt::spawn(gossip.query_while_held());
@@ -122,7 +122,7 @@
 }
 
 impl ForwardObserver for LoadGossip {
-    fn out(&self, name: &str, zone: &str, out: Option<usize>) {
+    fn in_flight_changed(&self, name: &str, zone: &str, out: Option<usize>) {
         let (tag, zone) = (Tag::of(name), Tag::of(zone));
         {
             let state = &mut *self.state.borrow_mut();
@@ -135,7 +135,7 @@
         self.report(zone);
     }
 
-    fn listed(&self, target: TargetId, name: &str, zone: &str) {
+    fn target_listed(&self, target: TargetId, name: &str, zone: &str) {
         let state = &mut *self.state.borrow_mut();
         let zone = Tag::of(zone);
         let entry = state.targets.entry(Tag::of(name)).or_default();
@@ -146,7 +146,7 @@
         }
     }
 
-    fn ask(&self, flow: FlowId) -> bool {
+    fn flow_opened(&self, flow: FlowId) -> bool {
         let (home, other) = {
             let state = &mut *self.state.borrow_mut();
             state.next_zone = state.next_zone.wrapping_add(1);
@@ -264,7 +264,7 @@
             query
         };
         debug!(aggregator = query.aggregator, flows = query.flows.len(), "an aggregator is silent");
-        query.flows.into_iter().for_each(|flow| self.flows.place(flow));
+        query.flows.into_iter().for_each(|flow| self.flows.dispatch(flow));
     }
 
     /// What all but the querier have out in a zone.
@@ -291,12 +291,12 @@
                     let before = state.said.insert(*target, out);
                     // One at least, so that the core knows that peers tell.
                     if before != Some(out) || refused || news.is_empty() {
-                        news.push(Others { target: *target, out: u32::from(out), refused });
+                        news.push(PeerLoad { target: *target, in_flight: u32::from(out), refused });
                     }
                 }
             }
         }
-        self.flows.others(&news);
+        self.flows.report_peer_load(&news);
     }
 
     async fn hear(self: Rc<Self>) {
@@ -340,7 +340,7 @@
         };
         debug!(aggregator = peer, took_us = query.asked.elapsed().as_micros() as u64, "a picture came");
         self.take_picture(report);
-        query.flows.into_iter().for_each(|flow| self.flows.place(flow));
+        query.flows.into_iter().for_each(|flow| self.flows.dispatch(flow));
     }
 
     /// Asks on while flows are held. Not in step with peers that hold some too.
@@ -348,7 +348,7 @@
         loop {
             let part = f64::from(getrandom::u32().unwrap_or(0)) / f64::from(u32::MAX);
             tokio::time::sleep(QUERY_EVERY.mul_f64(0.5 + part)).await;
-            if let Some(home) = self.home.filter(|_| self.flows.holds()) {
+            if let Some(home) = self.home.filter(|_| self.flows.has_held_flows()) {
                 self.query(home, None);
             }
         }
--- a/dispatcher/src/peers/mod.rs
+++ b/dispatcher/src/peers/mod.rs
@@ -78,7 +78,7 @@
     let gossip = Rc::new(RefCell::new(Gossip::new(&others, keys, seed)));
     overrides.talk();
     let handle = Handle { gossip, socket: Rc::new(socket) };
-    reports.send_by(Rc::new(handle.clone()));
+    reports.set_sender(Rc::new(handle.clone()));
     let talk = Talk { handle: handle.clone(), overrides, reports };
     actix_rt::spawn(talk.run());
     Ok(handle)
--- a/dispatcher/src/siblings/mod.rs
+++ b/dispatcher/src/siblings/mod.rs
@@ -196,7 +196,7 @@
                 info!(overrides = lines.len(), taken, "siblings: told of overrides");
                 Answer::Merged
             }
-            Request::JobUpdate(update) => match process.targets.take_update(update) {
+            Request::JobUpdate(update) => match process.targets.apply_update(update) {
                 true => Answer::Taken,
                 false => Answer::NotOurs,
             },
--- a/dispatcher/src/stop.rs
+++ b/dispatcher/src/stop.rs
@@ -60,7 +60,7 @@
     /// off where it was.
     pub async fn stop(self) {
         let Running { flows, phase, front, fleet, siblings, serving, slots, longest_deadline } = self;
-        info!(flows = flows.owed(), "SIGTERM: stopping");
+        info!(flows = flows.unanswered_flows(), "SIGTERM: stopping");
         let since = Instant::now();
         let report = actix_rt::spawn(report_stop(flows.clone(), since));
         phase.close();
@@ -71,28 +71,28 @@
         let last_moment = last_moment(longest_deadline);
         tokio::time::sleep(KEEP_TAKING.min(last_moment)).await;
         phase.shut();
-        info!(flows = flows.owed(), "SIGTERM: new requests are refused from here on");
+        info!(flows = flows.unanswered_flows(), "SIGTERM: new requests are refused from here on");
         let settled = async {
-            while flows.owed() > 0 {
-                flows.settled().await;
+            while flows.unanswered_flows() > 0 {
+                flows.unanswered_changed().await;
             }
         };
         // Dropped, it only waited.
         if tokio::time::timeout_at((since + last_moment).into(), settled).await.is_err() {
-            let (attempts, owed) = (flows.attempts_out(), flows.give_up_all(RETRY_ELSEWHERE));
+            let (attempts, owed) = (flows.forwards_in_flight(), flows.answer_all_pending(RETRY_ELSEWHERE));
             warn!(owed, attempts, "SIGTERM: answered unserved, since SIGKILL may come now");
-            while_within(GIVE_UP_WITHIN, || flows.attempts_out() > 0).await;
+            while_within(GIVE_UP_WITHIN, || flows.forwards_in_flight() > 0).await;
         }
         info!("SIGTERM: every request has its answer");
         while_within(KEEP_ANSWERS, || front.as_ref().is_some_and(|f| f.left() > 0)).await;
-        while_within(PASS_ON, || flows.passing() > 0).await;
-        if flows.passing() > 0 {
-            warn!(flows = flows.passing(), "SIGTERM: answers that were passing are cut short");
+        while_within(PASS_ON, || flows.streaming_answers() > 0).await;
+        if flows.streaming_answers() > 0 {
+            warn!(flows = flows.streaming_answers(), "SIGTERM: answers that were passing are cut short");
         }
         if let Some(fleet) = fleet {
             fleet.leave().await;
         }
-        let ledger = flows.ledger();
+        let ledger = flows.permit_stats();
         info!(sent = ledger.sent, refused = ?ledger.refused, violations = ?ledger.violations, "SIGTERM: permits since the start");
         // Whoever still waits in the listener's queue is let in and refused; then there is none.
         phase.end();
@@ -121,7 +121,7 @@
     loop {
         tokio::time::sleep(REPORT_STOP_EVERY).await;
         let (owed, attempts, after_ms) =
-            (flows.owed(), flows.attempts_out(), since.elapsed().as_millis() as u64);
+            (flows.unanswered_flows(), flows.forwards_in_flight(), since.elapsed().as_millis() as u64);
         info!(owed, attempts, after_ms, "SIGTERM: still stopping");
     }
 }
--- a/dispatcher/src/targets/beanstalkd.rs
+++ b/dispatcher/src/targets/beanstalkd.rs
@@ -9,7 +9,7 @@
 use crate::config::BeanstalkdWorkers;
 use crate::facade::{Outcome, TargetId};
 use crate::fleet::FencedOperation;
-use crate::flow::{Flows, Forward, Target, Ticket};
+use crate::flow::{Flows, Forward, ForwardId, Target};
 use crate::local_faults::{is_local, TRY_AGAIN_AFTER};
 use bytes::Bytes;
 use futures_util::FutureExt;
@@ -112,7 +112,7 @@
 enum Errand {
     Put(Forward),
     /// Give a forward up: for good, or only if it has not begun.
-    TakeBack(Ticket, Why),
+    TakeBack(ForwardId, Why),
     Probe,
 }
 
@@ -128,7 +128,7 @@
     addr: SocketAddr,
     errands: mpsc::UnboundedSender<Errand>,
     /// Jobs that lie there, by the server's ids.
-    out: RefCell<FxHashMap<u64, Ticket>>,
+    out: RefCell<FxHashMap<u64, ForwardId>>,
     /// Puts that are under way, and answers to jobs whose ids are not known yet.
     putting: Cell<usize>,
     early: RefCell<Vec<(u64, Bytes)>>,
@@ -136,7 +136,7 @@
 }
 
 impl Server {
-    fn id_of(&self, ticket: Ticket) -> Option<u64> {
+    fn id_of(&self, ticket: ForwardId) -> Option<u64> {
         self.out.borrow().iter().find(|(_, t)| **t == ticket).map(|(id, _)| *id)
     }
 
@@ -213,7 +213,7 @@
                             Err(_) => break false,
                         }
                     };
-                    self.flows.probed(
+                    self.flows.probe_ended(
                         server.target,
                         if alive { Outcome::Served } else { Outcome::NoRoute },
                         None,
@@ -246,23 +246,23 @@
             Ok(open) => open,
             Err(e) if is_local(&e) => {
                 tokio::time::sleep(TRY_AGAIN_AFTER).await;
-                self.flows.ended(ticket, Outcome::Moot, None);
+                self.flows.forward_ended(ticket, Outcome::Moot, None);
                 return true;
             }
             Err(_) => {
-                self.flows.ended(ticket, Outcome::NoRoute, None);
+                self.flows.forward_ended(ticket, Outcome::NoRoute, None);
                 return true;
             }
         };
-        let left = forward.until.saturating_duration_since(Instant::now());
+        let left = forward.deadline.saturating_duration_since(Instant::now());
         let permit = self.flows.send_permit(forward, None);
         if permit.and_then(|permit| permit.is_current(Instant::now())).is_err() {
             // Drained, over or given up since it was decided: nothing is sent.
-            self.flows.ended(ticket, Outcome::Moot, None);
+            self.flows.forward_ended(ticket, Outcome::Moot, None);
             return false;
         }
         let head =
-            format!("{} {} {}\n", self.answers, job.reference, job.idempotency.as_deref().unwrap_or("-"));
+            format!("{} {} {}\n", self.answers, job.reference, job.idempotency_key.as_deref().unwrap_or("-"));
         let body = job.body.whole();
         let size = head.len() + body.len();
         let ttr = (left + TTR_MARGIN).as_secs();
@@ -274,7 +274,7 @@
             Ok(reply) => reply,
             Err(_) => {
                 // The job may lie there.
-                self.flows.ended(ticket, Outcome::Cut, None);
+                self.flows.forward_ended(ticket, Outcome::Cut, None);
                 return true;
             }
         };
@@ -287,7 +287,7 @@
                 let (own, others): (Vec<_>, Vec<_>) = early.into_iter().partition(|(of, _)| *of == id);
                 *server.early.borrow_mut() = others;
                 own.iter().for_each(|(_, body)| self.answer(server, body));
-                if own.is_empty() && !self.flows.stands(forward) {
+                if own.is_empty() && !self.flows.is_still_valid(forward) {
                     return self.take_back(server, link, ticket, Why::Draining).await;
                 }
                 false
@@ -295,25 +295,25 @@
             ("BURIED", Ok(id)) => {
                 // The server had no memory to queue it: nobody can have had it.
                 let gone = open.expect(&format!("delete {id}\r\n"), &["DELETED"]).await.is_ok();
-                self.flows.ended(ticket, if gone { Outcome::NoRoom } else { Outcome::Cut }, None);
+                self.flows.forward_ended(ticket, if gone { Outcome::NoRoom } else { Outcome::Cut }, None);
                 !gone
             }
             ("OUT_OF_MEMORY" | "DRAINING" | "JOB_TOO_BIG", _) => {
-                self.flows.ended(ticket, Outcome::NoRoom, None);
+                self.flows.forward_ended(ticket, Outcome::NoRoom, None);
                 false
             }
             _ => {
                 warn!(server = %server.addr, reply = ?reply, "beanstalkd server: put was not taken");
-                self.flows.ended(ticket, Outcome::Fault, None);
+                self.flows.forward_ended(ticket, Outcome::Fault, None);
                 true
             }
         }
     }
 
-    async fn take_back(&self, server: &Server, link: &mut Option<Link>, ticket: Ticket, why: Why) -> bool {
+    async fn take_back(&self, server: &Server, link: &mut Option<Link>, ticket: ForwardId, why: Why) -> bool {
         let Some(id) = server.id_of(ticket) else {
             // Ended before; or it never got there.
-            self.flows.ended(ticket, Outcome::Cancelled, None);
+            self.flows.forward_ended(ticket, Outcome::Cancelled, None);
             return false;
         };
         let taken = match self.connected(server, link).await {
@@ -328,7 +328,7 @@
             (_, Why::Draining) => return taken.is_err(),
         };
         server.out.borrow_mut().remove(&id);
-        self.flows.ended(ticket, outcome, None);
+        self.flows.forward_ended(ticket, outcome, None);
         taken.is_err()
     }
 
@@ -347,7 +347,7 @@
             return;
         };
         let outcome = match word {
-            "started" => return self.flows.begun(ticket),
+            "started" => return self.flows.job_started(ticket),
             "served" => Outcome::Served,
             "failed" => Outcome::Fault,
             "refused" => Outcome::NoRoom,
@@ -357,7 +357,7 @@
             }
         };
         server.out.borrow_mut().remove(&id);
-        self.flows.ended(ticket, outcome, Some(result).filter(|_| word == "served"));
+        self.flows.forward_ended(ticket, outcome, Some(result).filter(|_| word == "served"));
     }
 
     /// Sees that answers are waited for, as long as any are due.
@@ -375,8 +375,8 @@
                 Ok(()) => break,
                 Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => {
                     // The process is dead, and its jobs with it.
-                    let lost: Vec<Ticket> = server.out.borrow_mut().drain().map(|(_, t)| t).collect();
-                    lost.into_iter().for_each(|ticket| self.flows.ended(ticket, Outcome::Cut, None));
+                    let lost: Vec<ForwardId> = server.out.borrow_mut().drain().map(|(_, t)| t).collect();
+                    lost.into_iter().for_each(|ticket| self.flows.forward_ended(ticket, Outcome::Cut, None));
                 }
                 Err(e) => warn!(server = %server.addr, error = %e, "beanstalkd server: connection lost"),
             }
@@ -393,7 +393,7 @@
         link.expect("ignore default\r\n", &["WATCHING"]).await?;
         // What a server that was lost for a while no longer knows, and has no answer to, is lost.
         let mut gone = Vec::new();
-        let known: Vec<(u64, Ticket)> = server.out.borrow().iter().map(|(id, t)| (*id, *t)).collect();
+        let known: Vec<(u64, ForwardId)> = server.out.borrow().iter().map(|(id, t)| (*id, *t)).collect();
         for (id, ticket) in known {
             let reply = link.expect(&format!("stats-job {id}\r\n"), &["OK", "NOT_FOUND"]).await?;
             match reply == "NOT_FOUND" {
@@ -418,7 +418,7 @@
             within = RESERVE_WAIT;
             for (id, ticket) in gone.drain(..) {
                 if server.out.borrow_mut().remove(&id).is_some() {
-                    self.flows.ended(ticket, Outcome::Cut, None);
+                    self.flows.forward_ended(ticket, Outcome::Cut, None);
                 }
             }
         }
@@ -443,9 +443,9 @@
         let _ = self.server(target, addr).errands.send(Errand::Probe);
     }
 
-    fn closed(&self, target: TargetId) {
+    fn target_closed(&self, target: TargetId) {
         let Some(server) = self.servers.borrow().get(&target).cloned() else { return };
-        let tickets: Vec<Ticket> = server.out.borrow().values().copied().collect();
+        let tickets: Vec<ForwardId> = server.out.borrow().values().copied().collect();
         for ticket in tickets {
             let _ = server.errands.send(Errand::TakeBack(ticket, Why::Draining));
         }
--- a/dispatcher/src/targets/http.rs
+++ b/dispatcher/src/targets/http.rs
@@ -1,12 +1,12 @@
 //! Workers that speak the platform's HTTP: a job is posted, taken with 202, and its fate comes as calls to
-//! the dispatcher's own address (`HttpTargets::take_update`). After the 202 a forward lives without a connection.
+//! the dispatcher's own address (`HttpTargets::apply_update`). After the 202 a forward lives without a connection.
 
 use super::client::{CallError, HttpAnswer, HttpClient, MAX_ANSWER, TAKEN_WITHIN};
 use super::gate::Gate;
 use super::load;
 use crate::facade::{Load, Outcome, TargetId};
 use crate::fleet::FencedOperation;
-use crate::flow::{Flows, Forward, Target, Ticket};
+use crate::flow::{Flows, Forward, ForwardId, Target};
 use crate::local_faults::TRY_AGAIN_AFTER;
 use crate::siblings::Delivery;
 use awc::http::{header, Method};
@@ -58,7 +58,7 @@
 impl Out {
     /// Whether the worker has said of this very forward that it is over.
     fn is_over(&self) -> bool {
-        self.word.is_some() && !self.forward.again
+        self.word.is_some() && !self.forward.repeats_target
     }
 }
 
@@ -93,7 +93,7 @@
     }
 
     /// Takes note of an update of no attempt here, and of what became of it.
-    pub fn count_elsewhere(&self, update: &JobUpdate, delivery: Delivery) {
+    pub fn count_foreign_update(&self, update: &JobUpdate, delivery: Delivery) {
         let (reference, worker, state) = (&*update.id, &*update.from, &*update.state);
         debug!(reference, worker, state, ?delivery, "a job status update of no attempt here");
         let counts = &mut *self.counts.borrow_mut();
@@ -111,15 +111,15 @@
 
     /// Whether an update is of an attempt that this process has out.
     pub fn has_attempt(&self, update: &JobUpdate) -> bool {
-        self.out.borrow().get(&update.id).is_some_and(|out| *out.forward.name == *update.from)
+        self.out.borrow().get(&update.id).is_some_and(|out| *out.forward.target_name == *update.from)
     }
 
     /// Takes a worker's update. It may come before the 202, again, or of an attempt that is over: only what
     /// the worker tells of the attempt that it now has is taken up. False: this process has none such out.
-    pub fn take_update(&self, update: JobUpdate) -> bool {
+    pub fn apply_update(&self, update: JobUpdate) -> bool {
         let forward = {
             let mut out = self.out.borrow_mut();
-            out.get_mut(&update.id).filter(|o| *o.forward.name == *update.from).map(|o| {
+            out.get_mut(&update.id).filter(|o| *o.forward.target_name == *update.from).map(|o| {
                 o.told = true;
                 o.forward.clone()
             })
@@ -129,11 +129,11 @@
         let ticket = forward.ticket;
         let end = match update.state.as_str() {
             "started" => {
-                self.flows.begun(ticket);
+                self.flows.job_started(ticket);
                 return true;
             }
             "running" => {
-                self.flows.progress(ticket, update.share.unwrap_or(0.0));
+                self.flows.job_progress(ticket, update.share.unwrap_or(0.0));
                 return true;
             }
             "done" => Outcome::Served,
@@ -162,22 +162,22 @@
         let own = out.get_mut(&forward.job.reference).filter(|o| o.forward.ticket == forward.ticket);
         let Some(own) = own else { return false };
         // Of one that may run on it can't be said that it never ran.
-        let end = if forward.again && end == Outcome::NoRoom { Outcome::Fault } else { end };
+        let end = if forward.repeats_target && end == Outcome::NoRoom { Outcome::Fault } else { end };
         let calling = own.giving_up.as_ref().map(|gate| gate.is_open());
         own.word = Some((end, load));
-        if forward.again && calling.is_none() {
+        if forward.repeats_target && calling.is_none() {
             let (this, forward) = (self.clone(), forward.clone());
             // Nobody cancels it; it ends when the worker knows, or time is over.
             actix_rt::spawn(async move { this.give_up(&forward, None, end).await });
         }
-        forward.again || calling == Some(true)
+        forward.repeats_target || calling == Some(true)
     }
 
     /// Ends a forward here and in the core, unless it has ended already.
     fn end(
         &self,
         reference: &str,
-        ticket: Ticket,
+        ticket: ForwardId,
         outcome: Outcome,
         result: Option<Bytes>,
         load: Option<Load>,
@@ -188,7 +188,7 @@
                 out.remove(reference);
             }
         }
-        self.flows.ended_with(ticket, outcome, result, load);
+        self.flows.forward_ended_with_load(ticket, outcome, result, load);
     }
 
     /// Something of a forward, while it is out.
@@ -234,7 +234,11 @@
                 Ok(_) | Err(CallError::Shut) => break,
                 // A process that died, or one that lives and has all the connections it will hold: guards against a
                 // second copy beside one that runs on there. What died with its job is told of as lost.
-                Err(CallError::Refused) if closed.is_none() && !self.flows.is_listed(&forward.name) => break,
+                Err(CallError::Refused)
+                    if closed.is_none() && !self.flows.is_listed(&forward.target_name) =>
+                {
+                    break
+                }
                 Err(CallError::Timeout) => {
                     timeouts += 1;
                     if timeouts >= CANCEL_TIMEOUTS {
@@ -252,7 +256,7 @@
                 // Broken: it may have been an idle connection that the worker had closed.
                 Err(_) => {}
             }
-            if Instant::now() >= forward.until {
+            if Instant::now() >= forward.deadline {
                 break;
             }
             tokio::time::sleep(CANCEL_AGAIN).await;
@@ -281,7 +285,7 @@
             // The worker began to drain between the decision and this moment, say: no connection is opened for it.
             return self.end(&job.reference, forward.ticket, Outcome::Moot, None, None);
         }
-        let left = forward.until.saturating_duration_since(Instant::now());
+        let left = forward.deadline.saturating_duration_since(Instant::now());
         let budget = self.budget_passed_on(left);
         gate.passes_on(budget);
         let budget = budget.as_millis().to_string();
@@ -290,7 +294,7 @@
             ("X-Budget-Ms", &budget),
             (header::CONTENT_TYPE.as_str(), "application/octet-stream"),
         ];
-        if let Some(key) = &job.idempotency {
+        if let Some(key) = &job.idempotency_key {
             headers.push(("Idempotency-Key", key));
         }
         let (addr, body, within) = (forward.addr, job.body.whole(), (TAKEN_WITHIN, left));
@@ -311,7 +315,7 @@
                 tokio::time::sleep(TRY_AGAIN_AFTER).await;
                 Outcome::Moot
             }
-            Err(CallError::Timeout) if Instant::now() >= forward.until => Outcome::TimedOut,
+            Err(CallError::Timeout) if Instant::now() >= forward.deadline => Outcome::TimedOut,
             // The connection has fallen silent. The worker may have the job: if it says so, all is well, else
             // it is told that the job is given up, and only then the next attempt may go out.
             Err(CallError::Timeout) if self.is_told(forward) => return,
@@ -364,7 +368,7 @@
                     None => this.client.probe(addr, path).await,
                     Some(operation) => {
                         match this.client.health_check(addr, path, operation).await.transpose() {
-                            None => return this.flows.lapsed(target),
+                            None => return this.flows.probe_not_permitted(target),
                             Some(call) => call,
                         }
                     }
@@ -385,7 +389,7 @@
             if outcome != Outcome::Served {
                 debug!(target = %addr, outcome = ?outcome, "a probe failed");
             }
-            this.flows.probed(target, outcome, load);
+            this.flows.probe_ended(target, outcome, load);
         });
     }
 }
--- a/dispatcher/src/targets/load.rs
+++ b/dispatcher/src/targets/load.rs
@@ -6,7 +6,7 @@
 /// The header of an answer that carries one.
 pub const LOAD_HEADER: &str = "x-load-report";
 
-/// Takes a figure by its name, the protocol's or the settings'. Others are skipped, and so is what is no amount:
+/// Takes a figure by its name, the protocol's or the settings'. PeerLoad are skipped, and so is what is no amount:
 /// a worker's nonsense must not become a decision.
 fn take(load: &mut Load, name: &str, value: f64) {
     let figure = match name {
--- a/dispatcher/src/targets/upstream.rs
+++ b/dispatcher/src/targets/upstream.rs
@@ -6,7 +6,7 @@
 use crate::config::HttpWorkers;
 use crate::facade::{Outcome, TargetId};
 use crate::fleet::FencedOperation;
-use crate::flow::{Flows, Forward, Job, Passing, Target, Ticket};
+use crate::flow::{Flows, Forward, ForwardId, Job, StreamedAnswer, Target};
 use crate::local_faults::{is_local, TRY_AGAIN_AFTER};
 use bytes::{Bytes, BytesMut};
 use http::{HeaderMap, HeaderValue, Method};
@@ -36,7 +36,7 @@
 const IDLE_PART: f64 = 0.85;
 
 /// What an HTTP front brings along: the request as it came, and where its answer is to pass.
-pub struct Asked {
+pub struct RequestContext {
     pub head: RequestHead,
     pub client: Option<IpAddr>,
     /// The stated length of a body that streams.
@@ -59,7 +59,7 @@
     most: usize,
     calls: Cell<usize>,
     idle: RefCell<FxHashMap<SocketAddr, Vec<(Instant, TcpStream)>>>,
-    out: RefCell<FxHashMap<Ticket, Out>>,
+    out: RefCell<FxHashMap<ForwardId, Out>>,
     began: Instant,
 }
 
@@ -198,7 +198,7 @@
         if permit.and_then(|permit| permit.is_current(Instant::now())).is_err() {
             return Ending { blameless: true, ..never() };
         }
-        let asked = forward.job.detail.as_ref().and_then(|d| d.downcast_ref::<Asked>());
+        let asked = forward.job.protocol_data.as_ref().and_then(|d| d.downcast_ref::<RequestContext>());
         let (head, framing, body) = match self.request(forward, asked) {
             Some(request) => request,
             None => return Ending { blameless: true, ..never() },
@@ -256,7 +256,11 @@
     }
 
     /// What is sent: of an HTTP front what it brought, of another a `POST` of the body.
-    fn request(&self, forward: &Forward, asked: Option<&Asked>) -> Option<(RequestHead, Framing, Source)> {
+    fn request(
+        &self,
+        forward: &Forward,
+        asked: Option<&RequestContext>,
+    ) -> Option<(RequestHead, Framing, Source)> {
         let job: &Job = &forward.job;
         let mut head = match asked {
             Some(asked) => asked.head.clone(),
@@ -340,7 +344,7 @@
     async fn answer(
         &self,
         forward: &Forward,
-        asked: Option<&Asked>,
+        asked: Option<&RequestContext>,
         read: &mut OwnedReadHalf,
         mut incoming: Incoming,
         stage: &Cell<Stage>,
@@ -351,7 +355,7 @@
         let mut writer: Option<Writer> = None;
         let (mut whole, mut status) = (BytesMut::new(), 0);
         let broken = |fault: Fault, stage: Stage| {
-            warn!(target = %forward.name, error = %fault, "upstream: not an answer");
+            warn!(target = %forward.target_name, error = %fault, "upstream: not an answer");
             Ending::of(judge(stage, End::Broken))
         };
         loop {
@@ -418,7 +422,7 @@
                 came = limited.read_buf(&mut input) => came,
                 () = gone => return Ending { blameless: true, ..Ending::of(judge(stage.get(), End::GivenUp)) },
                 () = self.too_slow(&upstream), if passing => {
-                    warn!(target = %forward.name, "upstream too slow: its answer is cut short");
+                    warn!(target = %forward.target_name, "upstream too slow: its answer is cut short");
                     return Ending::of(judge(stage.get(), End::Late));
                 }
             };
@@ -438,10 +442,10 @@
     }
 
     /// From here on the answer passes; where its body goes.
-    fn pass(&self, forward: &Forward, asked: &Asked, head: ResponseHead) -> Option<Writer> {
+    fn pass(&self, forward: &Forward, asked: &RequestContext, head: ResponseHead) -> Option<Writer> {
         let (writer, body) = asked.answer.borrow_mut().take()?;
-        let passing = Passing { head: Box::new(head), body };
-        self.0.flows.passes(forward.ticket, passing).then_some(writer)
+        let passing = StreamedAnswer { head: Box::new(head), body };
+        self.0.flows.stream_answer(forward.ticket, passing).then_some(writer)
     }
 
     fn whole(&self, writer: Option<Writer>, whole: BytesMut, status: u16, reusable: bool) -> Ending {
@@ -454,7 +458,7 @@
         Ending { result: Some(whole.freeze()), reusable, ..Ending::of(verdict) }
     }
 
-    fn end(&self, ticket: Ticket, ending: Ending) {
+    fn end(&self, ticket: ForwardId, ending: Ending) {
         self.0.out.borrow_mut().remove(&ticket);
         let outcome = match (ending.verdict, ending.blameless) {
             (Verdict::NeverRan, true) => Outcome::Moot,
@@ -468,7 +472,7 @@
             (Verdict::Late, _) => Outcome::TimedOut,
             (Verdict::Served | Verdict::Passes, _) => Outcome::Served,
         };
-        self.0.flows.ended(ticket, outcome, ending.result);
+        self.0.flows.forward_ended(ticket, outcome, ending.result);
     }
 }
 
@@ -523,7 +527,7 @@
                     Ok(Err(_)) | Err(_) => break Outcome::NoRoute,
                 }
             };
-            this.0.flows.probed(target, outcome, None);
+            this.0.flows.probe_ended(target, outcome, None);
         });
     }
 }
