--- a/dispatcher/src/flow/contract.rs
+++ b/dispatcher/src/flow/contract.rs
@@ -73,7 +73,7 @@
 /// One attempt, as a target carries it.
 #[derive(Clone, Debug)]
 pub struct Forward {
-    pub ticket: ForwardId,
+    pub id: ForwardId,
     pub target: TargetId,
     pub target_name: Rc<str>,
     pub addr: SocketAddr,
@@ -131,7 +131,7 @@
 /// One line of the list, with what only sockets and people need of it.
 pub struct ListEntry {
     pub listed: Listed,
-    pub place: Endpoint,
+    pub endpoint: Endpoint,
     pub zone: Rc<str>,
     pub kind: Rc<str>,
 }
--- a/dispatcher/src/flow/core.rs
+++ b/dispatcher/src/flow/core.rs
@@ -3,7 +3,7 @@
 
 use super::contract::{Answer, Bounds, Endpoint, Forward, ForwardId, Job, Listener};
 use super::permit_stats::PermitStats;
-use super::OVERDUE;
+use super::DEADLINE_FALLBACK_DELAY;
 use crate::facade::{Ask, Decision, Facade, FlowId, Load, News, Outcome, Stage, TargetId};
 use crate::list::monitor::ListMonitor;
 use bytes::Bytes;
@@ -20,31 +20,31 @@
     pub(super) listener: Option<Box<dyn Listener>>,
     /// It has not been placed yet.
     pub(super) ask: Option<Ask>,
-    pub(super) until: Instant,
-    pub(super) out: Option<Out>,
+    pub(super) deadline: Instant,
+    pub(super) in_flight: Option<InFlight>,
     /// See `Forward::start_by`.
     pub(super) start_by: Option<Instant>,
     /// Where forwards of it have ended, and whether one of them may have run.
-    pub(super) before: Vec<TargetId>,
+    pub(super) tried_targets: Vec<TargetId>,
     pub(super) may_have_run: bool,
     /// When its client left.
-    pub(super) left_at: Option<Instant>,
+    pub(super) client_left_at: Option<Instant>,
     /// The answer passes: the flow is bound to the forward that is out. How long its head took.
-    pub(super) bound: Option<Duration>,
+    pub(super) head_latency: Option<Duration>,
 }
 
-pub(super) struct Out {
+pub(super) struct InFlight {
     pub(super) forward: Forward,
     pub(super) sent: Instant,
     pub(super) cancelling: bool,
     /// Its first byte was written.
-    pub(super) written: bool,
+    pub(super) first_byte_written: bool,
 }
 
 #[derive(Clone)]
-pub(super) struct Known {
+pub(super) struct KnownTarget {
     pub(super) name: Rc<str>,
-    pub(super) place: Endpoint,
+    pub(super) endpoint: Endpoint,
     pub(super) stage: Stage,
     /// Since when the list says that it drains or is gone.
     pub(super) unready_since: Option<Instant>,
@@ -58,9 +58,9 @@
     Forward(RetryPermit, Forward),
     Cancel(Forward),
     Probe(TargetId),
-    Closed(TargetId, usize),
+    TargetClosed(TargetId, usize),
     /// A forward that can't be made, or must not be.
-    NotMade(ForwardId, Outcome),
+    ForwardNotSent(ForwardId, Outcome),
     ProbeFailed(TargetId),
 }
 
@@ -69,27 +69,27 @@
     pub(super) flows: FxHashMap<FlowId, Flow>,
     pub(super) references: FxHashSet<String>,
     pub(super) deadlines: BTreeSet<(Instant, FlowId)>,
-    pub(super) targets: FxHashMap<TargetId, Known>,
+    pub(super) targets: FxHashMap<TargetId, KnownTarget>,
     /// Forwards that are out at each target, and what the observer is to be told of them.
-    pub(super) out: FxHashMap<TargetId, usize>,
-    pub(super) changed: Vec<(TargetId, Option<usize>)>,
-    pub(super) next: u64,
-    pub(super) bytes: usize,
+    pub(super) in_flight_counts: FxHashMap<TargetId, usize>,
+    pub(super) in_flight_changes: Vec<(TargetId, Option<usize>)>,
+    pub(super) last_flow_id: u64,
+    pub(super) body_bytes: usize,
     /// Answers that broke off after their head had gone to the client.
     pub(super) cut_short: u64,
     pub(super) bounds: Bounds,
     pub(super) list: Rc<ListMonitor>,
     /// Whether the module takes the list for valid.
-    pub(super) list_heeded: bool,
+    pub(super) list_valid_reported: bool,
     pub(super) permit_stats: PermitStats,
     /// Workers that operators have taken out, and since when this process knows.
     pub(super) out_of_service: FxHashMap<TargetId, Instant>,
 }
 
 impl Core {
-    pub(super) fn is_out(&self, ticket: ForwardId) -> bool {
-        let out = self.flows.get(&ticket.flow).and_then(|f| f.out.as_ref());
-        out.is_some_and(|o| o.forward.ticket == ticket)
+    pub(super) fn is_in_flight(&self, forward_id: ForwardId) -> bool {
+        let in_flight = self.flows.get(&forward_id.flow).and_then(|f| f.in_flight.as_ref());
+        in_flight.is_some_and(|o| o.forward.id == forward_id)
     }
 
     /// Turns decisions into effects, and keeps the table of flows in step.
@@ -98,7 +98,7 @@
         for decision in decisions {
             match decision {
                 Decision::Forward { flow, number, target } => {
-                    effects.extend(self.forward(ForwardId { flow, number }, target));
+                    effects.extend(self.start_forward(ForwardId { flow, number }, target));
                 }
                 Decision::Wait(_) => {}
                 Decision::FixedResponse { flow: id, retry_after } => {
@@ -108,10 +108,10 @@
                     }
                     // An attempt that outlives its flow serves nobody.
                     effects.extend(self.cancel(id));
-                    self.drop_if_over(id);
+                    self.remove_if_finished(id);
                 }
                 Decision::Cancel { flow, number } => {
-                    if self.is_out(ForwardId { flow, number }) {
+                    if self.is_in_flight(ForwardId { flow, number }) {
                         effects.extend(self.cancel(flow));
                     }
                 }
@@ -125,9 +125,9 @@
         effects
     }
 
-    pub(super) fn forward(&mut self, ticket: ForwardId, target: TargetId) -> Option<Effect> {
+    pub(super) fn start_forward(&mut self, forward_id: ForwardId, target: TargetId) -> Option<Effect> {
         let known = self.targets.get(&target).cloned();
-        let flow = self.flows.get_mut(&ticket.flow)?;
+        let flow = self.flows.get_mut(&forward_id.flow)?;
         // Whatever was decided.
         let facts = RetryFacts {
             now: Instant::now(),
@@ -136,76 +136,80 @@
                 true => EarlierAttempts::MayHaveRun { repeat_until: flow.start_by },
                 false => EarlierAttempts::NeverRan,
             },
-            is_out: flow.out.is_some(),
+            is_out: flow.in_flight.is_some(),
         };
-        let permit = self.permit_stats.retry(ticket, facts.permit());
-        if flow.out.is_some() {
+        let permit = self.permit_stats.record_retry(forward_id, facts.permit());
+        if flow.in_flight.is_some() {
             return None;
         }
         let is_known = known.is_some();
-        let known = known.unwrap_or_else(|| Known {
+        let known = known.unwrap_or_else(|| KnownTarget {
             name: "?".into(),
-            place: Endpoint { addr: ([127, 0, 0, 1], 0).into(), transport: 0 },
+            endpoint: Endpoint { addr: ([127, 0, 0, 1], 0).into(), transport: 0 },
             stage: Stage::Gone,
             unready_since: None,
             zone: "".into(),
             kind: "".into(),
         });
         let forward = Forward {
-            ticket,
+            id: forward_id,
             target,
             target_name: known.name,
-            addr: known.place.addr,
-            transport: known.place.transport,
+            addr: known.endpoint.addr,
+            transport: known.endpoint.transport,
             stage: known.stage,
             job: flow.job.clone(),
-            deadline: flow.until,
+            deadline: flow.deadline,
             start_by: flow.start_by,
-            repeats_target: flow.before.contains(&target),
+            repeats_target: flow.tried_targets.contains(&target),
         };
-        flow.out =
-            Some(Out { forward: forward.clone(), sent: Instant::now(), cancelling: false, written: false });
-        let out = self.out.entry(target).or_default();
-        *out += 1;
-        self.changed.push((target, Some(*out)));
+        flow.in_flight = Some(InFlight {
+            forward: forward.clone(),
+            sent: Instant::now(),
+            cancelling: false,
+            first_byte_written: false,
+        });
+        let count = self.in_flight_counts.entry(target).or_default();
+        *count += 1;
+        self.in_flight_changes.push((target, Some(*count)));
         Some(match permit {
             Ok(permit) if is_known => Effect::Forward(permit, forward),
-            Ok(_) => Effect::NotMade(ticket, Outcome::NoRoute),
-            Err(_) => Effect::NotMade(ticket, Outcome::Moot),
+            Ok(_) => Effect::ForwardNotSent(forward_id, Outcome::NoRoute),
+            Err(_) => Effect::ForwardNotSent(forward_id, Outcome::Moot),
         })
     }
 
     pub(super) fn cancel(&mut self, id: FlowId) -> Option<Effect> {
-        let out = self.flows.get_mut(&id)?.out.as_mut().filter(|o| !o.cancelling)?;
-        out.cancelling = true;
-        Some(Effect::Cancel(out.forward.clone()))
+        let in_flight = self.flows.get_mut(&id)?.in_flight.as_mut().filter(|o| !o.cancelling)?;
+        in_flight.cancelling = true;
+        Some(Effect::Cancel(in_flight.forward.clone()))
     }
 
-    pub(super) fn ended(
+    pub(super) fn forward_ended(
         &mut self,
-        ticket: ForwardId,
+        forward_id: ForwardId,
         outcome: Outcome,
         result: Option<Bytes>,
         load: Option<Load>,
         watch: &Notify,
     ) -> Vec<Effect> {
-        if !self.is_out(ticket) {
+        if !self.is_in_flight(forward_id) {
             return Vec::new();
         }
-        let Some(flow) = self.flows.get_mut(&ticket.flow) else { return Vec::new() };
-        let Some(out) = flow.out.take() else { return Vec::new() };
-        flow.before.push(out.forward.target);
+        let Some(flow) = self.flows.get_mut(&forward_id.flow) else { return Vec::new() };
+        let Some(in_flight) = flow.in_flight.take() else { return Vec::new() };
+        flow.tried_targets.push(in_flight.forward.target);
         flow.may_have_run |= !self.facade.never_ran(outcome);
-        let again_until = self.facade.again_until(flow.job.class, out.sent, outcome);
+        let again_until = self.facade.again_until(flow.job.class, in_flight.sent, outcome);
         flow.start_by = flow.start_by.or(again_until);
-        let left = self.out.entry(out.forward.target).or_default();
-        *left = left.saturating_sub(1);
-        self.changed.push((out.forward.target, Some(*left)));
-        if *left == 0 {
-            self.out.remove(&out.forward.target);
+        let count = self.in_flight_counts.entry(in_flight.forward.target).or_default();
+        *count = count.saturating_sub(1);
+        self.in_flight_changes.push((in_flight.forward.target, Some(*count)));
+        if *count == 0 {
+            self.in_flight_counts.remove(&in_flight.forward.target);
         }
         if matches!(outcome, Outcome::NoRoom | Outcome::NoRoute | Outcome::Fault) {
-            self.changed.push((out.forward.target, None));
+            self.in_flight_changes.push((in_flight.forward.target, None));
         }
         let mut effects = Vec::new();
         let repeatable = flow.job.body.can_repeat();
@@ -219,27 +223,28 @@
         }
         let over = over || flow.listener.is_none();
         // A slow client must not make its target look slow.
-        let (number, spent) = (ticket.number, flow.bound.unwrap_or_else(|| out.sent.elapsed()));
-        debug!(flow = ticket.flow.0, forward = number, target = %out.forward.target_name, class = flow.job.class,
+        let (number, spent) =
+            (forward_id.number, flow.head_latency.unwrap_or_else(|| in_flight.sent.elapsed()));
+        debug!(flow = forward_id.flow.0, forward = number, target = %in_flight.forward.target_name, class = flow.job.class,
             outcome = ?outcome, spent_ms = spent.as_millis() as u64, "forward ended");
-        if flow.bound.is_some() && outcome != Outcome::Served {
+        if flow.head_latency.is_some() && outcome != Outcome::Served {
             self.cut_short += 1;
-            warn!(flow = ticket.flow.0, target = %out.forward.target_name, class = flow.job.class,
+            warn!(flow = forward_id.flow.0, target = %in_flight.forward.target_name, class = flow.job.class,
                 outcome = ?outcome, "an answer was cut short");
         }
-        let news = News::Ended { flow: ticket.flow, number, outcome, over, spent, load };
+        let news = News::Ended { flow: forward_id.flow, number, outcome, over, spent, load };
         let decisions = self.facade.report(news);
         effects.extend(self.effects(decisions, watch));
-        self.drop_if_over(ticket.flow);
+        self.remove_if_finished(forward_id.flow);
         effects
     }
 
     /// The deadline of a flow has come: its forward timed out, and then the module answers it. What it left
     /// unanswered is answered here: the client must not wait for a decision that does not come.
-    pub(super) fn overdue(&mut self, id: FlowId, now: Instant, watch: &Notify) -> Vec<Effect> {
+    pub(super) fn deadline_reached(&mut self, id: FlowId, now: Instant, watch: &Notify) -> Vec<Effect> {
         let Some(flow) = self.flows.get(&id) else { return Vec::new() };
         // The deadline is one for the head of an answer. What passes after it has limits of its own.
-        if flow.bound.is_some() {
+        if flow.head_latency.is_some() {
             return Vec::new();
         }
         let mut effects = Vec::new();
@@ -249,46 +254,47 @@
             effects.extend(self.effects(decisions, watch));
         }
         let Some(flow) = self.flows.get(&id) else { return effects };
-        if let Some(out) = &flow.out {
-            let ticket = out.forward.ticket;
+        if let Some(in_flight) = &flow.in_flight {
+            let forward_id = in_flight.forward.id;
             effects.extend(self.cancel(id));
-            effects.extend(self.ended(ticket, Outcome::TimedOut, None, None, watch));
+            effects.extend(self.forward_ended(forward_id, Outcome::TimedOut, None, None, watch));
         }
         let Some(flow) = self.flows.get_mut(&id) else { return effects };
-        if now < flow.until + OVERDUE {
-            self.deadlines.insert((flow.until + OVERDUE, id));
+        if now < flow.deadline + DEADLINE_FALLBACK_DELAY {
+            self.deadlines.insert((flow.deadline + DEADLINE_FALLBACK_DELAY, id));
         } else if let Some(listener) = flow.listener.take() {
             error!(flow = id.0, class = flow.job.class, "unanswered at its deadline");
             effects.push(Effect::Answer(listener, Answer::Failed));
             let decisions = self.facade.report(News::Left(id));
             effects.extend(self.effects(decisions, watch));
-            self.drop_if_over(id);
+            self.remove_if_finished(id);
         }
         effects
     }
 
     /// Answers a flow that this process can wait for no longer: as refused where nothing of it was ever sent, else as failed.
     /// What is out for it is given up.
-    pub(super) fn give_up(&mut self, id: FlowId, retry_after: Duration, watch: &Notify) -> Vec<Effect> {
+    pub(super) fn abort_flow(&mut self, id: FlowId, retry_after: Duration, watch: &Notify) -> Vec<Effect> {
         let Some(flow) = self.flows.get_mut(&id) else { return Vec::new() };
         let Some(listener) = flow.listener.take() else { return Vec::new() };
-        let may_have_run = flow.may_have_run || flow.out.as_ref().is_some_and(|out| out.written);
+        let may_have_run = flow.may_have_run
+            || flow.in_flight.as_ref().is_some_and(|in_flight| in_flight.first_byte_written);
         let answer = if may_have_run { Answer::Failed } else { Answer::Refused(retry_after) };
         let mut effects = vec![Effect::Answer(listener, answer)];
         let decisions = self.facade.report(News::Left(id));
         effects.extend(self.effects(decisions, watch));
         effects.extend(self.cancel(id));
-        self.drop_if_over(id);
+        self.remove_if_finished(id);
         effects
     }
 
-    pub(super) fn drop_if_over(&mut self, id: FlowId) {
-        let over = self.flows.get(&id).is_some_and(|f| f.listener.is_none() && f.out.is_none());
+    pub(super) fn remove_if_finished(&mut self, id: FlowId) {
+        let over = self.flows.get(&id).is_some_and(|f| f.listener.is_none() && f.in_flight.is_none());
         if let Some(flow) = over.then(|| self.flows.remove(&id)).flatten() {
             self.references.remove(&flow.job.reference);
-            self.bytes -= flow.job.body.len();
-            self.deadlines.remove(&(flow.until, id));
-            self.deadlines.remove(&(flow.until + OVERDUE, id));
+            self.body_bytes -= flow.job.body.len();
+            self.deadlines.remove(&(flow.deadline, id));
+            self.deadlines.remove(&(flow.deadline + DEADLINE_FALLBACK_DELAY, id));
             self.facade.forget(id);
         }
     }
--- a/dispatcher/src/flow/mod.rs
+++ b/dispatcher/src/flow/mod.rs
@@ -34,18 +34,18 @@
 /// The final answer comes this long before the client gives up, so that it still reaches it.
 const ANSWER_MARGIN: Duration = Duration::from_millis(25);
 /// What the decisions leave unanswered at the deadline is answered as failed this much later.
-const OVERDUE: Duration = Duration::from_millis(10);
+const DEADLINE_FALLBACK_DELAY: Duration = Duration::from_millis(10);
 /// The core, shared by listeners and targets. All of them run on one thread.
 #[derive(Clone)]
 pub struct Flows {
     core: Rc<RefCell<Core>>,
     targets: Rc<RefCell<Vec<Rc<dyn Target>>>>,
     observer: Rc<RefCell<Option<Rc<dyn ForwardObserver>>>>,
-    probing: Rc<RefCell<Option<Rc<dyn Probing>>>>,
+    prober: Rc<RefCell<Option<Rc<dyn Probing>>>>,
     operator_state: Rc<RefCell<Option<Rc<dyn OperatorStateSource>>>>,
-    timer: Rc<Notify>,
-    watch: Rc<Notify>,
-    settled: Rc<Notify>,
+    timer_changed: Rc<Notify>,
+    watch_requested: Rc<Notify>,
+    unanswered_changed: Rc<Notify>,
 }
 
 impl Flows {
@@ -56,14 +56,14 @@
             references: FxHashSet::default(),
             deadlines: BTreeSet::new(),
             targets: FxHashMap::default(),
-            out: FxHashMap::default(),
-            changed: Vec::new(),
-            next: 0,
-            bytes: 0,
+            in_flight_counts: FxHashMap::default(),
+            in_flight_changes: Vec::new(),
+            last_flow_id: 0,
+            body_bytes: 0,
             cut_short: 0,
             bounds,
             list,
-            list_heeded: true,
+            list_valid_reported: true,
             permit_stats: PermitStats::default(),
             out_of_service: FxHashMap::default(),
         };
@@ -71,11 +71,11 @@
             core: Rc::new(RefCell::new(core)),
             targets: Rc::default(),
             observer: Rc::default(),
-            probing: Rc::default(),
+            prober: Rc::default(),
             operator_state: Rc::default(),
-            timer: Rc::default(),
-            watch: Rc::default(),
-            settled: Rc::default(),
+            timer_changed: Rc::default(),
+            watch_requested: Rc::default(),
+            unanswered_changed: Rc::default(),
         }
     }
 
@@ -96,7 +96,7 @@
     /// Whether flows are held: nothing of theirs is out, and they wait for no picture.
     pub fn has_held_flows(&self) -> bool {
         let core = self.core.borrow();
-        core.flows.values().any(|f| f.listener.is_some() && f.out.is_none() && f.ask.is_none())
+        core.flows.values().any(|f| f.listener.is_some() && f.in_flight.is_none() && f.ask.is_none())
     }
 
     /// Takes a job in. From here on its listener is owed one answer, unless it leaves first.
@@ -107,28 +107,28 @@
         _permit: StartPermit,
         listener: impl FnOnce(FlowId) -> Box<dyn Listener>,
     ) -> Result<FlowId, OpenError> {
-        let until = Instant::now() + budget.saturating_sub(ANSWER_MARGIN);
+        let deadline = Instant::now() + budget.saturating_sub(ANSWER_MARGIN);
         let id = {
             let core = &mut *self.core.borrow_mut();
             let size = job.body.len();
-            if core.flows.len() >= core.bounds.flows || core.bytes + size > core.bounds.bytes {
+            if core.flows.len() >= core.bounds.flows || core.body_bytes + size > core.bounds.bytes {
                 return Err(OpenError::Full);
             }
             if !core.references.insert(job.reference.clone()) {
                 return Err(OpenError::Duplicate);
             }
-            core.next += 1;
-            core.bytes += size;
-            let id = FlowId(core.next);
+            core.last_flow_id += 1;
+            core.body_bytes += size;
+            let id = FlowId(core.last_flow_id);
             let ask = Ask {
                 class: job.class,
                 tenant: job.tenant,
                 key: job.key.clone(),
                 slots: job.slots,
                 work: job.expected_run_time,
-                deadline: until,
+                deadline,
             };
-            core.deadlines.insert((until, id));
+            core.deadlines.insert((deadline, id));
             debug!(flow = id.0, class = ask.class, "flow came");
             let (job, listener, ask) = (Rc::new(job), Some(listener(id)), Some(ask));
             core.flows.insert(
@@ -137,13 +137,13 @@
                     job,
                     listener,
                     ask,
-                    until,
-                    out: None,
+                    deadline,
+                    in_flight: None,
                     start_by: None,
-                    before: Vec::new(),
+                    tried_targets: Vec::new(),
                     may_have_run: false,
-                    left_at: None,
-                    bound: None,
+                    client_left_at: None,
+                    head_latency: None,
                 },
             );
             id
@@ -153,7 +153,7 @@
             self.dispatch(id);
         }
         // Until it is placed only its deadline is to be heeded.
-        self.timer.notify_one();
+        self.timer_changed.notify_one();
         Ok(id)
     }
 
@@ -164,9 +164,9 @@
             let ask = core.flows.get_mut(&id).filter(|f| f.listener.is_some()).and_then(|f| f.ask.take());
             let Some(ask) = ask else { return };
             let decisions = core.facade.pick(id, ask);
-            core.effects(decisions, &self.watch)
+            core.effects(decisions, &self.watch_requested)
         };
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
     /// The client has gone: it is owed nothing more, and its forward is given up. False: no such open flow.
@@ -175,45 +175,45 @@
             let core = &mut *self.core.borrow_mut();
             let Some(flow) = core.flows.get_mut(&id).filter(|f| f.listener.is_some()) else { return false };
             flow.listener = None;
-            flow.left_at = Some(Instant::now());
+            flow.client_left_at = Some(Instant::now());
             let decisions = core.facade.report(News::Left(id));
-            let mut effects = core.effects(decisions, &self.watch);
+            let mut effects = core.effects(decisions, &self.watch_requested);
             effects.extend(core.cancel(id));
-            core.drop_if_over(id);
+            core.remove_if_finished(id);
             effects
         };
-        self.carry_out(effects);
+        self.apply_effects(effects);
         true
     }
 
     /// A target tells that the job has begun.
-    pub fn job_started(&self, ticket: ForwardId) {
-        debug!(flow = ticket.flow.0, forward = ticket.number, "forward began");
-        self.news(ticket, News::Begun(ticket.flow, ticket.number));
+    pub fn job_started(&self, forward_id: ForwardId) {
+        debug!(flow = forward_id.flow.0, forward = forward_id.number, "forward began");
+        self.report_forward_news(forward_id, News::Begun(forward_id.flow, forward_id.number));
     }
 
     /// A target tells how far the job has got.
-    pub fn job_progress(&self, ticket: ForwardId, share: f64) {
-        self.news(ticket, News::Progress(ticket.flow, ticket.number, share));
+    pub fn job_progress(&self, forward_id: ForwardId, share: f64) {
+        self.report_forward_news(forward_id, News::Progress(forward_id.flow, forward_id.number, share));
     }
 
     /// The head of an answer has come, and the answer passes from here on: the flow has its one answer, and is
     /// bound to this forward until `ended` is called for it. False: nobody wants it.
-    pub fn stream_answer(&self, ticket: ForwardId, passing: StreamedAnswer) -> bool {
+    pub fn stream_answer(&self, forward_id: ForwardId, streamed: StreamedAnswer) -> bool {
         let effects = {
             let core = &mut *self.core.borrow_mut();
-            if !core.is_out(ticket) {
+            if !core.is_in_flight(forward_id) {
                 return false;
             }
-            let Some(flow) = core.flows.get_mut(&ticket.flow) else { return false };
+            let Some(flow) = core.flows.get_mut(&forward_id.flow) else { return false };
             let Some(listener) = flow.listener.take() else { return false };
-            flow.bound = flow.out.as_ref().map(|out| out.sent.elapsed());
-            let mut effects = vec![Effect::Answer(listener, Answer::Streamed(passing))];
-            let decisions = core.facade.report(News::Passes(ticket.flow, ticket.number));
-            effects.extend(core.effects(decisions, &self.watch));
+            flow.head_latency = flow.in_flight.as_ref().map(|in_flight| in_flight.sent.elapsed());
+            let mut effects = vec![Effect::Answer(listener, Answer::Streamed(streamed))];
+            let decisions = core.facade.report(News::Passes(forward_id.flow, forward_id.number));
+            effects.extend(core.effects(decisions, &self.watch_requested));
             effects
         };
-        self.carry_out(effects);
+        self.apply_effects(effects);
         true
     }
 
@@ -221,69 +221,69 @@
     pub fn answer_all_pending(&self, retry_after: Duration) -> usize {
         let (count, effects) = {
             let core = &mut *self.core.borrow_mut();
-            let owed = core.flows.iter().filter(|(_, flow)| flow.listener.is_some());
-            let owed: Vec<FlowId> = owed.map(|(id, _)| *id).collect();
-            let give_up = |id: &FlowId| core.give_up(*id, retry_after, &self.watch);
-            let effects: Vec<Effect> = owed.iter().flat_map(give_up).collect();
-            (owed.len(), effects)
+            let unanswered = core.flows.iter().filter(|(_, flow)| flow.listener.is_some());
+            let unanswered: Vec<FlowId> = unanswered.map(|(id, _)| *id).collect();
+            let abort_flow = |id: &FlowId| core.abort_flow(*id, retry_after, &self.watch_requested);
+            let effects: Vec<Effect> = unanswered.iter().flat_map(abort_flow).collect();
+            (unanswered.len(), effects)
         };
-        self.carry_out(effects);
+        self.apply_effects(effects);
         count
     }
 
-    fn news(&self, ticket: ForwardId, news: News) {
+    fn report_forward_news(&self, forward_id: ForwardId, news: News) {
         let effects = {
             let core = &mut *self.core.borrow_mut();
-            if !core.is_out(ticket) {
+            if !core.is_in_flight(forward_id) {
                 return;
             }
             let decisions = core.facade.report(news);
-            core.effects(decisions, &self.watch)
+            core.effects(decisions, &self.watch_requested)
         };
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
     /// A forward has ended. Said again, or of one that ended otherwise before, it changes nothing.
-    pub fn forward_ended(&self, ticket: ForwardId, outcome: Outcome, result: Option<Bytes>) {
-        self.forward_ended_with_load(ticket, outcome, result, None);
+    pub fn forward_ended(&self, forward_id: ForwardId, outcome: Outcome, result: Option<Bytes>) {
+        self.forward_ended_with_load(forward_id, outcome, result, None);
     }
 
     /// The same, with the target's account of its load.
     pub fn forward_ended_with_load(
         &self,
-        ticket: ForwardId,
+        forward_id: ForwardId,
         outcome: Outcome,
         result: Option<Bytes>,
         load: Option<Load>,
     ) {
         let effects = {
             let core = &mut *self.core.borrow_mut();
-            core.ended(ticket, outcome, result, load, &self.watch)
+            core.forward_ended(forward_id, outcome, result, load, &self.watch_requested)
         };
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
     fn report(&self, news: News) {
         let effects = {
             let core = &mut *self.core.borrow_mut();
             let decisions = core.facade.report(news);
-            core.effects(decisions, &self.watch)
+            core.effects(decisions, &self.watch_requested)
         };
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
     /// Counts the open flows, of so many classes.
     pub fn flow_totals(&self, classes: usize) -> FlowTotals {
         let core = self.core.borrow();
         let mut totals = FlowTotals {
-            bytes: core.bytes,
+            bytes: core.body_bytes,
             cut_short: core.cut_short,
             classes: vec![0; classes],
             ..FlowTotals::default()
         };
         for flow in core.flows.values() {
             totals.open += usize::from(flow.listener.is_some());
-            totals.in_flight += usize::from(flow.out.is_some());
+            totals.in_flight += usize::from(flow.in_flight.is_some());
             if let Some(count) = totals.classes.get_mut(flow.job.class) {
                 *count += usize::from(flow.listener.is_some());
             }
@@ -298,22 +298,22 @@
 
     /// Flows with an attempt out.
     pub fn forwards_in_flight(&self) -> usize {
-        self.core.borrow().flows.values().filter(|f| f.out.is_some()).count()
+        self.core.borrow().flows.values().filter(|f| f.in_flight.is_some()).count()
     }
 
     /// Flows whose answer is passing.
     pub fn streaming_answers(&self) -> usize {
-        self.core.borrow().flows.values().filter(|f| f.bound.is_some()).count()
+        self.core.borrow().flows.values().filter(|f| f.head_latency.is_some()).count()
     }
 
     /// Resolves when somebody should look at `owed` again.
     pub async fn unanswered_changed(&self) {
-        self.settled.notified().await;
+        self.unanswered_changed.notified().await;
     }
 
     /// Resolves when the module wants the list watched.
     pub async fn watch_requested(&self) {
-        self.watch.notified().await;
+        self.watch_requested.notified().await;
     }
 
     /// Runs the clock: the module's ticks, and the flows' deadlines. Never ends.
@@ -326,37 +326,39 @@
             };
             let due = due.unwrap_or_else(|| Instant::now() + Duration::from_secs(60));
             tokio::select! {
-                () = tokio::time::sleep_until(due.into()) => self.due(),
-                () = self.timer.notified() => {}
+                () = tokio::time::sleep_until(due.into()) => self.run_due(),
+                () = self.timer_changed.notified() => {}
             }
         }
     }
 
-    fn due(&self) {
+    fn run_due(&self) {
         let now = Instant::now();
         let mut effects = Vec::new();
         {
             let core = &mut *self.core.borrow_mut();
             let decisions = core.facade.tick();
-            effects.extend(core.effects(decisions, &self.watch));
+            effects.extend(core.effects(decisions, &self.watch_requested));
             while let Some(&(at, id)) = core.deadlines.first().filter(|d| d.0 <= now) {
                 core.deadlines.remove(&(at, id));
-                effects.extend(core.overdue(id, now, &self.watch));
+                effects.extend(core.deadline_reached(id, now, &self.watch_requested));
             }
         }
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
-    fn carry_out(&self, effects: Vec<Effect>) {
-        self.timer.notify_one();
-        let changed = {
+    fn apply_effects(&self, effects: Vec<Effect>) {
+        self.timer_changed.notify_one();
+        let in_flight_changes = {
             let core = &mut *self.core.borrow_mut();
-            let told = std::mem::take(&mut core.changed).into_iter();
-            let place = |(id, out)| core.targets.get(&id).map(|t| (t.name.clone(), t.zone.clone(), out));
-            told.filter_map(place).collect::<Vec<_>>()
+            let changes = std::mem::take(&mut core.in_flight_changes).into_iter();
+            let described = |(id, out)| core.targets.get(&id).map(|t| (t.name.clone(), t.zone.clone(), out));
+            changes.filter_map(described).collect::<Vec<_>>()
         };
         if let Some(observer) = self.observer.borrow().as_ref() {
-            changed.iter().for_each(|(name, zone, out)| observer.in_flight_changed(name, zone, *out));
+            in_flight_changes
+                .iter()
+                .for_each(|(name, zone, out)| observer.in_flight_changed(name, zone, *out));
         }
         if effects.is_empty() {
             return;
@@ -366,16 +368,16 @@
             match effect {
                 Effect::Answer(listener, answer) => {
                     listener.answer(answer);
-                    self.settled.notify_one();
+                    self.unanswered_changed.notify_one();
                 }
                 Effect::Forward(permit, forward) => targets[forward.transport].forward(permit, forward),
                 Effect::Cancel(forward) => targets[forward.transport].cancel(forward),
                 Effect::Probe(id) => self.request_probe(id),
-                Effect::Closed(id, transport) => targets[transport].target_closed(id),
-                Effect::NotMade(ticket, outcome) => self.forward_ended(ticket, outcome, None),
+                Effect::TargetClosed(id, transport) => targets[transport].target_closed(id),
+                Effect::ForwardNotSent(forward_id, outcome) => self.forward_ended(forward_id, outcome, None),
                 Effect::ProbeFailed(id) => self.probe_ended(id, Outcome::NoRoute, None),
             }
         }
-        self.settled.notify_one();
+        self.unanswered_changed.notify_one();
     }
 }
--- a/dispatcher/src/flow/permit_stats.rs
+++ b/dispatcher/src/flow/permit_stats.rs
@@ -36,32 +36,35 @@
 
 impl PermitStats {
     /// Takes note of what became of the permit for a first byte.
-    pub fn send(
+    pub fn record_send(
         &mut self,
-        ticket: ForwardId,
+        forward_id: ForwardId,
         target: &str,
         permit: Result<SendPermit, SendRefusal>,
     ) -> Result<SendPermit, SendRefusal> {
         permit.inspect_err(|reason| {
             self.send[*reason] += 1;
-            debug!(flow = ticket.flow.0, forward = ticket.number, target, %reason, "forward not sent");
+            debug!(flow = forward_id.flow.0, forward = forward_id.number, target, %reason, "forward not sent");
         })
     }
 
     /// The same of one for an attempt. The decisions should not have asked for it.
-    pub fn retry(
+    pub fn record_retry(
         &mut self,
-        ticket: ForwardId,
+        forward_id: ForwardId,
         permit: Result<RetryPermit, RetryRefusal>,
     ) -> Result<RetryPermit, RetryRefusal> {
         permit.inspect_err(|reason| {
             self.retry[*reason] += 1;
-            warn!(flow = ticket.flow.0, forward = ticket.number, %reason, "forward not made");
+            warn!(flow = forward_id.flow.0, forward = forward_id.number, %reason, "forward not made");
         })
     }
 
     /// The same of one for the end of a connection.
-    pub fn close(&mut self, permit: Result<ClosePermit, CloseRefusal>) -> Result<ClosePermit, CloseRefusal> {
+    pub fn record_close(
+        &mut self,
+        permit: Result<ClosePermit, CloseRefusal>,
+    ) -> Result<ClosePermit, CloseRefusal> {
         permit.inspect_err(|reason| {
             self.close[*reason] += 1;
             warn!(%reason, "connection not closed");
@@ -69,7 +72,7 @@
     }
 
     /// The same of one for the start of a request.
-    pub fn start(
+    pub fn record_start(
         &mut self,
         reference: &str,
         permit: Result<StartPermit, StartRefusal>,
@@ -81,7 +84,7 @@
     }
 
     /// A first byte was written.
-    pub fn was_sent(&mut self, list_is_valid: bool) {
+    pub fn record_sent(&mut self, list_is_valid: bool) {
         self.sent += 1;
         self.sent_on_invalid_list += u64::from(!list_is_valid);
     }
@@ -90,9 +93,14 @@
     ///
     /// # Panics
     /// In builds with debug assertions, so that no test passes over it.
-    pub fn violation(&mut self, ticket: Option<ForwardId>, target: Option<&str>, violation: Violation) {
+    pub fn record_violation(
+        &mut self,
+        forward_id: Option<ForwardId>,
+        target: Option<&str>,
+        violation: Violation,
+    ) {
         self.violations[violation] += 1;
-        let (flow, forward) = (ticket.map(|t| t.flow.0), ticket.map(|t| t.number));
+        let (flow, forward) = (forward_id.map(|t| t.flow.0), forward_id.map(|t| t.number));
         error!(?violation, flow, forward, target, "rule broken");
         debug_assert!(false, "rule broken: {violation:?}, flow {flow:?}, target {target:?}");
     }
@@ -100,17 +108,17 @@
     /// What operators are shown: reasons that came up.
     pub fn report(&self) -> PermitStatsReport {
         let mut refused = BTreeMap::new();
-        let mut add = |act: &str, reason: String, count: u64| {
+        let mut add = |operation: &str, reason: String, count: u64| {
             if count > 0 {
-                refused.insert(format!("{act}.{reason}"), count);
+                refused.insert(format!("{operation}.{reason}"), count);
             }
         };
         self.send.iter().for_each(|(reason, count)| add("send", format!("{reason:?}"), *count));
         self.retry.iter().for_each(|(reason, count)| add("retry", format!("{reason:?}"), *count));
         self.close.iter().for_each(|(reason, count)| add("close", format!("{reason:?}"), *count));
         self.start.iter().for_each(|(reason, count)| add("start", format!("{reason:?}"), *count));
-        let broken = self.violations.iter().filter(|(_, count)| **count > 0);
-        let violations = broken.map(|(rule, count)| (format!("{rule:?}"), *count)).collect();
+        let violated = self.violations.iter().filter(|(_, count)| **count > 0);
+        let violations = violated.map(|(rule, count)| (format!("{rule:?}"), *count)).collect();
         PermitStatsReport {
             sent: self.sent,
             sent_on_invalid_list: self.sent_on_invalid_list,
--- a/dispatcher/src/flow/permits.rs
+++ b/dispatcher/src/flow/permits.rs
@@ -36,10 +36,10 @@
 
 impl Core {
     fn send_facts(&self, forward: &Forward, passed_on: Option<Duration>, now: Instant) -> SendFacts {
-        let flow = self.flows.get(&forward.ticket.flow);
-        let out = flow.and_then(|f| f.out.as_ref());
-        let is_out = out.is_some_and(|o| o.forward.ticket == forward.ticket && !o.cancelling);
-        let waits = flow.is_some_and(|f| f.listener.is_some());
+        let flow = self.flows.get(&forward.id.flow);
+        let in_flight = flow.and_then(|f| f.in_flight.as_ref());
+        let is_in_flight = in_flight.is_some_and(|o| o.forward.id == forward.id && !o.cancelling);
+        let client_waits = flow.is_some_and(|f| f.listener.is_some());
         let stage = self.targets.get(&forward.target).map(|known| worker_stage(known.stage));
         SendFacts {
             now,
@@ -52,8 +52,8 @@
                     false => OperatorState::InService,
                 },
             },
-            attempt: if is_out { AttemptState::Out } else { AttemptState::Over },
-            client: if waits { ClientState::Waiting } else { ClientState::Gone },
+            attempt: if is_in_flight { AttemptState::Out } else { AttemptState::Over },
+            client: if client_waits { ClientState::Waiting } else { ClientState::Gone },
             deadline: forward.deadline,
             repeat_until: forward.start_by,
             passed_on,
@@ -61,18 +61,18 @@
     }
 
     fn audit(&self, forward: &Forward, passed_on: Option<Duration>, now: Instant) -> SendAudit {
-        let flow = self.flows.get(&forward.ticket.flow);
+        let flow = self.flows.get(&forward.id.flow);
         let unready = self.targets.get(&forward.target).and_then(|known| known.unready_since);
         SendAudit {
             now,
             list_valid: self.list.was_recently_valid(),
             unready: unready.zip(self.bounds.drain_grace),
             out_of_service: self.out_of_service.get(&forward.target).copied(),
-            client_gone: flow.and_then(|f| f.left_at),
+            client_gone: flow.and_then(|f| f.client_left_at),
             deadline: forward.deadline,
             repeat_until: forward.start_by,
             passed_on,
-            out: usize::from(flow.is_some_and(|f| f.out.is_some())),
+            out: usize::from(flow.is_some_and(|f| f.in_flight.is_some())),
         }
     }
 }
@@ -90,7 +90,7 @@
         let permit = {
             let core = &mut *self.core.borrow_mut();
             let permit = core.send_facts(forward, passed_on, Instant::now()).permit();
-            core.permit_stats.send(forward.ticket, &forward.target_name, permit)
+            core.permit_stats.record_send(forward.id, &forward.target_name, permit)
         };
         if matches!(permit, Err(SendRefusal::ListUnconfirmed | SendRefusal::ListExpired)) {
             // Before the refusal becomes an outcome, and the module decides anew.
@@ -104,47 +104,48 @@
         let effects = {
             let core = &mut *self.core.borrow_mut();
             let valid = core.list.state().is_valid();
-            if std::mem::replace(&mut core.list_heeded, valid) == valid {
+            if std::mem::replace(&mut core.list_valid_reported, valid) == valid {
                 return;
             }
             let decisions = core.facade.report(News::ListValid(valid));
-            core.effects(decisions, &self.watch)
+            core.effects(decisions, &self.watch_requested)
         };
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
     /// The first byte of a forward was written: whether that was right is looked at anew.
     pub fn first_byte_written(&self, forward: &Forward, passed_on: Option<Duration>) {
         let core = &mut *self.core.borrow_mut();
-        core.permit_stats.was_sent(core.list.was_recently_valid());
-        let out = core.flows.get_mut(&forward.ticket.flow).and_then(|flow| flow.out.as_mut());
-        if let Some(out) = out.filter(|out| out.forward.ticket == forward.ticket) {
-            out.written = true;
+        core.permit_stats.record_sent(core.list.was_recently_valid());
+        let in_flight = core.flows.get_mut(&forward.id.flow).and_then(|flow| flow.in_flight.as_mut());
+        if let Some(in_flight) = in_flight.filter(|in_flight| in_flight.forward.id == forward.id) {
+            in_flight.first_byte_written = true;
         }
-        let ForwardId { flow, number } = forward.ticket;
+        let ForwardId { flow, number } = forward.id;
         let list = core.list.report();
         debug!(flow = flow.0, forward = number, target = %forward.target_name, list = %list.state,
             version = list.version, confirmed_ms_ago = list.confirmed_ago.map(|ago| ago.as_millis() as u64),
             "forward sent");
-        let broken: Vec<Violation> = core.audit(forward, passed_on, Instant::now()).violations().collect();
-        for violation in broken {
-            core.permit_stats.violation(Some(forward.ticket), Some(&forward.target_name), violation);
+        let violations: Vec<Violation> =
+            core.audit(forward, passed_on, Instant::now()).violations().collect();
+        for violation in violations {
+            core.permit_stats.record_violation(Some(forward.id), Some(&forward.target_name), violation);
         }
     }
 
     /// The permit to take a request.
     pub fn start_permit(&self, reference: &str, facts: StartFacts) -> Result<StartPermit, StartRefusal> {
-        self.core.borrow_mut().permit_stats.start(reference, facts.permit())
+        self.core.borrow_mut().permit_stats.record_start(reference, facts.permit())
     }
 
     /// The permit to end a client's connection; `None`: it has to stay.
     pub fn close_permit(&self, facts: CloseFacts) -> Option<ClosePermit> {
-        self.core.borrow_mut().permit_stats.close(facts.permit()).ok()
+        self.core.borrow_mut().permit_stats.record_close(facts.permit()).ok()
     }
 
     /// A connection that owed its client an answer has ended.
     pub fn closed_with_answer_pending(&self) {
-        self.core.borrow_mut().permit_stats.violation(None, None, Violation::AnswerOwed);
+        self.core.borrow_mut().permit_stats.record_violation(None, None, Violation::AnswerOwed);
     }
 
     /// The worker list, for operators.
--- a/dispatcher/src/flow/targets.rs
+++ b/dispatcher/src/flow/targets.rs
@@ -1,6 +1,6 @@
 //! What the core knows of targets: the list, what peers and operators say of them, and who probes them.
 
-use super::core::{Effect, Known};
+use super::core::{Effect, KnownTarget};
 use super::{Flows, Forward, ListEntry, ListKind, OperatorStateSource, PeerLoad, TargetStatus};
 use crate::facade::{Load, News, Outcome, Stage, Steer, TargetId};
 use crate::fleet::prober::Probing;
@@ -10,17 +10,17 @@
 use std::time::Instant;
 impl Flows {
     /// Has another see to probes.
-    pub fn set_prober(&self, probing: Rc<dyn Probing>) {
-        *self.probing.borrow_mut() = Some(probing);
+    pub fn set_prober(&self, prober: Rc<dyn Probing>) {
+        *self.prober.borrow_mut() = Some(prober);
     }
 
     /// Makes a probe; `probed` is called.
     pub fn probe(&self, target: TargetId, operation: Option<FencedOperation>) {
-        let place = self.core.borrow().targets.get(&target).map(|known| known.place);
-        match place {
-            Some(place) => {
-                let transport = self.targets.borrow()[place.transport].clone();
-                transport.probe(target, place.addr, operation);
+        let endpoint = self.core.borrow().targets.get(&target).map(|known| known.endpoint);
+        match endpoint {
+            Some(endpoint) => {
+                let transport = self.targets.borrow()[endpoint.transport].clone();
+                transport.probe(target, endpoint.addr, operation);
             }
             None => self.probe_ended(target, Outcome::NoRoute, None),
         }
@@ -28,23 +28,23 @@
 
     /// A probe was to be made for the fleet, and this process may not act for it any longer: nothing was sent.
     pub fn probe_not_permitted(&self, target: TargetId) {
-        let probing = self.probing.borrow().clone();
+        let prober = self.prober.borrow().clone();
         let known = self.core.borrow().targets.get(&target).map(|k| k.name.clone());
-        if let (Some(probing), Some(name)) = (probing, known) {
-            probing.lapsed(&name);
+        if let (Some(prober), Some(name)) = (prober, known) {
+            prober.lapsed(&name);
         }
         self.request_probe(target);
     }
 
     /// Has a probe made, by this process or by who sees to probes.
     pub(super) fn request_probe(&self, target: TargetId) {
-        let probing = self.probing.borrow().clone();
+        let prober = self.prober.borrow().clone();
         let known = self.core.borrow().targets.get(&target).map(|k| (k.name.clone(), k.zone.clone()));
-        let seen_to = match (probing, known) {
-            (Some(probing), Some((name, zone))) => probing.takes(target, &name, &zone),
+        let taken_over = match (prober, known) {
+            (Some(prober), Some((name, zone))) => prober.takes(target, &name, &zone),
             _ => Err(None),
         };
-        if let Err(operation) = seen_to {
+        if let Err(operation) = taken_over {
             self.probe(target, operation);
         }
     }
@@ -62,22 +62,22 @@
             let mut effects = Vec::new();
             for PeerLoad { target, in_flight, refused } in news {
                 let decisions = core.facade.report(News::Others(*target, *in_flight, *refused));
-                effects.extend(core.effects(decisions, &self.watch));
+                effects.extend(core.effects(decisions, &self.watch_requested));
             }
             effects
         };
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
     /// A probe has ended.
     pub fn probe_ended(&self, target: TargetId, outcome: Outcome, load: Option<Load>) {
         if !matches!(outcome, Outcome::Served | Outcome::Moot) {
-            self.core.borrow_mut().changed.push((target, None));
+            self.core.borrow_mut().in_flight_changes.push((target, None));
         }
-        let probing = self.probing.borrow().clone();
-        if let Some(probing) = probing {
+        let prober = self.prober.borrow().clone();
+        if let Some(prober) = prober {
             let known = self.core.borrow().targets.get(&target).map(|k| (k.name.clone(), k.zone.clone()));
-            known.iter().for_each(|(name, zone)| probing.ended(name, zone, outcome, load));
+            known.iter().for_each(|(name, zone)| prober.ended(name, zone, outcome, load));
         }
         self.shared_probe_ended(target, outcome, load);
     }
@@ -135,23 +135,23 @@
     /// The targets that have not left, by name.
     pub fn listed_targets(&self) -> Vec<TargetStatus> {
         let core = self.core.borrow();
-        let mut out: FxHashMap<TargetId, usize> = FxHashMap::default();
-        for forward in core.flows.values().filter_map(|f| f.out.as_ref()) {
-            *out.entry(forward.forward.target).or_default() += 1;
+        let mut counts: FxHashMap<TargetId, usize> = FxHashMap::default();
+        for in_flight in core.flows.values().filter_map(|f| f.in_flight.as_ref()) {
+            *counts.entry(in_flight.forward.target).or_default() += 1;
         }
         let listed = core.targets.iter().filter(|(_, t)| t.stage != Stage::Gone);
-        let mut seen: Vec<TargetStatus> = listed
-            .map(|(id, Known { name, place, stage, zone, kind, .. })| TargetStatus {
+        let mut statuses: Vec<TargetStatus> = listed
+            .map(|(id, KnownTarget { name, endpoint, stage, zone, kind, .. })| TargetStatus {
                 name: name.clone(),
-                addr: place.addr,
+                addr: endpoint.addr,
                 stage: *stage,
                 zone: zone.clone(),
                 kind: kind.clone(),
-                in_flight: out.get(id).copied().unwrap_or(0),
+                in_flight: counts.get(id).copied().unwrap_or(0),
             })
             .collect();
-        seen.sort_by(|a, b| a.name.cmp(&b.name));
-        seen
+        statuses.sort_by(|a, b| a.name.cmp(&b.name));
+        statuses
     }
 
     /// News of the targets, with their addresses.
@@ -160,22 +160,22 @@
             let core = &mut *self.core.borrow_mut();
             let (mut effects, now) = (Vec::new(), Instant::now());
             if kind != ListKind::Delta {
-                let named: FxHashSet<TargetId> = entries.iter().map(|e| e.listed.target).collect();
-                for (id, known) in core.targets.iter_mut().filter(|(id, _)| !named.contains(id)) {
+                let listed_ids: FxHashSet<TargetId> = entries.iter().map(|e| e.listed.target).collect();
+                for (id, known) in core.targets.iter_mut().filter(|(id, _)| !listed_ids.contains(id)) {
                     known.stage = Stage::Gone;
                     known.unready_since.get_or_insert(now);
-                    effects.push(Effect::Closed(*id, known.place.transport));
+                    effects.push(Effect::TargetClosed(*id, known.endpoint.transport));
                 }
             }
-            for ListEntry { listed, place, zone, kind } in &entries {
+            for ListEntry { listed, endpoint, zone, kind } in &entries {
                 let (name, stage) = (core.facade.name(listed.target).into(), listed.stage);
                 let before = core.targets.get(&listed.target).and_then(|known| known.unready_since);
                 let unready_since = (stage != Stage::Ready).then(|| before.unwrap_or(now));
                 let (zone, kind) = (zone.clone(), kind.clone());
-                let known = Known { name, place: *place, stage, unready_since, zone, kind };
+                let known = KnownTarget { name, endpoint: *endpoint, stage, unready_since, zone, kind };
                 core.targets.insert(listed.target, known);
                 if listed.stage != Stage::Ready {
-                    effects.push(Effect::Closed(listed.target, place.transport));
+                    effects.push(Effect::TargetClosed(listed.target, endpoint.transport));
                 }
             }
             if let Some(observer) = self.observer.borrow().as_ref() {
@@ -185,10 +185,10 @@
             }
             let listed = entries.into_iter().map(|e| e.listed).collect();
             let decisions = core.facade.report(News::List(kind, listed));
-            effects.extend(core.effects(decisions, &self.watch));
+            effects.extend(core.effects(decisions, &self.watch_requested));
             effects
         };
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
     /// Whether the list still says of the target what it said when the forward was decided, and it may still go out.
--- a/dispatcher/src/list/calls.rs
+++ b/dispatcher/src/list/calls.rs
@@ -11,45 +11,45 @@
 /// The longest list that is read.
 const MAX_LIST_BYTES: usize = 4 << 20;
 /// While a call stands in discovery's queue, whether its machine can be reached is looked at so often.
-const LOOK_EVERY: Duration = Duration::from_secs(2);
+const REACHABILITY_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Why a call brought no list.
 #[derive(Debug)]
-pub(super) enum NoList {
+pub(super) enum ListCallError {
     /// It came to no answer.
     Call(CallError),
     /// Discovery's machine can't be reached any more.
-    Vanished,
+    HostUnreachable,
     /// It was answered with another status than 200.
     Status(u16),
     /// What could not be read is asked for whole the next time.
     Unreadable(serde_json::Error),
 }
 
-impl NoList {
+impl ListCallError {
     /// What it tells of whether discovery can be reached.
     pub(super) fn failure(&self) -> CallFailure {
         match self {
-            NoList::Call(CallError::Timeout) => CallFailure::Silent,
-            NoList::Call(CallError::Local(_) | CallError::Busy | CallError::Shut) => CallFailure::NotMade,
-            NoList::Call(CallError::Refused | CallError::NoConnection(_)) | NoList::Vanished => {
-                CallFailure::Unreachable
+            ListCallError::Call(CallError::Timeout) => CallFailure::Silent,
+            ListCallError::Call(CallError::Local(_) | CallError::Busy | CallError::NotPermitted) => {
+                CallFailure::NotMade
             }
-            NoList::Call(CallError::Stale | CallError::Unsent | CallError::Broken(_)) | NoList::Status(_) => {
-                CallFailure::TurnedAway
-            }
-            NoList::Unreadable(_) => CallFailure::Unreadable,
+            ListCallError::Call(CallError::Refused | CallError::NoConnection(_))
+            | ListCallError::HostUnreachable => CallFailure::Unreachable,
+            ListCallError::Call(CallError::Stale | CallError::Unsent | CallError::Broken(_))
+            | ListCallError::Status(_) => CallFailure::TurnedAway,
+            ListCallError::Unreadable(_) => CallFailure::Unreadable,
         }
     }
 }
 
-impl fmt::Display for NoList {
+impl fmt::Display for ListCallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            NoList::Call(e) => write!(f, "{e}"),
-            NoList::Vanished => write!(f, "its machine can't be reached any more"),
-            NoList::Status(status) => write!(f, "status {status}"),
-            NoList::Unreadable(e) => write!(f, "not understood: {e}"),
+            ListCallError::Call(e) => write!(f, "{e}"),
+            ListCallError::HostUnreachable => write!(f, "its machine can't be reached any more"),
+            ListCallError::Status(status) => write!(f, "status {status}"),
+            ListCallError::Unreadable(e) => write!(f, "not understood: {e}"),
         }
     }
 }
@@ -60,16 +60,16 @@
     at: SocketAddr,
     after: Option<u64>,
     wait: Duration,
-    within: Duration,
-) -> Result<HostList, NoList> {
+    time_limit: Duration,
+) -> Result<HostList, ListCallError> {
     let path = match after {
         Some(v) => format!("/discovery/hosts?after={v}&wait_ms={}", wait.as_millis()),
         None => "/discovery/hosts".into(),
     };
-    match client.get(at, &path, within, MAX_LIST_BYTES).await {
-        Ok((200, body)) => serde_json::from_slice(&body).map_err(NoList::Unreadable),
-        Ok((status, _)) => Err(NoList::Status(status)),
-        Err(e) => Err(NoList::Call(e)),
+    match client.get(at, &path, time_limit, MAX_LIST_BYTES).await {
+        Ok((200, body)) => serde_json::from_slice(&body).map_err(ListCallError::Unreadable),
+        Ok((status, _)) => Err(ListCallError::Status(status)),
+        Err(e) => Err(ListCallError::Call(e)),
     }
 }
 
@@ -77,16 +77,16 @@
 /// only where the machine can't be reached, or after `patience`. One given up early would have to be paid for again, and
 /// a queue of calls that nobody waits for never ends. Its answer may also have been lost: one more call is made beside it after
 /// `second_after`.
-pub(super) async fn call_in_turn(
+pub(super) async fn call_queued(
     client: &HttpClient,
     at: SocketAddr,
     after: Option<u64>,
-    (second_after, patience): (Duration, Duration),
-) -> Result<HostList, NoList> {
-    let mut first = pin!(call(client, at, after, Duration::ZERO, patience));
+    (second_after, time_limit): (Duration, Duration),
+) -> Result<HostList, ListCallError> {
+    let mut first = pin!(call(client, at, after, Duration::ZERO, time_limit));
     let mut second = pin!(async {
         tokio::time::sleep(second_after).await;
-        call(client, at, after, Duration::ZERO, patience).await
+        call(client, at, after, Duration::ZERO, time_limit).await
     });
     let mut second_failed = false;
     loop {
@@ -98,15 +98,15 @@
                 Ok(list) => return Ok(list),
                 Err(_) => second_failed = true,
             },
-            reached = look(client, at) => if !reached {
-                return Err(NoList::Vanished);
+            is_reachable = reachable_after_interval(client, at) => if !is_reachable {
+                return Err(ListCallError::HostUnreachable);
             },
         }
     }
 }
 
 /// Whether discovery's machine can be reached, a while from now.
-async fn look(client: &HttpClient, at: SocketAddr) -> bool {
-    tokio::time::sleep(LOOK_EVERY).await;
+async fn reachable_after_interval(client: &HttpClient, at: SocketAddr) -> bool {
+    tokio::time::sleep(REACHABILITY_CHECK_INTERVAL).await;
     client.is_reachable(at).await
 }
--- a/dispatcher/src/list/mod.rs
+++ b/dispatcher/src/list/mod.rs
@@ -22,13 +22,13 @@
 use tracing::debug;
 
 /// Where discovery or the agent is; it may move.
-type Address = tokio::sync::watch::Receiver<Option<SocketAddr>>;
+type AddressReceiver = tokio::sync::watch::Receiver<Option<SocketAddr>>;
 
 /// What asking for lists works with, wherever they come from.
 pub struct ListSource {
     pub flows: Flows,
     pub client: HttpClient,
-    pub discovery: Address,
+    pub discovery: AddressReceiver,
     pub names: NameTable,
     /// The version of the list that was told at the start.
     pub initial_version: Option<u64>,
@@ -47,7 +47,7 @@
 impl HostList {
     /// What to ask for changes after, the next time: nothing, where a discovery that counts anew has told of none. It has
     /// lost what it once said, and so its next word is to be its whole list.
-    fn known(&self, before: Option<u64>) -> Option<u64> {
+    fn next_after(&self, before: Option<u64>) -> Option<u64> {
         Some(self.version).filter(|version| self.full || before.is_none_or(|before| *version >= before))
     }
 
@@ -102,11 +102,11 @@
 impl NameTable {
     /// The position of a name. One that the settings don't hold gets a position of its own behind them.
     fn position(names: &mut Vec<String>, name: &str) -> u32 {
-        let at = names.iter().position(|n| n == name).unwrap_or_else(|| {
+        let position = names.iter().position(|n| n == name).unwrap_or_else(|| {
             names.push(name.to_owned());
             names.len() - 1
         });
-        at as u32
+        position as u32
     }
 }
 
@@ -132,8 +132,8 @@
         };
         let transport = names.transports.get(&host.kind).copied().unwrap_or(0);
         let (zone, kind) = (host.zone.as_str().into(), host.kind.as_str().into());
-        let place = Endpoint { addr: host.addr, transport };
-        entries.insert(&host.id, ListEntry { listed, place, zone, kind });
+        let endpoint = Endpoint { addr: host.addr, transport };
+        entries.insert(&host.id, ListEntry { listed, endpoint, zone, kind });
     }
     let mut entries: Vec<_> = entries.into_values().collect();
     entries.sort_by_key(|e| e.listed.target.0);
--- a/dispatcher/src/list/monitor.rs
+++ b/dispatcher/src/list/monitor.rs
@@ -12,10 +12,10 @@
 use tracing::{info, warn};
 
 /// Between two looks where nothing is due.
-const LOOK_EVERY: Duration = Duration::from_secs(60);
+const CHECK_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Between a permit and the look behind the write, in milliseconds.
-const MOMENT: u64 = 20;
+const PERMIT_TO_AUDIT_MS: u64 = 20;
 
 /// What makes the state of the list change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,9 +53,9 @@
 
 /// Follows the state of one list.
 pub struct ListMonitor {
-    began: Instant,
+    started: Instant,
     status: RefCell<ListStatus>,
-    logged: Cell<ListState>,
+    logged_state: Cell<ListState>,
     version: Cell<Option<u64>>,
     expired: Cell<u64>,
     peer_reports: Cell<u64>,
@@ -64,24 +64,24 @@
     /// When what is read now may have come.
     arrivals: Rc<ArrivalClock>,
     /// When the call was made that ended last.
-    asked: Cell<Instant>,
+    call_started: Cell<Instant>,
 }
 
 impl ListMonitor {
     /// Begins with a list in this state.
     pub fn new(status: ListStatus, arrivals: Rc<ArrivalClock>) -> Self {
-        let logged = Cell::new(status.at(0));
+        let logged_state = Cell::new(status.at(0));
         ListMonitor {
-            began: Instant::now(),
+            started: Instant::now(),
             status: RefCell::new(status),
-            logged,
+            logged_state,
             version: Cell::default(),
             expired: Cell::default(),
             peer_reports: Cell::default(),
             shortened_by_peers: Cell::default(),
             changed: Notify::new(),
             arrivals,
-            asked: Cell::new(Instant::now()),
+            call_started: Cell::new(Instant::now()),
         }
     }
 
@@ -90,32 +90,32 @@
     pub async fn run(self: Rc<Self>, flows: Flows) {
         loop {
             flows.update_list_validity();
-            let due = self.expires().unwrap_or_else(|| Instant::now() + LOOK_EVERY);
+            let due = self.expires().unwrap_or_else(|| Instant::now() + CHECK_INTERVAL);
             // Either branch can be dropped: the state is read anew.
             tokio::select! {
-                () = tokio::time::sleep_until(due.into()) => self.note(Change::Elapsed),
+                () = tokio::time::sleep_until(due.into()) => self.record(Change::Elapsed),
                 () = self.changed.notified() => {}
             }
         }
     }
 
     fn now(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started.elapsed().as_millis() as u64
     }
 
     /// When the end of a call may have come that is heard of now: it may have stood unread while the list changed. It did not come
     /// before its call was made.
-    fn ended_at(&self) -> u64 {
-        self.earliest().max(self.at(self.asked.get()))
+    fn earliest_call_end(&self) -> u64 {
+        self.earliest_arrival().max(self.millis_at(self.call_started.get()))
     }
 
     /// When what is read now may have come.
-    fn earliest(&self) -> u64 {
-        self.at(self.arrivals.earliest(Instant::now()))
+    fn earliest_arrival(&self) -> u64 {
+        self.millis_at(self.arrivals.earliest(Instant::now()))
     }
 
-    fn at(&self, instant: Instant) -> u64 {
-        instant.saturating_duration_since(self.began).as_millis() as u64
+    fn millis_at(&self, instant: Instant) -> u64 {
+        instant.saturating_duration_since(self.started).as_millis() as u64
     }
 
     /// A list with this version is in use: told at the start, or by discovery.
@@ -129,15 +129,15 @@
     }
 
     /// Discovery has answered a call that was made then.
-    pub fn answered(&self, asked: Instant) {
-        self.asked.set(asked);
-        self.note(Change::Answered);
+    pub fn answered(&self, call_started: Instant) {
+        self.call_started.set(call_started);
+        self.record(Change::Answered);
     }
 
     /// The same, where the call did not wait for news.
-    pub fn queued_call_answered(&self, asked: Instant) {
-        self.status.borrow_mut().took_turn(asked.elapsed().as_millis() as u64);
-        self.answered(asked);
+    pub fn queued_call_answered(&self, call_started: Instant) {
+        self.status.borrow_mut().took_turn(call_started.elapsed().as_millis() as u64);
+        self.answered(call_started);
     }
 
     /// Whether a crowd of the whole tier may last too long at discovery, as far as is known.
@@ -146,24 +146,24 @@
     }
 
     /// A call that was made then came to nothing.
-    pub fn failed(&self, asked: Instant, failure: CallFailure) {
-        self.asked.set(asked);
-        self.note(Change::Failed(failure));
+    pub fn failed(&self, call_started: Instant, failure: CallFailure) {
+        self.call_started.set(call_started);
+        self.record(Change::Failed(failure));
     }
 
     /// Takes note of a change.
-    pub fn note(&self, change: Change) {
+    pub fn record(&self, change: Change) {
         let now = self.now();
         {
             let mut status = self.status.borrow_mut();
             match change {
-                Change::Answered => status.answered(self.ended_at()),
+                Change::Answered => status.answered(self.earliest_call_end()),
                 Change::WatchBegan(wait) => status.watch_began(now, wait.as_millis() as u64),
-                Change::Failed(failure) => status.failed(self.ended_at(), failure),
+                Change::Failed(failure) => status.failed(self.earliest_call_end(), failure),
                 Change::PeerAnswered(version) => {
                     let has_newer = self.version.get().is_none_or(|own| version > own);
                     self.peer_reports.set(self.peer_reports.get() + 1);
-                    if status.peer_answered(now, self.earliest(), has_newer) {
+                    if status.peer_answered(now, self.earliest_arrival(), has_newer) {
                         self.shortened_by_peers.set(self.shortened_by_peers.get() + 1);
                         info!(
                             version = self.version.get(),
@@ -176,8 +176,8 @@
                 Change::Elapsed => {}
             }
         }
-        let (before, state) = (self.logged.get(), self.state());
-        self.logged.set(state);
+        let (before, state) = (self.logged_state.get(), self.state());
+        self.logged_state.set(state);
         self.log(before, state, change);
         if change != Change::Elapsed {
             self.changed.notify_one();
@@ -186,8 +186,8 @@
 
     /// Watches renew all the time; what is worth a line is that validity, or the way discovery is reached, has changed.
     fn log(&self, before: ListState, state: ListState, change: Change) {
-        let heard = |state| matches!(state, ListState::Confirmed | ListState::Watched);
-        if before == state || heard(before) && heard(state) {
+        let answered_lately = |state| matches!(state, ListState::Confirmed | ListState::Watched);
+        if before == state || answered_lately(before) && answered_lately(state) {
             return;
         }
         let report = self.report();
@@ -211,7 +211,7 @@
     pub fn was_recently_valid(&self) -> bool {
         let now = self.now();
         let status = self.status.borrow();
-        status.at(now).is_valid() || status.at(now.saturating_sub(MOMENT)).is_valid()
+        status.at(now).is_valid() || status.at(now.saturating_sub(PERMIT_TO_AUDIT_MS)).is_valid()
     }
 
     /// How long the list stays valid, if nothing more is heard: not at all before it was confirmed. Longest where it has no end
@@ -227,7 +227,7 @@
     fn expires(&self) -> Option<Instant> {
         let valid = self.state().is_valid();
         let until = self.status.borrow().expires().filter(|_| valid);
-        until.map(|at| self.began + Duration::from_millis(at))
+        until.map(|at| self.started + Duration::from_millis(at))
     }
 
     /// What operators are shown.
--- a/dispatcher/src/peers/discovery_reports.rs
+++ b/dispatcher/src/peers/discovery_reports.rs
@@ -18,7 +18,7 @@
 pub struct DiscoveryReports {
     monitor: Rc<ListMonitor>,
     schedule: RefCell<ReportSchedule>,
-    began: Instant,
+    started: Instant,
     /// Not there where the settings let no dispatchers talk.
     sender: OnceCell<Rc<dyn ReportSender>>,
 }
@@ -29,7 +29,7 @@
         DiscoveryReports {
             monitor,
             schedule: RefCell::default(),
-            began: Instant::now(),
+            started: Instant::now(),
             sender: OnceCell::new(),
         }
     }
@@ -51,12 +51,12 @@
     }
 
     /// A peer has sent a report.
-    pub fn heard(&self, report: DiscoveryReport) {
+    pub fn report_received(&self, report: DiscoveryReport) {
         self.schedule.borrow_mut().heard(self.now(), report);
-        self.monitor.note(Change::PeerAnswered(report.version));
+        self.monitor.record(Change::PeerAnswered(report.version));
     }
 
     fn now(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started.elapsed().as_millis() as u64
     }
 }
--- a/dispatcher/src/peers/load_gossip.rs
+++ b/dispatcher/src/peers/load_gossip.rs
@@ -20,27 +20,27 @@
 use tracing::{debug, info};
 
 /// After an error of the socket.
-const PAUSE: Duration = Duration::from_millis(20);
+const SOCKET_ERROR_DELAY: Duration = Duration::from_millis(20);
 /// Datagrams that are taken in before others on this thread get their turn.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
 /// Between two questions while flows are held, about.
-const QUERY_EVERY: Duration = Duration::from_millis(100);
+const QUERY_INTERVAL: Duration = Duration::from_millis(100);
 /// What is out long is sent reports again.
-const REPORT_EVERY: Duration = Duration::from_millis(REPORT_TTL / 2);
+const REPORT_INTERVAL: Duration = Duration::from_millis(REPORT_TTL / 2);
 
 /// The gossip of this process: it learns of forwards from the core, and reports those of peers to the core.
 struct LoadGossip {
-    me: Weak<LoadGossip>,
+    weak_self: Weak<LoadGossip>,
     socket: UdpSocket,
     flows: Flows,
     own: u32,
-    home: Option<Tag>,
+    home_zone: Option<Tag>,
     peers: Vec<SocketAddr>,
     /// One address for all of them, where there is one.
     all_peers: Option<SocketAddr>,
     reports: Rc<DiscoveryReports>,
-    numbers: FxHashMap<SocketAddr, u32>,
-    began: Instant,
+    peer_numbers: FxHashMap<SocketAddr, u32>,
+    started: Instant,
     state: RefCell<State>,
 }
 
@@ -49,7 +49,7 @@
     turn: u8,
     zone: Tag,
     aggregator: u32,
-    asked: Instant,
+    sent_at: Instant,
     /// Flows that wait for its answer.
     flows: Vec<FlowId>,
 }
@@ -63,13 +63,13 @@
     zones: Vec<Tag>,
     next_zone: usize,
     /// What is out, with its zone, and what has just refused one.
-    out: FxHashMap<Tag, (Tag, u8)>,
+    in_flight: FxHashMap<Tag, (Tag, u8)>,
     refused: FxHashSet<Tag>,
     turn: u8,
     reported_at: Instant,
     queries: Vec<Query>,
     /// What the core was told of each target last.
-    said: FxHashMap<TargetId, u8>,
+    last_reported: FxHashMap<TargetId, u8>,
 }
 
 /// Binds the socket and begins to report and to receive.
@@ -86,37 +86,37 @@
         .await
         .map_err(|e| format!("peer_listen: {listen}: {e}"))?;
     info!(peers = peers.len(), own, "load gossip: reports forwards to peers");
-    let numbers = peers.iter().zip(0..).map(|(at, number)| (*at, number)).collect();
+    let peer_numbers = peers.iter().zip(0..).map(|(at, number)| (*at, number)).collect();
     let state = State {
         reported: ReportedLoad::default(),
         aggregators: ZoneAggregators::new(peers.len() as u32),
         targets: FxHashMap::default(),
         zones: Vec::new(),
         next_zone: 0,
-        out: FxHashMap::default(),
+        in_flight: FxHashMap::default(),
         refused: FxHashSet::default(),
         turn: 0,
         reported_at: Instant::now(),
         queries: Vec::new(),
-        said: FxHashMap::default(),
+        last_reported: FxHashMap::default(),
     };
-    let gossip = Rc::new_cyclic(|me| LoadGossip {
-        me: me.clone(),
+    let gossip = Rc::new_cyclic(|weak_self| LoadGossip {
+        weak_self: weak_self.clone(),
         socket,
         flows: flows.clone(),
         own,
-        home: zone_name.as_deref().map(Tag::of),
+        home_zone: zone_name.as_deref().map(Tag::of),
         peers,
         all_peers,
         reports: reports.clone(),
-        numbers,
-        began: Instant::now(),
+        peer_numbers,
+        started: Instant::now(),
         state: RefCell::new(state),
     });
     flows.observe_forwards(gossip.clone());
     reports.set_sender(gossip.clone());
-    actix_rt::spawn(gossip.clone().hear());
-    actix_rt::spawn(gossip.clone().repeat());
+    actix_rt::spawn(gossip.clone().receive_loop());
+    actix_rt::spawn(gossip.clone().repeat_reports());
     actix_rt::spawn(gossip.query_while_held());
     Ok(())
 }
@@ -128,8 +128,8 @@
             let state = &mut *self.state.borrow_mut();
             match out {
                 None => drop(state.refused.insert(tag)),
-                Some(0) => drop(state.out.remove(&tag)),
-                Some(out) => drop(state.out.insert(tag, (zone, out.min(usize::from(u8::MAX)) as u8))),
+                Some(0) => drop(state.in_flight.remove(&tag)),
+                Some(out) => drop(state.in_flight.insert(tag, (zone, out.min(usize::from(u8::MAX)) as u8))),
             }
         }
         self.report(zone);
@@ -150,9 +150,10 @@
         let (home, other) = {
             let state = &mut *self.state.borrow_mut();
             state.next_zone = state.next_zone.wrapping_add(1);
-            let others: Vec<Tag> = state.zones.iter().copied().filter(|z| Some(*z) != self.home).collect();
+            let others: Vec<Tag> =
+                state.zones.iter().copied().filter(|z| Some(*z) != self.home_zone).collect();
             let next = others.get(state.next_zone % others.len().max(1)).copied();
-            match self.home {
+            match self.home_zone {
                 Some(home) => (Some(home), next),
                 None => (next, None),
             }
@@ -180,7 +181,7 @@
 
 impl LoadGossip {
     fn now(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started.elapsed().as_millis() as u64
     }
 
     fn send(&self, report: &LoadReport, to: u32) {
@@ -190,17 +191,17 @@
     }
 
     /// What is out here, as a load report.
-    fn own(&self, purpose: Purpose, zone: Tag) -> LoadReport {
+    fn own_report(&self, purpose: Purpose, zone: Tag) -> LoadReport {
         let state = &mut *self.state.borrow_mut();
         state.turn = state.turn.wrapping_add(1) & 15;
-        let out = state.out.iter().map(|(tag, (_, out))| (*tag, *out)).collect();
+        let out = state.in_flight.iter().map(|(tag, (_, out))| (*tag, *out)).collect();
         let refused = std::mem::take(&mut state.refused).into_iter().collect();
         LoadReport { purpose, turn: state.turn, zone, out, refused }
     }
 
     /// Tells the aggregators of a zone what is out.
     fn report(&self, zone: Tag) {
-        let report = self.own(Purpose::Tell, zone);
+        let report = self.own_report(Purpose::Tell, zone);
         let receivers = {
             let state = &mut *self.state.borrow_mut();
             state.reported_at = Instant::now();
@@ -228,34 +229,34 @@
             aggregator
         };
         if aggregator == self.own {
-            let picture = self.picture(zone, aggregator, 0);
-            self.take_picture(&picture);
+            let summary = self.zone_summary(zone, aggregator, 0);
+            self.apply_zone_summary(&summary);
             return false;
         }
-        let report = self.own(Purpose::Ask, zone);
+        let report = self.own_report(Purpose::Ask, zone);
         self.send(&report, aggregator);
         let query = Query {
             turn: report.turn,
             zone,
             aggregator,
-            asked: Instant::now(),
+            sent_at: Instant::now(),
             flows: flow.into_iter().collect(),
         };
         self.state.borrow_mut().queries.push(query);
         // Guards against aggregators that are dead.
         let answer_wait = Duration::from_millis(self.state.borrow().aggregators.answer_wait());
-        let me = self.me.clone();
+        let weak_self = self.weak_self.clone();
         actix_rt::spawn(async move {
             tokio::time::sleep(answer_wait).await;
-            if let Some(gossip) = me.upgrade() {
-                gossip.is_late(report.turn, zone);
+            if let Some(gossip) = weak_self.upgrade() {
+                gossip.answer_timed_out(report.turn, zone);
             }
         });
         true
     }
 
     /// An answer that has not come by now is waited for no longer.
-    fn is_late(&self, turn: u8, zone: Tag) {
+    fn answer_timed_out(&self, turn: u8, zone: Tag) {
         let query = {
             let state = &mut *self.state.borrow_mut();
             let at = state.queries.iter().position(|q| (q.turn, q.zone) == (turn, zone));
@@ -268,100 +269,103 @@
     }
 
     /// What all but the querier have out in a zone.
-    fn picture(&self, zone: Tag, querier: u32, turn: u8) -> LoadReport {
+    fn zone_summary(&self, zone: Tag, querier: u32, turn: u8) -> LoadReport {
         let state = self.state.borrow();
         // A target that the own list does not name is shown to all.
-        let of = |tag: Tag| state.targets.get(&tag).is_none_or(|(z, _)| *z == zone);
-        let (out, refused) = state.reported.picture(querier, self.now(), of);
+        let is_in_zone = |tag: Tag| state.targets.get(&tag).is_none_or(|(z, _)| *z == zone);
+        let (out, refused) = state.reported.picture(querier, self.now(), is_in_zone);
         let out = out.into_iter().map(|(tag, out)| (tag, out.min(u32::from(u8::MAX)) as u8)).collect();
         LoadReport { purpose: Purpose::Picture, turn, zone, out, refused }
     }
 
     /// Tells the core what is new in a picture.
-    fn take_picture(&self, picture: &LoadReport) {
-        let refused: FxHashSet<Tag> = picture.refused.iter().copied().collect();
-        let out: FxHashMap<Tag, u8> = picture.out.iter().copied().collect();
-        let mut news = Vec::new();
+    fn apply_zone_summary(&self, summary: &LoadReport) {
+        let refused: FxHashSet<Tag> = summary.refused.iter().copied().collect();
+        let out: FxHashMap<Tag, u8> = summary.out.iter().copied().collect();
+        let mut changes = Vec::new();
         {
             let state = &mut *self.state.borrow_mut();
-            let of = state.targets.iter().filter(|(_, (zone, _))| *zone == picture.zone);
-            for (tag, (_, targets)) in of {
+            let in_zone = state.targets.iter().filter(|(_, (zone, _))| *zone == summary.zone);
+            for (tag, (_, targets)) in in_zone {
                 let (out, refused) = (out.get(tag).copied().unwrap_or(0), refused.contains(tag));
                 for target in targets {
-                    let before = state.said.insert(*target, out);
+                    let previous = state.last_reported.insert(*target, out);
                     // One at least, so that the core knows that peers tell.
-                    if before != Some(out) || refused || news.is_empty() {
-                        news.push(PeerLoad { target: *target, in_flight: u32::from(out), refused });
+                    if previous != Some(out) || refused || changes.is_empty() {
+                        changes.push(PeerLoad { target: *target, in_flight: u32::from(out), refused });
                     }
                 }
             }
         }
-        self.flows.report_peer_load(&news);
+        self.flows.report_peer_load(&changes);
     }
 
-    async fn hear(self: Rc<Self>) {
+    async fn receive_loop(self: Rc<Self>) {
         // One more than the longest: a longer one must not look like one that fits.
         let mut bytes = [0; MAX_DATAGRAM + 1];
         loop {
             if self.socket.readable().await.is_err() {
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(SOCKET_ERROR_DELAY).await;
                 continue;
             }
             for _ in 0..MAX_DATAGRAMS_PER_TURN {
                 let Ok((size, from)) = self.socket.try_recv_from(&mut bytes) else { break };
                 // What is no report, or not from a peer, changes nothing.
-                let Some(peer) = self.numbers.get(&from).filter(|peer| **peer != self.own) else { continue };
+                let Some(peer) = self.peer_numbers.get(&from).filter(|peer| **peer != self.own) else {
+                    continue;
+                };
                 if let Some(report) = DiscoveryReport::decode(&bytes[..size]) {
-                    self.reports.heard(report);
+                    self.reports.report_received(report);
                 } else if let Some(report) = LoadReport::decode(&bytes[..size]) {
-                    self.take(&report, *peer);
+                    self.handle_report(&report, *peer);
                 }
             }
             tokio::task::yield_now().await;
         }
     }
 
-    fn take(&self, report: &LoadReport, peer: u32) {
+    fn handle_report(&self, report: &LoadReport, peer: u32) {
         if report.purpose != Purpose::Picture {
             self.state.borrow_mut().reported.take(peer, report, self.now());
             if report.purpose == Purpose::Ask && !ReportedLoad::is_warming_up(self.now()) {
-                self.send(&self.picture(report.zone, peer, report.turn), peer);
+                self.send(&self.zone_summary(report.zone, peer, report.turn), peer);
             }
             return;
         }
         let query = {
             let state = &mut *self.state.borrow_mut();
-            let asked = |q: &Query| (q.turn, q.zone, q.aggregator) == (report.turn, report.zone, peer);
+            let matches_report =
+                |q: &Query| (q.turn, q.zone, q.aggregator) == (report.turn, report.zone, peer);
             // Not asked for, or too late.
-            let Some(at) = state.queries.iter().position(asked) else { return };
+            let Some(at) = state.queries.iter().position(matches_report) else { return };
             let query = state.queries.swap_remove(at);
-            state.aggregators.answered(peer, query.asked.elapsed().as_millis() as u64);
+            state.aggregators.answered(peer, query.sent_at.elapsed().as_millis() as u64);
             query
         };
-        debug!(aggregator = peer, took_us = query.asked.elapsed().as_micros() as u64, "a picture came");
-        self.take_picture(report);
+        debug!(aggregator = peer, took_us = query.sent_at.elapsed().as_micros() as u64, "a picture came");
+        self.apply_zone_summary(report);
         query.flows.into_iter().for_each(|flow| self.flows.dispatch(flow));
     }
 
     /// Asks on while flows are held. Not in step with peers that hold some too.
     async fn query_while_held(self: Rc<Self>) {
         loop {
-            let part = f64::from(getrandom::u32().unwrap_or(0)) / f64::from(u32::MAX);
-            tokio::time::sleep(QUERY_EVERY.mul_f64(0.5 + part)).await;
-            if let Some(home) = self.home.filter(|_| self.flows.has_held_flows()) {
+            let jitter = f64::from(getrandom::u32().unwrap_or(0)) / f64::from(u32::MAX);
+            tokio::time::sleep(QUERY_INTERVAL.mul_f64(0.5 + jitter)).await;
+            if let Some(home) = self.home_zone.filter(|_| self.flows.has_held_flows()) {
                 self.query(home, None);
             }
         }
     }
 
     /// Tells again what is out long.
-    async fn repeat(self: Rc<Self>) {
+    async fn repeat_reports(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(REPORT_EVERY).await;
+            tokio::time::sleep(REPORT_INTERVAL).await;
             let zones: FxHashSet<Tag> = {
                 let state = self.state.borrow();
-                let due = state.reported_at.elapsed() >= REPORT_EVERY;
-                state.out.values().filter(|_| due).map(|(zone, _)| *zone).collect()
+                let due = state.reported_at.elapsed() >= REPORT_INTERVAL;
+                state.in_flight.values().filter(|_| due).map(|(zone, _)| *zone).collect()
             };
             zones.into_iter().for_each(|zone| self.report(zone));
         }
--- a/dispatcher/src/peers/mod.rs
+++ b/dispatcher/src/peers/mod.rs
@@ -19,11 +19,11 @@
 use tracing::{info, warn};
 
 /// Between two rounds.
-const ROUND: Duration = Duration::from_millis(200);
+const ROUND_INTERVAL: Duration = Duration::from_millis(200);
 /// Datagrams that are taken in before others on this thread get their turn: a flood must not hold up clients.
-const IN_ONE_GO: usize = 32;
+const MAX_DATAGRAMS_PER_TURN: usize = 32;
 /// What can't be believed is told of this often at most.
-const TELL_EVERY: Duration = Duration::from_secs(10);
+const WARN_INTERVAL: Duration = Duration::from_secs(10);
 
 /// The talk as others see it.
 #[derive(Clone)]
@@ -79,35 +79,35 @@
     overrides.talk();
     let handle = Handle { gossip, socket: Rc::new(socket) };
     reports.set_sender(Rc::new(handle.clone()));
-    let talk = Talk { handle: handle.clone(), overrides, reports };
-    actix_rt::spawn(talk.run());
+    let task = GossipTask { handle: handle.clone(), overrides, reports };
+    actix_rt::spawn(task.run());
     Ok(handle)
 }
 
-struct Talk {
+struct GossipTask {
     handle: Handle,
     overrides: Overrides,
     reports: Rc<DiscoveryReports>,
 }
 
-impl Talk {
+impl GossipTask {
     async fn run(self) {
-        let mut rounds = interval(ROUND);
+        let mut rounds = interval(ROUND_INTERVAL);
         rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut tell = interval(TELL_EVERY);
-        let mut told = Counts::default();
+        let mut warn_timer = interval(WARN_INTERVAL);
+        let mut reported = Counts::default();
         loop {
             // Every branch may be dropped at its await: nothing has been taken out of the socket or the
             // queue by then.
             tokio::select! {
                 ready = self.handle.socket.readable() => match ready {
                     Ok(()) => {
-                        self.take();
+                        self.receive_datagrams();
                         tokio::task::yield_now().await;
                     }
                     Err(e) => {
                         warn!(error = %e, "peers: the socket fails");
-                        tokio::time::sleep(ROUND).await;
+                        tokio::time::sleep(ROUND_INTERVAL).await;
                     }
                 },
                 _ = rounds.tick() => {
@@ -119,26 +119,26 @@
                         fresh.iter().flat_map(|r| self.handle.gossip.borrow_mut().announce(r)).collect();
                     self.handle.send(out);
                 }
-                _ = tell.tick() => {
+                _ = warn_timer.tick() => {
                     let counts = self.handle.counts();
                     let faults = |c: &Counts| [c.malformed, c.unauthentic, c.strangers, c.refused];
-                    if faults(&counts) != faults(&told) {
+                    if faults(&counts) != faults(&reported) {
                         let Counts { malformed, unauthentic, replayed, strangers, refused, .. } = counts;
                         warn!(malformed, unauthentic, replayed, strangers, refused, "peers: datagrams not believed");
                     }
-                    told = counts;
+                    reported = counts;
                 }
             }
         }
     }
 
     /// Takes in what has come, up to a bound.
-    fn take(&self) {
+    fn receive_datagrams(&self) {
         // One more than the longest: a longer one must not look like one that fits.
         let mut bytes = [0; MAX_DATAGRAM + 1];
-        for _ in 0..IN_ONE_GO {
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
             let (size, from) = match self.handle.socket.try_recv_from(&mut bytes) {
-                Ok(came) => came,
+                Ok(received) => received,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 // What a datagram of ours met elsewhere: a peer that is down.
                 Err(_) => continue,
@@ -148,7 +148,7 @@
             let out = self.overrides.with(|t| gossip.borrow_mut().receive(now(), from, datagram, t));
             self.handle.send(out);
             let reports = gossip.borrow_mut().take_reports();
-            reports.into_iter().for_each(|report| self.reports.heard(report));
+            reports.into_iter().for_each(|report| self.reports.report_received(report));
         }
     }
 }
--- a/dispatcher/src/targets/beanstalkd.rs
+++ b/dispatcher/src/targets/beanstalkd.rs
@@ -28,41 +28,41 @@
 use tracing::warn;
 
 /// How long a server may take to answer a command that waits for nothing.
-const EXCHANGE_WITHIN: Duration = Duration::from_secs(2);
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long one wait for an answer lasts. A link that says nothing for longer is dead.
 const RESERVE_WAIT: Duration = Duration::from_secs(5);
 /// Time that a job may stay reserved beyond its deadline: no server is to hand it out a second time.
 const TTR_MARGIN: Duration = Duration::from_secs(60);
 /// Answers that may come before their job's id is known.
-const EARLY: usize = 256;
+const MAX_EARLY_ANSWERS: usize = 256;
 /// Waits between attempts to reach a server that has jobs of ours.
-const RETRY: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(1));
+const RECONNECT_BACKOFF: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(1));
 
 /// A connection to a server.
-struct Link {
+struct Connection {
     input: BufReader<OwnedReadHalf>,
     output: OwnedWriteHalf,
 }
 
-async fn limit<T>(within: Duration, work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
-    tokio::time::timeout(within, work).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
+async fn with_timeout<T>(time_limit: Duration, work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
+    tokio::time::timeout(time_limit, work).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
 
-impl Link {
-    async fn open(addr: SocketAddr, within: Duration) -> io::Result<Link> {
-        let stream = limit(within, TcpStream::connect(addr)).await?;
+impl Connection {
+    async fn open(addr: SocketAddr, time_limit: Duration) -> io::Result<Connection> {
+        let stream = with_timeout(time_limit, TcpStream::connect(addr)).await?;
         stream.set_nodelay(true)?;
         let (input, output) = stream.into_split();
-        Ok(Link { input: BufReader::new(input), output })
+        Ok(Connection { input: BufReader::new(input), output })
     }
 
     /// Nothing has come unasked, the end of the connection included.
-    fn is_quiet(&mut self) -> bool {
+    fn is_idle(&mut self) -> bool {
         self.input.fill_buf().now_or_never().is_none()
     }
 
-    async fn ask(&mut self, request: &[u8], within: Duration) -> io::Result<String> {
-        limit(within, async {
+    async fn request(&mut self, request: &[u8], time_limit: Duration) -> io::Result<String> {
+        with_timeout(time_limit, async {
             self.output.write_all(request).await?;
             match read_line(&mut self.input).await? {
                 Line::Text(line) => Ok(line),
@@ -74,8 +74,8 @@
     }
 
     /// Asks for something that must be answered by one of these words.
-    async fn expect(&mut self, request: &str, words: &[&str]) -> io::Result<String> {
-        let reply = self.ask(request.as_bytes(), EXCHANGE_WITHIN).await?;
+    async fn request_expecting(&mut self, request: &str, words: &[&str]) -> io::Result<String> {
+        let reply = self.request(request.as_bytes(), COMMAND_TIMEOUT).await?;
         let word = reply.split(' ').next().unwrap_or_default();
         match words.contains(&word) {
             true => Ok(reply),
@@ -84,40 +84,40 @@
     }
 
     /// The body that a reply has announced by its last word.
-    async fn body(&mut self, reply: &str) -> io::Result<Bytes> {
+    async fn reply_body(&mut self, reply: &str) -> io::Result<Bytes> {
         let size = reply.rsplit(' ').next().and_then(|n| n.parse::<usize>().ok());
         let size = size.filter(|s| *s <= MAX_JOB * 2).ok_or(io::ErrorKind::InvalidData)?;
-        let body = limit(EXCHANGE_WITHIN, read_body(&mut self.input, size)).await?;
+        let body = with_timeout(COMMAND_TIMEOUT, read_body(&mut self.input, size)).await?;
         body.ok_or_else(|| io::ErrorKind::InvalidData.into())
     }
 
     /// Whether a job has never been handed to anybody, and is gone now that it has been deleted.
-    async fn take_back(&mut self, id: u64) -> io::Result<bool> {
-        let reply = self.expect(&format!("stats-job {id}\r\n"), &["OK", "NOT_FOUND"]).await?;
+    async fn delete_unreserved(&mut self, id: u64) -> io::Result<bool> {
+        let reply = self.request_expecting(&format!("stats-job {id}\r\n"), &["OK", "NOT_FOUND"]).await?;
         if reply == "NOT_FOUND" {
             return Ok(false);
         }
-        let stats = self.body(&reply).await?;
+        let stats = self.reply_body(&reply).await?;
         let stats = String::from_utf8_lossy(&stats).into_owned();
-        let says = |wanted: &str| stats.lines().any(|line| line.trim() == wanted);
+        let has_line = |wanted: &str| stats.lines().any(|line| line.trim() == wanted);
         // One that was released or buried can be deleted too, but it may have run before.
-        if !(says("reserves: 0") && (says("state: ready") || says("state: delayed"))) {
+        if !(has_line("reserves: 0") && (has_line("state: ready") || has_line("state: delayed"))) {
             return Ok(false);
         }
-        let reply = self.expect(&format!("delete {id}\r\n"), &["DELETED", "NOT_FOUND"]).await?;
+        let reply = self.request_expecting(&format!("delete {id}\r\n"), &["DELETED", "NOT_FOUND"]).await?;
         Ok(reply == "DELETED")
     }
 }
 
-enum Errand {
+enum Command {
     Put(Forward),
     /// Give a forward up: for good, or only if it has not begun.
-    TakeBack(ForwardId, Why),
+    Withdraw(ForwardId, WithdrawReason),
     Probe,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Why {
+enum WithdrawReason {
     Cancelled,
     Draining,
 }
@@ -126,22 +126,22 @@
 struct Server {
     target: TargetId,
     addr: SocketAddr,
-    errands: mpsc::UnboundedSender<Errand>,
+    commands: mpsc::UnboundedSender<Command>,
     /// Jobs that lie there, by the server's ids.
-    out: RefCell<FxHashMap<u64, ForwardId>>,
+    in_flight: RefCell<FxHashMap<u64, ForwardId>>,
     /// Puts that are under way, and answers to jobs whose ids are not known yet.
-    putting: Cell<usize>,
-    early: RefCell<Vec<(u64, Bytes)>>,
-    listening: Cell<bool>,
+    pending_puts: Cell<usize>,
+    early_answers: RefCell<Vec<(u64, Bytes)>>,
+    is_reading_answers: Cell<bool>,
 }
 
 impl Server {
-    fn id_of(&self, ticket: ForwardId) -> Option<u64> {
-        self.out.borrow().iter().find(|(_, t)| **t == ticket).map(|(id, _)| *id)
+    fn job_id(&self, forward_id: ForwardId) -> Option<u64> {
+        self.in_flight.borrow().iter().find(|(_, t)| **t == forward_id).map(|(id, _)| *id)
     }
 
-    fn expects(&self) -> bool {
-        self.putting.get() > 0 || !self.out.borrow().is_empty()
+    fn expects_answers(&self) -> bool {
+        self.pending_puts.get() > 0 || !self.in_flight.borrow().is_empty()
     }
 }
 
@@ -149,20 +149,20 @@
 #[derive(Clone)]
 pub struct BeanstalkdTargets {
     flows: Flows,
-    work: Rc<str>,
-    answers: Rc<str>,
-    connect_within: Duration,
+    work_tube: Rc<str>,
+    answers_tube: Rc<str>,
+    connect_timeout: Duration,
     servers: Rc<RefCell<FxHashMap<TargetId, Rc<Server>>>>,
 }
 
 impl BeanstalkdTargets {
     /// `name` is this dispatcher's own: answers tubes are not shared.
-    pub fn new(flows: Flows, workers: &BeanstalkdWorkers, name: &str, connect_within: Duration) -> Self {
+    pub fn new(flows: Flows, workers: &BeanstalkdWorkers, name: &str, connect_timeout: Duration) -> Self {
         BeanstalkdTargets {
             flows,
-            work: workers.work_tube.as_str().into(),
-            answers: format!("{}.{name}", workers.answers_tube).into(),
-            connect_within,
+            work_tube: workers.work_tube.as_str().into(),
+            answers_tube: format!("{}.{name}", workers.answers_tube).into(),
+            connect_timeout,
             servers: Rc::default(),
         }
     }
@@ -172,42 +172,49 @@
         if let Some(server) = servers.get(&target).filter(|s| s.addr == addr) {
             return server.clone();
         }
-        let (errands, work) = mpsc::unbounded_channel();
+        let (commands, receiver) = mpsc::unbounded_channel();
         let server = Rc::new(Server {
             target,
             addr,
-            errands,
-            out: RefCell::default(),
-            putting: Cell::new(0),
-            early: RefCell::default(),
-            listening: Cell::new(false),
+            commands,
+            in_flight: RefCell::default(),
+            pending_puts: Cell::new(0),
+            early_answers: RefCell::default(),
+            is_reading_answers: Cell::new(false),
         });
         servers.insert(target, server.clone());
-        actix_rt::spawn(self.clone().run_errands(server.clone(), work));
+        actix_rt::spawn(self.clone().run_commands(server.clone(), receiver));
         server
     }
 
     /// Errands one after the other, so that a job is never taken back before it is put.
-    async fn run_errands(self, server: Rc<Server>, mut work: mpsc::UnboundedReceiver<Errand>) {
-        let mut link: Option<Link> = None;
-        while let Some(errand) = work.recv().await {
-            if link.as_mut().is_some_and(|l| !l.is_quiet()) {
-                link = None;
+    async fn run_commands(self, server: Rc<Server>, mut receiver: mpsc::UnboundedReceiver<Command>) {
+        let mut connection: Option<Connection> = None;
+        while let Some(command) = receiver.recv().await {
+            if connection.as_mut().is_some_and(|l| !l.is_idle()) {
+                connection = None;
             }
-            let broken = match errand {
-                Errand::Put(forward) => {
-                    let broken = self.put(&server, &mut link, &forward).await;
-                    server.putting.set(server.putting.get() - 1);
-                    if server.putting.get() == 0 {
-                        server.early.borrow_mut().clear();
+            let broken = match command {
+                Command::Put(forward) => {
+                    let broken = self.put(&server, &mut connection, &forward).await;
+                    server.pending_puts.set(server.pending_puts.get() - 1);
+                    if server.pending_puts.get() == 0 {
+                        server.early_answers.borrow_mut().clear();
                     }
                     broken
                 }
-                Errand::TakeBack(ticket, why) => self.take_back(&server, &mut link, ticket, why).await,
-                Errand::Probe => {
-                    let alive = loop {
-                        match self.connected(&server, &mut link).await {
-                            Ok(link) => break link.expect("list-tube-used\r\n", &["USING"]).await.is_ok(),
+                Command::Withdraw(forward_id, reason) => {
+                    self.withdraw(&server, &mut connection, forward_id, reason).await
+                }
+                Command::Probe => {
+                    let is_alive = loop {
+                        match self.ensure_connected(&server, &mut connection).await {
+                            Ok(connection) => {
+                                break connection
+                                    .request_expecting("list-tube-used\r\n", &["USING"])
+                                    .await
+                                    .is_ok()
+                            }
                             // A probe that this machine could not make has no result.
                             Err(e) if is_local(&e) => tokio::time::sleep(TRY_AGAIN_AFTER * 2).await,
                             Err(_) => break false,
@@ -215,42 +222,46 @@
                     };
                     self.flows.probe_ended(
                         server.target,
-                        if alive { Outcome::Served } else { Outcome::NoRoute },
+                        if is_alive { Outcome::Served } else { Outcome::NoRoute },
                         None,
                     );
-                    !alive
+                    !is_alive
                 }
             };
             if broken {
-                link = None;
+                connection = None;
             }
         }
     }
 
-    async fn connected<'a>(&self, server: &Server, link: &'a mut Option<Link>) -> io::Result<&'a mut Link> {
-        let open = match link.take() {
+    async fn ensure_connected<'a>(
+        &self,
+        server: &Server,
+        connection: &'a mut Option<Connection>,
+    ) -> io::Result<&'a mut Connection> {
+        let open = match connection.take() {
             Some(open) => open,
             None => {
-                let mut open = Link::open(server.addr, self.connect_within).await?;
-                open.expect(&format!("use {}\r\n", self.work), &["USING"]).await?;
+                let mut open = Connection::open(server.addr, self.connect_timeout).await?;
+                open.request_expecting(&format!("use {}\r\n", self.work_tube), &["USING"]).await?;
                 open
             }
         };
-        Ok(link.insert(open))
+        Ok(connection.insert(open))
     }
 
     /// Puts a forward's job; true where the link is of no use any more.
-    async fn put(&self, server: &Rc<Server>, link: &mut Option<Link>, forward: &Forward) -> bool {
-        let (ticket, job) = (forward.ticket, &forward.job);
-        let open = match self.connected(server, link).await {
+    async fn put(&self, server: &Rc<Server>, connection: &mut Option<Connection>, forward: &Forward) -> bool {
+        let (forward_id, job) = (forward.id, &forward.job);
+        let open = match self.ensure_connected(server, connection).await {
             Ok(open) => open,
             Err(e) if is_local(&e) => {
                 tokio::time::sleep(TRY_AGAIN_AFTER).await;
-                self.flows.forward_ended(ticket, Outcome::Moot, None);
+                self.flows.forward_ended(forward_id, Outcome::Moot, None);
                 return true;
             }
             Err(_) => {
-                self.flows.forward_ended(ticket, Outcome::NoRoute, None);
+                self.flows.forward_ended(forward_id, Outcome::NoRoute, None);
                 return true;
             }
         };
@@ -258,11 +269,15 @@
         let permit = self.flows.send_permit(forward, None);
         if permit.and_then(|permit| permit.is_current(Instant::now())).is_err() {
             // Drained, over or given up since it was decided: nothing is sent.
-            self.flows.forward_ended(ticket, Outcome::Moot, None);
+            self.flows.forward_ended(forward_id, Outcome::Moot, None);
             return false;
         }
-        let head =
-            format!("{} {} {}\n", self.answers, job.reference, job.idempotency_key.as_deref().unwrap_or("-"));
+        let head = format!(
+            "{} {} {}\n",
+            self.answers_tube,
+            job.reference,
+            job.idempotency_key.as_deref().unwrap_or("-")
+        );
         let body = job.body.whole();
         let size = head.len() + body.len();
         let ttr = (left + TTR_MARGIN).as_secs();
@@ -270,84 +285,95 @@
         request.extend_from_slice(&body);
         request.extend_from_slice(b"\r\n");
         self.flows.first_byte_written(forward, None);
-        let reply = match open.ask(&request, left.min(EXCHANGE_WITHIN)).await {
+        let reply = match open.request(&request, left.min(COMMAND_TIMEOUT)).await {
             Ok(reply) => reply,
             Err(_) => {
                 // The job may lie there.
-                self.flows.forward_ended(ticket, Outcome::Cut, None);
+                self.flows.forward_ended(forward_id, Outcome::Cut, None);
                 return true;
             }
         };
-        let (word, id) = reply.split_once(' ').unwrap_or((&reply, ""));
-        match (word, id.parse::<u64>()) {
+        let (status, id) = reply.split_once(' ').unwrap_or((&reply, ""));
+        match (status, id.parse::<u64>()) {
             ("INSERTED", Ok(id)) => {
-                server.out.borrow_mut().insert(id, ticket);
-                self.listen(server);
-                let early = std::mem::take(&mut *server.early.borrow_mut());
-                let (own, others): (Vec<_>, Vec<_>) = early.into_iter().partition(|(of, _)| *of == id);
-                *server.early.borrow_mut() = others;
-                own.iter().for_each(|(_, body)| self.answer(server, body));
+                server.in_flight.borrow_mut().insert(id, forward_id);
+                self.ensure_reading_answers(server);
+                let early_answers = std::mem::take(&mut *server.early_answers.borrow_mut());
+                let (own, other_jobs): (Vec<_>, Vec<_>) =
+                    early_answers.into_iter().partition(|(of, _)| *of == id);
+                *server.early_answers.borrow_mut() = other_jobs;
+                own.iter().for_each(|(_, body)| self.handle_answer(server, body));
                 if own.is_empty() && !self.flows.is_still_valid(forward) {
-                    return self.take_back(server, link, ticket, Why::Draining).await;
+                    return self.withdraw(server, connection, forward_id, WithdrawReason::Draining).await;
                 }
                 false
             }
             ("BURIED", Ok(id)) => {
                 // The server had no memory to queue it: nobody can have had it.
-                let gone = open.expect(&format!("delete {id}\r\n"), &["DELETED"]).await.is_ok();
-                self.flows.forward_ended(ticket, if gone { Outcome::NoRoom } else { Outcome::Cut }, None);
-                !gone
+                let deleted = open.request_expecting(&format!("delete {id}\r\n"), &["DELETED"]).await.is_ok();
+                self.flows.forward_ended(
+                    forward_id,
+                    if deleted { Outcome::NoRoom } else { Outcome::Cut },
+                    None,
+                );
+                !deleted
             }
             ("OUT_OF_MEMORY" | "DRAINING" | "JOB_TOO_BIG", _) => {
-                self.flows.forward_ended(ticket, Outcome::NoRoom, None);
+                self.flows.forward_ended(forward_id, Outcome::NoRoom, None);
                 false
             }
             _ => {
                 warn!(server = %server.addr, reply = ?reply, "beanstalkd server: put was not taken");
-                self.flows.forward_ended(ticket, Outcome::Fault, None);
+                self.flows.forward_ended(forward_id, Outcome::Fault, None);
                 true
             }
         }
     }
 
-    async fn take_back(&self, server: &Server, link: &mut Option<Link>, ticket: ForwardId, why: Why) -> bool {
-        let Some(id) = server.id_of(ticket) else {
+    async fn withdraw(
+        &self,
+        server: &Server,
+        connection: &mut Option<Connection>,
+        forward_id: ForwardId,
+        reason: WithdrawReason,
+    ) -> bool {
+        let Some(id) = server.job_id(forward_id) else {
             // Ended before; or it never got there.
-            self.flows.forward_ended(ticket, Outcome::Cancelled, None);
+            self.flows.forward_ended(forward_id, Outcome::Cancelled, None);
             return false;
         };
-        let taken = match self.connected(server, link).await {
-            Ok(link) => link.take_back(id).await,
+        let withdrawn = match self.ensure_connected(server, connection).await {
+            Ok(connection) => connection.delete_unreserved(id).await,
             Err(e) => Err(e),
         };
-        let outcome = match (&taken, why) {
+        let outcome = match (&withdrawn, reason) {
             (Ok(true), _) => Outcome::Moot,
             // A worker has it, or it can't be told: it may have run.
-            (_, Why::Cancelled) => Outcome::Cancelled,
+            (_, WithdrawReason::Cancelled) => Outcome::Cancelled,
             // A worker that drains completes what it has: its answer is awaited.
-            (_, Why::Draining) => return taken.is_err(),
+            (_, WithdrawReason::Draining) => return withdrawn.is_err(),
         };
-        server.out.borrow_mut().remove(&id);
-        self.flows.forward_ended(ticket, outcome, None);
-        taken.is_err()
+        server.in_flight.borrow_mut().remove(&id);
+        self.flows.forward_ended(forward_id, outcome, None);
+        withdrawn.is_err()
     }
 
     /// Takes up what a worker says of a job.
-    fn answer(&self, server: &Server, body: &Bytes) {
+    fn handle_answer(&self, server: &Server, body: &Bytes) {
         let Some((id, word, result)) = read_answer(body) else {
             warn!(server = %server.addr, "beanstalkd server: a job in the answers tube is no answer");
             return;
         };
-        let ticket = server.out.borrow().get(&id).copied();
-        let Some(ticket) = ticket else {
-            let mut early = server.early.borrow_mut();
-            if server.putting.get() > 0 && early.len() < EARLY {
-                early.push((id, body.clone()));
+        let forward_id = server.in_flight.borrow().get(&id).copied();
+        let Some(forward_id) = forward_id else {
+            let mut early_answers = server.early_answers.borrow_mut();
+            if server.pending_puts.get() > 0 && early_answers.len() < MAX_EARLY_ANSWERS {
+                early_answers.push((id, body.clone()));
             }
             return;
         };
         let outcome = match word {
-            "started" => return self.flows.job_started(ticket),
+            "started" => return self.flows.job_started(forward_id),
             "served" => Outcome::Served,
             "failed" => Outcome::Fault,
             "refused" => Outcome::NoRoom,
@@ -356,69 +382,73 @@
                 return;
             }
         };
-        server.out.borrow_mut().remove(&id);
-        self.flows.forward_ended(ticket, outcome, Some(result).filter(|_| word == "served"));
+        server.in_flight.borrow_mut().remove(&id);
+        self.flows.forward_ended(forward_id, outcome, Some(result).filter(|_| word == "served"));
     }
 
     /// Sees that answers are waited for, as long as any are due.
-    fn listen(&self, server: &Rc<Server>) {
-        if !server.listening.replace(true) {
+    fn ensure_reading_answers(&self, server: &Rc<Server>) {
+        if !server.is_reading_answers.replace(true) {
             let (this, server) = (self.clone(), server.clone());
-            actix_rt::spawn(async move { this.hear(server).await });
+            actix_rt::spawn(async move { this.read_answers(server).await });
         }
     }
 
-    async fn hear(self, server: Rc<Server>) {
-        let mut wait = RETRY.0;
-        while server.expects() {
-            match self.hear_link(&server, &mut wait).await {
+    async fn read_answers(self, server: Rc<Server>) {
+        let mut backoff = RECONNECT_BACKOFF.0;
+        while server.expects_answers() {
+            match self.read_answers_once(&server, &mut backoff).await {
                 Ok(()) => break,
                 Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => {
                     // The process is dead, and its jobs with it.
-                    let lost: Vec<ForwardId> = server.out.borrow_mut().drain().map(|(_, t)| t).collect();
-                    lost.into_iter().for_each(|ticket| self.flows.forward_ended(ticket, Outcome::Cut, None));
+                    let lost: Vec<ForwardId> =
+                        server.in_flight.borrow_mut().drain().map(|(_, t)| t).collect();
+                    lost.into_iter()
+                        .for_each(|forward_id| self.flows.forward_ended(forward_id, Outcome::Cut, None));
                 }
                 Err(e) => warn!(server = %server.addr, error = %e, "beanstalkd server: connection lost"),
             }
-            tokio::time::sleep(wait).await;
-            wait = (wait * 2).min(RETRY.1);
+            tokio::time::sleep(backoff).await;
+            backoff = (backoff * 2).min(RECONNECT_BACKOFF.1);
         }
-        server.listening.set(false);
+        server.is_reading_answers.set(false);
     }
 
     /// Waits for answers on one connection, until none are due.
-    async fn hear_link(&self, server: &Server, wait: &mut Duration) -> io::Result<()> {
-        let mut link = Link::open(server.addr, self.connect_within).await?;
-        link.expect(&format!("watch {}\r\n", self.answers), &["WATCHING"]).await?;
-        link.expect("ignore default\r\n", &["WATCHING"]).await?;
+    async fn read_answers_once(&self, server: &Server, backoff: &mut Duration) -> io::Result<()> {
+        let mut connection = Connection::open(server.addr, self.connect_timeout).await?;
+        connection.request_expecting(&format!("watch {}\r\n", self.answers_tube), &["WATCHING"]).await?;
+        connection.request_expecting("ignore default\r\n", &["WATCHING"]).await?;
         // What a server that was lost for a while no longer knows, and has no answer to, is lost.
-        let mut gone = Vec::new();
-        let known: Vec<(u64, ForwardId)> = server.out.borrow().iter().map(|(id, t)| (*id, *t)).collect();
-        for (id, ticket) in known {
-            let reply = link.expect(&format!("stats-job {id}\r\n"), &["OK", "NOT_FOUND"]).await?;
+        let mut missing = Vec::new();
+        let known: Vec<(u64, ForwardId)> =
+            server.in_flight.borrow().iter().map(|(id, t)| (*id, *t)).collect();
+        for (id, forward_id) in known {
+            let reply =
+                connection.request_expecting(&format!("stats-job {id}\r\n"), &["OK", "NOT_FOUND"]).await?;
             match reply == "NOT_FOUND" {
-                true => gone.push((id, ticket)),
-                false => drop(link.body(&reply).await?),
+                true => missing.push((id, forward_id)),
+                false => drop(connection.reply_body(&reply).await?),
             }
         }
-        let mut within = Duration::ZERO;
-        *wait = RETRY.0;
-        while server.expects() {
-            let request = format!("reserve-with-timeout {}\r\n", within.as_secs());
-            let reply = link.ask(request.as_bytes(), within + EXCHANGE_WITHIN).await?;
+        let mut time_limit = Duration::ZERO;
+        *backoff = RECONNECT_BACKOFF.0;
+        while server.expects_answers() {
+            let request = format!("reserve-with-timeout {}\r\n", time_limit.as_secs());
+            let reply = connection.request(request.as_bytes(), time_limit + COMMAND_TIMEOUT).await?;
             if let Some(id) = reply.strip_prefix("RESERVED ").and_then(|r| r.split(' ').next()) {
-                let body = link.body(&reply).await?;
-                self.answer(server, &body);
-                link.expect(&format!("delete {id}\r\n"), &["DELETED", "NOT_FOUND"]).await?;
+                let body = connection.reply_body(&reply).await?;
+                self.handle_answer(server, &body);
+                connection.request_expecting(&format!("delete {id}\r\n"), &["DELETED", "NOT_FOUND"]).await?;
                 continue;
             }
             if reply != "TIMED_OUT" && reply != "DEADLINE_SOON" {
                 return Err(io::Error::new(io::ErrorKind::InvalidData, reply));
             }
-            within = RESERVE_WAIT;
-            for (id, ticket) in gone.drain(..) {
-                if server.out.borrow_mut().remove(&id).is_some() {
-                    self.flows.forward_ended(ticket, Outcome::Cut, None);
+            time_limit = RESERVE_WAIT;
+            for (id, forward_id) in missing.drain(..) {
+                if server.in_flight.borrow_mut().remove(&id).is_some() {
+                    self.flows.forward_ended(forward_id, Outcome::Cut, None);
                 }
             }
         }
@@ -429,27 +459,27 @@
 impl Target for BeanstalkdTargets {
     fn forward(&self, _permit: RetryPermit, forward: Forward) {
         let server = self.server(forward.target, forward.addr);
-        server.putting.set(server.putting.get() + 1);
-        self.listen(&server);
-        let _ = server.errands.send(Errand::Put(forward));
+        server.pending_puts.set(server.pending_puts.get() + 1);
+        self.ensure_reading_answers(&server);
+        let _ = server.commands.send(Command::Put(forward));
     }
 
     fn cancel(&self, forward: Forward) {
         let server = self.server(forward.target, forward.addr);
-        let _ = server.errands.send(Errand::TakeBack(forward.ticket, Why::Cancelled));
+        let _ = server.commands.send(Command::Withdraw(forward.id, WithdrawReason::Cancelled));
     }
 
     fn probe(&self, target: TargetId, addr: SocketAddr, _operation: Option<FencedOperation>) {
-        let _ = self.server(target, addr).errands.send(Errand::Probe);
+        let _ = self.server(target, addr).commands.send(Command::Probe);
     }
 
     fn target_closed(&self, target: TargetId) {
         let Some(server) = self.servers.borrow().get(&target).cloned() else { return };
-        let tickets: Vec<ForwardId> = server.out.borrow().values().copied().collect();
-        for ticket in tickets {
-            let _ = server.errands.send(Errand::TakeBack(ticket, Why::Draining));
+        let forward_ids: Vec<ForwardId> = server.in_flight.borrow().values().copied().collect();
+        for forward_id in forward_ids {
+            let _ = server.commands.send(Command::Withdraw(forward_id, WithdrawReason::Draining));
         }
-        if !server.expects() {
+        if !server.expects_answers() {
             self.servers.borrow_mut().remove(&target);
         }
     }
--- a/dispatcher/src/targets/client.rs
+++ b/dispatcher/src/targets/client.rs
@@ -22,16 +22,16 @@
 use tokio::net::TcpStream;
 
 /// Answers of workers are short: results come as calls.
-pub(super) const MAX_ANSWER: usize = 64 << 10;
+pub(super) const MAX_ANSWER_BYTES: usize = 64 << 10;
 /// How long a probe may take.
-pub(super) const PROBE_WITHIN: Duration = Duration::from_millis(200);
+pub(super) const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
 /// How long a worker may take to say that it has taken a job. It does not wait for room: it takes or turns away.
-pub(super) const TAKEN_WITHIN: Duration = Duration::from_millis(500);
+pub(super) const ACCEPT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Our idle connections end before a worker ends them: a request written to one it has closed is lost.
-const IDLE_PART: f64 = 0.85;
+const IDLE_TIMEOUT_FRACTION: f64 = 0.85;
 /// How long connections to a worker are not kept after one broke; each further time twice as long.
-const NOT_KEPT: Duration = Duration::from_secs(10);
-const NOT_KEPT_DOUBLINGS: u32 = 5;
+const NO_KEEPALIVE_AFTER_BREAK: Duration = Duration::from_secs(10);
+const MAX_NO_KEEPALIVE_DOUBLINGS: u32 = 5;
 
 /// Why a call brought no answer.
 #[derive(Debug)]
@@ -45,7 +45,7 @@
     /// Too many calls are out: nothing was sent, and it says nothing of the other side.
     Busy,
     /// It must no longer be sent: nothing was.
-    Shut,
+    NotPermitted,
     /// The other side had closed the kept connection: nothing was sent.
     Stale,
     /// The connection broke before the last byte was written: nobody runs half a request.
@@ -63,7 +63,7 @@
             CallError::NoConnection(e) => write!(f, "no connection: {e}"),
             CallError::Local(e) => write!(f, "no connection could be made here: {e}"),
             CallError::Busy => write!(f, "too many calls are out"),
-            CallError::Shut => write!(f, "not to be sent any longer"),
+            CallError::NotPermitted => write!(f, "not to be sent any longer"),
             CallError::Stale => write!(f, "the kept connection was closed"),
             CallError::Unsent => write!(f, "broken before it was sent"),
             CallError::Timeout => write!(f, "no answer in time"),
@@ -93,22 +93,22 @@
 pub struct HttpClient {
     pools: Rc<RefCell<Pools>>,
     calls: Rc<Cell<usize>>,
-    most: usize,
+    max_calls: usize,
 }
 
 /// awc ends the idle connections of an address only when it calls that address again. Guards against those to
 /// workers that have left, which would stay for good: a pool that is not used goes, with all it holds.
 struct Pools {
-    by: FxHashMap<SocketAddr, Pool>,
-    swept: Instant,
-    connect_within: Duration,
+    by_addr: FxHashMap<SocketAddr, Pool>,
+    last_sweep: Instant,
+    connect_timeout: Duration,
     keepalive: Duration,
-    most: usize,
+    max_calls: usize,
     /// Connections that are open, those that are kept included; and how many may be.
-    open: Rc<Cell<usize>>,
-    most_open: usize,
+    open_connections: Rc<Cell<usize>>,
+    max_open_connections: usize,
     /// These pools, for the connectors that open connections for them.
-    own: Weak<RefCell<Pools>>,
+    weak_self: Weak<RefCell<Pools>>,
 }
 
 /// The connections to one address. Some ends break kept connections under the next request: guards against
@@ -116,31 +116,31 @@
 struct Pool {
     client: awc::Client,
     connections: Rc<Connections>,
-    used: Instant,
+    last_used: Instant,
     breaks: u32,
     /// Until when none is kept.
-    unkept: Option<Instant>,
+    no_keepalive_until: Option<Instant>,
 }
 
 impl Pools {
     /// What awc would do by itself is named here: it gives up after 5 s, and follows redirects, which would
     /// make a second attempt. Its own limit makes calls wait; ours refuses them (`most`).
-    fn connect(&self, keep: Duration) -> (awc::Client, Rc<Connections>) {
-        let connections = Rc::new(Connections::new(self.open.clone()));
-        let (own, counted) = (self.own.clone(), connections.clone());
+    fn new_client(&self, keepalive: Duration) -> (awc::Client, Rc<Connections>) {
+        let connections = Rc::new(Connections::new(self.open_connections.clone()));
+        let (pools, counted) = (self.weak_self.clone(), connections.clone());
         // No pool is borrowed when the library opens a connection: it does so while a call is polled.
-        let opens = move || {
-            own.upgrade().iter().for_each(|pools| pools.borrow_mut().make_room(&counted));
+        let open_connection = move || {
+            pools.upgrade().iter().for_each(|pools| pools.borrow_mut().make_room(&counted));
             OpenConnection::new(counted.clone())
         };
         let connector = awc::Connector::new()
-            .connector(gate::connector(opens))
-            .timeout(self.connect_within)
-            .handshake_timeout(self.connect_within)
-            .conn_keep_alive(keep)
+            .connector(gate::connector(open_connection))
+            .timeout(self.connect_timeout)
+            .handshake_timeout(self.connect_timeout)
+            .conn_keep_alive(keepalive)
             .conn_lifetime(Duration::from_secs(24 * 3600))
             .disconnect_timeout(Duration::from_millis(200))
-            .limit(self.most * 2);
+            .limit(self.max_calls * 2);
         let client = awc::Client::builder()
             .connector(connector)
             .disable_timeout()
@@ -151,67 +151,83 @@
     }
 
     /// How long connections of a pool are kept now.
-    fn keeps(&self, pool: &Pool) -> Duration {
-        match pool.unkept {
+    fn keepalive_for(&self, pool: &Pool) -> Duration {
+        match pool.no_keepalive_until {
             Some(_) => Duration::ZERO,
-            None => self.keepalive.mul_f64(IDLE_PART),
+            None => self.keepalive.mul_f64(IDLE_TIMEOUT_FRACTION),
         }
     }
 
     /// Before a connection for a pool is opened: where so many are open that there would be too many, the pools that were
     /// used least recently let go of theirs. Calls that are out are not ended. Guards the bound on descriptors: each
     /// address may have idle connections, and there may be many addresses.
-    fn make_room(&mut self, newcomer: &Rc<Connections>) {
-        while self.open.get() >= self.most_open {
+    fn make_room(&mut self, requester: &Rc<Connections>) {
+        while self.open_connections.get() >= self.max_open_connections {
             let pools = self
-                .by
+                .by_addr
                 .iter()
-                .filter(|(_, pool)| pool.connections.open() > 0 && !Rc::ptr_eq(&pool.connections, newcomer));
-            let Some(addr) = pools.min_by_key(|(_, pool)| pool.used).map(|(addr, _)| *addr) else { return };
-            let Some(keep) = self.by.get(&addr).map(|pool| self.keeps(pool)) else { return };
-            let fresh = self.connect(keep);
-            let Some(pool) = self.by.get_mut(&addr) else { return };
-            pool.connections.let_go();
-            (pool.client, pool.connections) = fresh;
+                .filter(|(_, pool)| pool.connections.open() > 0 && !Rc::ptr_eq(&pool.connections, requester));
+            let Some(addr) = pools.min_by_key(|(_, pool)| pool.last_used).map(|(addr, _)| *addr) else {
+                return;
+            };
+            let Some(keepalive) = self.by_addr.get(&addr).map(|pool| self.keepalive_for(pool)) else {
+                return;
+            };
+            let replacement = self.new_client(keepalive);
+            let Some(pool) = self.by_addr.get_mut(&addr) else { return };
+            pool.connections.release();
+            (pool.client, pool.connections) = replacement;
         }
     }
 
     fn client(&mut self, addr: SocketAddr) -> awc::Client {
         let now = Instant::now();
-        if now.duration_since(self.swept) >= self.keepalive / 4 {
-            self.swept = now;
-            let is_unkept = |pool: &Pool| pool.unkept.is_some_and(|until| now < until);
-            self.by.retain(|_, p| now.duration_since(p.used) <= self.keepalive || is_unkept(p));
+        if now.duration_since(self.last_sweep) >= self.keepalive / 4 {
+            self.last_sweep = now;
+            let has_no_keepalive = |pool: &Pool| pool.no_keepalive_until.is_some_and(|until| now < until);
+            self.by_addr
+                .retain(|_, p| now.duration_since(p.last_used) <= self.keepalive || has_no_keepalive(p));
         }
-        if self.by.get(&addr).is_none_or(|pool| pool.unkept.is_some_and(|until| now >= until)) {
-            let (client, connections) = self.connect(self.keepalive.mul_f64(IDLE_PART));
-            let breaks = self.by.get(&addr).map_or(0, |pool| pool.breaks);
-            self.by.insert(addr, Pool { client, connections, used: now, breaks, unkept: None });
+        if self
+            .by_addr
+            .get(&addr)
+            .is_none_or(|pool| pool.no_keepalive_until.is_some_and(|until| now >= until))
+        {
+            let (client, connections) = self.new_client(self.keepalive.mul_f64(IDLE_TIMEOUT_FRACTION));
+            let breaks = self.by_addr.get(&addr).map_or(0, |pool| pool.breaks);
+            self.by_addr
+                .insert(addr, Pool { client, connections, last_used: now, breaks, no_keepalive_until: None });
         }
-        let pool = self.by.get_mut(&addr);
+        let pool = self.by_addr.get_mut(&addr);
         pool.map(|pool| {
-            pool.used = now;
+            pool.last_used = now;
             pool.client.clone()
         })
         .unwrap_or_default()
     }
 
     /// A connection to this address broke.
-    fn broke(&mut self, addr: SocketAddr) {
+    fn connection_broke(&mut self, addr: SocketAddr) {
         let now = Instant::now();
         // Those of a dead pool end one after the other: that is one break.
-        let Some(breaks) = self.by.get(&addr).filter(|p| p.unkept.is_none()).map(|p| p.breaks) else {
+        let Some(breaks) =
+            self.by_addr.get(&addr).filter(|p| p.no_keepalive_until.is_none()).map(|p| p.breaks)
+        else {
             return;
         };
-        let (client, connections) = self.connect(Duration::ZERO);
-        let unkept = Some(now + NOT_KEPT * 2u32.pow(breaks.min(NOT_KEPT_DOUBLINGS)));
-        self.by.insert(addr, Pool { client, connections, used: now, breaks: breaks + 1, unkept });
+        let (client, connections) = self.new_client(Duration::ZERO);
+        let no_keepalive_until =
+            Some(now + NO_KEEPALIVE_AFTER_BREAK * 2u32.pow(breaks.min(MAX_NO_KEEPALIVE_DOUBLINGS)));
+        self.by_addr.insert(
+            addr,
+            Pool { client, connections, last_used: now, breaks: breaks + 1, no_keepalive_until },
+        );
     }
 }
 
-struct Call(Rc<Cell<usize>>);
+struct CallSlot(Rc<Cell<usize>>);
 
-impl Drop for Call {
+impl Drop for CallSlot {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -219,20 +235,25 @@
 
 impl HttpClient {
     /// `most` calls at a time, and `most_open` connections, those that are kept included.
-    pub fn new(connect_within: Duration, keepalive: Duration, most: usize, most_open: usize) -> Self {
-        let pools = Rc::new_cyclic(|own| {
+    pub fn new(
+        connect_timeout: Duration,
+        keepalive: Duration,
+        max_calls: usize,
+        max_open_connections: usize,
+    ) -> Self {
+        let pools = Rc::new_cyclic(|weak_self| {
             RefCell::new(Pools {
-                by: FxHashMap::default(),
-                swept: Instant::now(),
-                connect_within,
+                by_addr: FxHashMap::default(),
+                last_sweep: Instant::now(),
+                connect_timeout,
                 keepalive,
-                most,
-                open: Rc::default(),
-                most_open,
-                own: own.clone(),
+                max_calls,
+                open_connections: Rc::default(),
+                max_open_connections,
+                weak_self: weak_self.clone(),
             })
         });
-        HttpClient { pools, calls: Rc::default(), most }
+        HttpClient { pools, calls: Rc::default(), max_calls }
     }
 
     /// A call to discovery. It needs no place among the calls that may be out: it is one at a time, and calls to workers
@@ -241,25 +262,25 @@
         &self,
         addr: SocketAddr,
         path: &str,
-        within: Duration,
+        time_limit: Duration,
         limit: usize,
     ) -> Result<(u16, Bytes), CallError> {
         let exchange = self.exchange(Method::GET, addr, path, &[], Bytes::new(), limit);
-        let answer = tokio::time::timeout(within, exchange).await.unwrap_or(Err(CallError::Timeout));
-        self.judge(addr, answer).map(|answer| (answer.status, answer.body))
+        let answer = tokio::time::timeout(time_limit, exchange).await.unwrap_or(Err(CallError::Timeout));
+        self.note_break(addr, answer).map(|answer| (answer.status, answer.body))
     }
 
     /// Whether a connection comes up there, as far as this machine can tell. Nothing is sent on it.
     pub async fn is_reachable(&self, addr: SocketAddr) -> bool {
-        let connect_within = self.pools.borrow().connect_within;
-        let connected = tokio::time::timeout(connect_within, TcpStream::connect(addr)).await;
+        let connect_timeout = self.pools.borrow().connect_timeout;
+        let connected = tokio::time::timeout(connect_timeout, TcpStream::connect(addr)).await;
         connected.is_ok_and(|connected| connected.map_or_else(|e| is_local(&e), |_| true))
     }
 
     /// A probe of a worker.
     pub(super) async fn probe(&self, addr: SocketAddr, path: &str) -> Result<(u16, Bytes), CallError> {
-        let Some(_call) = self.begin(&Method::GET) else { return Err(CallError::Busy) };
-        self.get(addr, path, PROBE_WITHIN, MAX_ANSWER).await
+        let Some(_slot) = self.acquire_slot(&Method::GET) else { return Err(CallError::Busy) };
+        self.get(addr, path, PROBE_TIMEOUT, MAX_ANSWER_BYTES).await
     }
 
     /// The same for the fleet; nothing where it may not act for it any longer.
@@ -269,26 +290,27 @@
         path: &str,
         operation: &FencedOperation,
     ) -> Result<Option<(u16, Bytes)>, CallError> {
-        let Some(_call) = self.begin(&Method::GET) else { return Err(CallError::Busy) };
-        let connect_within = self.pools.borrow().connect_within;
-        health_check(addr, path, operation, (connect_within, PROBE_WITHIN), MAX_ANSWER).await
+        let Some(_slot) = self.acquire_slot(&Method::GET) else { return Err(CallError::Busy) };
+        let connect_timeout = self.pools.borrow().connect_timeout;
+        health_check(addr, path, operation, (connect_timeout, PROBE_TIMEOUT), MAX_ANSWER_BYTES).await
     }
 
     /// A place among the calls that may be out.
-    fn begin(&self, method: &Method) -> Option<Call> {
+    fn acquire_slot(&self, method: &Method) -> Option<CallSlot> {
         // Jobs leave room for what is short: probes, and giving jobs up.
-        let most = if *method == Method::POST { self.most } else { self.most + self.most / 4 };
-        if self.calls.get() >= most {
+        let max_calls =
+            if *method == Method::POST { self.max_calls } else { self.max_calls + self.max_calls / 4 };
+        if self.calls.get() >= max_calls {
             return None;
         }
         self.calls.set(self.calls.get() + 1);
-        Some(Call(self.calls.clone()))
+        Some(CallSlot(self.calls.clone()))
     }
 
     /// A call to a worker through a gate, which is looked at right before the first byte; from that on it may take `within`, and
     /// `left` in all.
     #[allow(clippy::too_many_arguments)]
-    pub(super) async fn gated(
+    pub(super) async fn call_gated(
         &self,
         gate: &Rc<Gate>,
         method: Method,
@@ -296,29 +318,29 @@
         path: &str,
         headers: &[(&str, &str)],
         body: Bytes,
-        (within, left): (Duration, Duration),
+        (time_limit, left): (Duration, Duration),
         limit: usize,
     ) -> Result<HttpAnswer, CallError> {
-        let Some(_call) = self.begin(&method) else { return Err(CallError::Busy) };
+        let Some(_slot) = self.acquire_slot(&method) else { return Err(CallError::Busy) };
         let until = Instant::now() + left;
         loop {
             let exchange = self.exchange(method.clone(), addr, path, headers, body.clone(), limit);
             let left = until.saturating_duration_since(Instant::now());
-            match gate.clone().call(exchange, within, left).await {
+            match gate.clone().call(exchange, time_limit, left).await {
                 // The pool has one connection less, and the request has not left: the next one is tried.
-                Err(CallError::Stale) => gate.again(),
-                answer => return self.judge(addr, answer),
+                Err(CallError::Stale) => gate.reset_if_stale(),
+                answer => return self.note_break(addr, answer),
             }
         }
     }
 
-    fn judge(
+    fn note_break(
         &self,
         addr: SocketAddr,
         answer: Result<HttpAnswer, CallError>,
     ) -> Result<HttpAnswer, CallError> {
         if let Err(CallError::Broken(_) | CallError::Unsent) = answer {
-            self.pools.borrow_mut().broke(addr);
+            self.pools.borrow_mut().connection_broke(addr);
         }
         answer
     }
@@ -346,7 +368,7 @@
             // never ends. It is read only to have the connection free again.
             if response.next().now_or_never().is_none_or(|chunk| chunk.is_some()) {
                 // Dropped, it ends the connection; nobody waits for it.
-                actix_rt::spawn(tokio::time::timeout(TAKEN_WITHIN, async move {
+                actix_rt::spawn(tokio::time::timeout(ACCEPT_TIMEOUT, async move {
                     let mut left = limit;
                     while let Some(Ok(chunk)) = response.next().await {
                         left = left.saturating_sub(chunk.len());
--- a/dispatcher/src/targets/gate.rs
+++ b/dispatcher/src/targets/gate.rs
@@ -30,12 +30,12 @@
 
 /// What has become of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-enum At {
+enum WriteState {
     /// Not a byte of it is written.
     #[default]
     Waiting,
     /// The look said no: nothing is written, and nothing will be.
-    Shut,
+    Refused,
     /// The other side has closed the kept connection: nothing was written.
     Stale,
     Open(Instant),
@@ -44,125 +44,133 @@
 }
 
 /// The time that a worker is told is left, where it is told any.
-type Told = Option<Duration>;
+type BudgetSent = Option<Duration>;
 
 /// Who decides whether the first byte goes out.
-enum Look {
+enum Check {
     /// An attempt: it needs a permit, and what was written is judged behind the write.
     /// Both are given the time that the bytes tell the worker is left.
-    Attempt { permit: Box<dyn Fn(Told) -> Result<SendPermit, SendRefusal>>, written: Box<dyn Fn(Told)> },
+    Attempt {
+        permit: Box<dyn Fn(BudgetSent) -> Result<SendPermit, SendRefusal>>,
+        written: Box<dyn Fn(BudgetSent)>,
+    },
     /// A call that is no attempt, as long as it has a purpose.
     Call(Box<dyn Fn() -> bool>),
 }
 
-impl Look {
+impl Check {
     /// Nothing is awaited between this and the write.
-    fn is_granted(&self, told: Told) -> bool {
+    fn is_granted(&self, budget_sent: BudgetSent) -> bool {
         match self {
-            Look::Attempt { permit, .. } => {
-                permit(told).and_then(|permit| permit.is_current(Instant::now())).is_ok()
+            Check::Attempt { permit, .. } => {
+                permit(budget_sent).and_then(|permit| permit.is_current(Instant::now())).is_ok()
             }
-            Look::Call(is_wanted) => is_wanted(),
+            Check::Call(is_wanted) => is_wanted(),
         }
     }
 }
 
 /// A worker that answers twice does so within this time: an answer to a request that went out sooner behind another
 /// one's on the same connection may be that one's. No setting tells of it.
-const SAID_TWICE: Duration = Duration::from_millis(25);
+const DUPLICATE_ANSWER_WINDOW: Duration = Duration::from_millis(25);
 
 /// What one request has to pass.
 #[derive(Default)]
 pub struct Gate {
-    look: Option<Look>,
-    at: Cell<At>,
+    check: Option<Check>,
+    state: Cell<WriteState>,
     /// The time that the bytes tell the worker is left.
-    passed_on: Cell<Told>,
+    budget_sent: Cell<BudgetSent>,
     /// The write of the first byte was told of.
-    told: Cell<bool>,
-    closely: Cell<bool>,
+    write_reported: Cell<bool>,
+    follows_answer: Cell<bool>,
     /// The event loop's turn before the look. A task of its own, so that no other wake of the call counts as the turn;
     /// left behind by a call that is dropped, it ends with that turn.
-    turn: RefCell<Option<JoinHandle<()>>>,
+    loop_turn: RefCell<Option<JoinHandle<()>>>,
 }
 
 impl Gate {
     /// For a call that is no attempt. `is_wanted` is called once there is a connection that takes bytes, right before the
     /// first one goes out.
     pub fn new(is_wanted: impl Fn() -> bool + 'static) -> Rc<Gate> {
-        Rc::new(Gate { look: Some(Look::Call(Box::new(is_wanted))), ..Gate::default() })
+        Rc::new(Gate { check: Some(Check::Call(Box::new(is_wanted))), ..Gate::default() })
     }
 
     /// For an attempt. `permit` is called at that moment, and `written` right behind the write.
     pub fn for_attempt(
-        permit: impl Fn(Told) -> Result<SendPermit, SendRefusal> + 'static,
-        written: impl Fn(Told) + 'static,
+        permit: impl Fn(BudgetSent) -> Result<SendPermit, SendRefusal> + 'static,
+        written: impl Fn(BudgetSent) + 'static,
     ) -> Rc<Gate> {
-        let look = Look::Attempt { permit: Box::new(permit), written: Box::new(written) };
-        Rc::new(Gate { look: Some(look), ..Gate::default() })
+        let check = Check::Attempt { permit: Box::new(permit), written: Box::new(written) };
+        Rc::new(Gate { check: Some(check), ..Gate::default() })
     }
 
     /// Bytes were written.
-    fn wrote(&self) {
-        if let (Some(Look::Attempt { written, .. }), false) = (&self.look, self.told.replace(true)) {
-            written(self.passed_on.get());
+    fn report_write(&self) {
+        if let (Some(Check::Attempt { written, .. }), false) =
+            (&self.check, self.write_reported.replace(true))
+        {
+            written(self.budget_sent.get());
         }
     }
 
     /// The bytes of the call tell the worker that so much time is left.
-    pub fn passes_on(&self, left: Duration) {
-        self.passed_on.set(Some(left));
+    pub fn set_budget_sent(&self, left: Duration) {
+        self.budget_sent.set(Some(left));
     }
 
     /// Whether a byte may have gone out.
-    pub fn is_open(&self) -> bool {
-        matches!(self.at.get(), At::Open(_) | At::Unsent)
+    pub fn may_have_written(&self) -> bool {
+        matches!(self.state.get(), WriteState::Open(_) | WriteState::Unsent)
     }
 
     /// Whether the request went out right behind the answer to another one.
-    pub fn follows_closely(&self) -> bool {
-        self.closely.get()
+    pub fn follows_recent_answer(&self) -> bool {
+        self.follows_answer.get()
     }
 
     /// Nothing was written: the call may be made anew.
-    pub fn again(&self) {
-        if self.at.get() == At::Stale {
-            self.at.set(At::Waiting);
-            self.turn.take();
+    pub fn reset_if_stale(&self) {
+        if self.state.get() == WriteState::Stale {
+            self.state.set(WriteState::Waiting);
+            self.loop_turn.take();
         }
     }
 
     /// Lets the event loop take a turn before the look: what the kernel knows by then of a client that left, or of a
     /// worker that drains, is heard first, whatever woke this call.
-    fn poll_turn(&self, cx: &mut Context<'_>) -> Poll<()> {
-        if self.at.get() != At::Waiting {
+    fn poll_loop_turn(&self, cx: &mut Context<'_>) -> Poll<()> {
+        if self.state.get() != WriteState::Waiting {
             return Poll::Ready(());
         }
-        let mut turn = self.turn.borrow_mut();
+        let mut turn = self.loop_turn.borrow_mut();
         let turn = turn.get_or_insert_with(|| actix_rt::spawn(tokio::task::yield_now()));
         Pin::new(turn).poll(cx).map(|_| ())
     }
 
-    fn pass(&self, Gated { stream, heard, .. }: &Gated) -> io::Result<()> {
-        match self.at.get() {
-            At::Waiting => {}
-            At::Open(_) => return Ok(()),
+    fn check_before_write(&self, GatedStream { stream, last_read, .. }: &GatedStream) -> io::Result<()> {
+        match self.state.get() {
+            WriteState::Waiting => {}
+            WriteState::Open(_) => return Ok(()),
             // Whoever tries to write again: it stays at that.
-            At::Shut | At::Stale | At::Unsent => return Err(ErrorKind::NotConnected.into()),
+            WriteState::Refused | WriteState::Stale | WriteState::Unsent => {
+                return Err(ErrorKind::NotConnected.into())
+            }
         }
-        self.closely.set(heard.is_some_and(|heard| heard.elapsed() < SAID_TWICE));
+        self.follows_answer
+            .set(last_read.is_some_and(|last_read| last_read.elapsed() < DUPLICATE_ANSWER_WINDOW));
         // Nothing is awaited from here to the write.
         stops::at("post.look");
-        let at = match has_ended(stream) {
-            true => At::Stale,
-            false if self.look.as_ref().is_none_or(|look| look.is_granted(self.passed_on.get())) => {
-                At::Open(Instant::now())
+        let state = match is_unusable(stream) {
+            true => WriteState::Stale,
+            false if self.check.as_ref().is_none_or(|check| check.is_granted(self.budget_sent.get())) => {
+                WriteState::Open(Instant::now())
             }
-            false => At::Shut,
+            false => WriteState::Refused,
         };
-        self.at.set(at);
-        match at {
-            At::Open(_) => Ok(()),
+        self.state.set(state);
+        match state {
+            WriteState::Open(_) => Ok(()),
             _ => Err(ErrorKind::NotConnected.into()),
         }
     }
@@ -172,20 +180,20 @@
     pub async fn call<T>(
         self: Rc<Self>,
         call: impl Future<Output = Result<T, CallError>>,
-        within: Duration,
+        time_limit: Duration,
         left: Duration,
     ) -> Result<T, CallError> {
         let start = Instant::now();
         let mut call = pin!(GATE.scope(self.clone(), call));
-        let mut until = start + within.min(left);
+        let mut until = start + time_limit.min(left);
         let answer = loop {
             // The call is kept over the loop: nothing of it is lost.
             match timeout_at(until.into(), call.as_mut()).await {
                 Ok(answer) => break answer,
                 Err(_) => {
-                    let longest = match self.at.get() {
-                        At::Open(at) => at + within,
-                        _ => Instant::now() + within,
+                    let longest = match self.state.get() {
+                        WriteState::Open(at) => at + time_limit,
+                        _ => Instant::now() + time_limit,
                     };
                     match longest.min(start + left) {
                         later if later > until => until = later,
@@ -194,12 +202,12 @@
                 }
             }
         };
-        match (self.at.get(), answer) {
+        match (self.state.get(), answer) {
             (_, Ok(answer)) => Ok(answer),
-            (At::Shut, _) => Err(CallError::Shut),
-            (At::Stale, _) => Err(CallError::Stale),
-            (At::Unsent, _) => Err(CallError::Unsent),
-            (At::Waiting, Err(CallError::Timeout)) => {
+            (WriteState::Refused, _) => Err(CallError::NotPermitted),
+            (WriteState::Stale, _) => Err(CallError::Stale),
+            (WriteState::Unsent, _) => Err(CallError::Unsent),
+            (WriteState::Waiting, Err(CallError::Timeout)) => {
                 Err(CallError::NoConnection("it did not come up in time".into()))
             }
             (_, Err(e)) => Err(e),
@@ -209,37 +217,37 @@
 
 /// Whether the other side has ended the connection, as the kernel knows by now: what the event loop has been told may
 /// be older. Words that nobody asked for make it useless as well.
-fn has_ended(stream: &TcpStream) -> bool {
+fn is_unusable(stream: &TcpStream) -> bool {
     let peeked = SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]);
     !matches!(peeked, Err(e) if e.kind() == ErrorKind::WouldBlock)
 }
 
 /// A connection that asks the gate.
 #[derive(Debug)]
-pub struct Gated {
+pub struct GatedStream {
     stream: TcpStream,
     /// When something was last read from it.
-    heard: Option<Instant>,
+    last_read: Option<Instant>,
     /// Behind the stream: it counts until that is closed.
-    _open: OpenConnection,
+    _open_connection: OpenConnection,
 }
 
 /// Opens connections that ask the gate. `opens` is called before each, and counts it.
 pub fn connector(
-    opens: impl Fn() -> OpenConnection + Clone + 'static,
-) -> impl Service<ConnectInfo<Uri>, Response = Connection<Uri, Gated>, Error = ConnectError> + Clone {
+    open_connection: impl Fn() -> OpenConnection + Clone + 'static,
+) -> impl Service<ConnectInfo<Uri>, Response = Connection<Uri, GatedStream>, Error = ConnectError> + Clone {
     let plain = Connector::default().service();
     fn_service(move |info: ConnectInfo<Uri>| {
-        let open = opens();
+        let open = open_connection();
         let opened = plain.call(info);
         async move {
             let (stream, uri) = opened.await?.into_parts();
-            Ok(Connection::new(uri, Gated { stream, heard: None, _open: open }))
+            Ok(Connection::new(uri, GatedStream { stream, last_read: None, _open_connection: open }))
         }
     })
 }
 
-impl AsyncRead for Gated {
+impl AsyncRead for GatedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -248,25 +256,25 @@
         let before = buf.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buf);
         if buf.filled().len() > before {
-            self.heard = Some(Instant::now());
+            self.last_read = Some(Instant::now());
         }
         read
     }
 }
 
-impl AsyncWrite for Gated {
+impl AsyncWrite for GatedStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         // What is said outside of any call passes: the end of a connection.
         let Ok(gate) = GATE.try_with(Rc::clone) else {
             return Pin::new(&mut self.stream).poll_write(cx, buf);
         };
         ready!(self.stream.poll_write_ready(cx))?;
-        ready!(gate.poll_turn(cx));
-        gate.pass(&self)?;
+        ready!(gate.poll_loop_turn(cx));
+        gate.check_before_write(&self)?;
         let written = ready!(Pin::new(&mut self.stream).poll_write(cx, buf));
         match written {
-            Ok(_) => gate.wrote(),
-            Err(_) => gate.at.set(At::Unsent),
+            Ok(_) => gate.report_write(),
+            Err(_) => gate.state.set(WriteState::Unsent),
         }
         Poll::Ready(written)
     }
@@ -280,7 +288,7 @@
     }
 }
 
-impl ActixStream for Gated {
+impl ActixStream for GatedStream {
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<Ready>> {
         ActixStream::poll_read_ready(&self.stream, cx)
     }
--- a/dispatcher/src/targets/health_check.rs
+++ b/dispatcher/src/targets/health_check.rs
@@ -24,10 +24,10 @@
     addr: SocketAddr,
     path: &str,
     operation: &FencedOperation,
-    (connect_within, within): (Duration, Duration),
+    (connect_timeout, exchange_timeout): (Duration, Duration),
     limit: usize,
 ) -> Result<Option<(u16, Bytes)>, CallError> {
-    let mut stream = match timeout(connect_within, TcpStream::connect(addr)).await {
+    let mut stream = match timeout(connect_timeout, TcpStream::connect(addr)).await {
         Err(_) => return Err(CallError::NoConnection("it did not come up in time".into())),
         Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => return Err(CallError::Refused),
         Ok(Err(e)) if is_local(&e) => return Err(CallError::Local(e.to_string())),
@@ -48,13 +48,13 @@
             return Err(CallError::Broken("it took half a request".into()));
         }
         stops::at("act.written");
-        answer(&mut stream, limit).await.map(Some)
+        read_answer(&mut stream, limit).await.map(Some)
     };
-    timeout(within, exchange).await.unwrap_or(Err(CallError::Timeout))
+    timeout(exchange_timeout, exchange).await.unwrap_or(Err(CallError::Timeout))
 }
 
-async fn answer(stream: &mut TcpStream, limit: usize) -> Result<(u16, Bytes), CallError> {
-    let broken = |words: String| CallError::Broken(words);
+async fn read_answer(stream: &mut TcpStream, limit: usize) -> Result<(u16, Bytes), CallError> {
+    let broken = |reason: String| CallError::Broken(reason);
     let (mut input, mut body) = (BytesMut::new(), BytesMut::new());
     let (mut incoming, mut status) = (Incoming::new(Method::GET), 0);
     loop {
--- a/dispatcher/src/targets/http.rs
+++ b/dispatcher/src/targets/http.rs
@@ -1,7 +1,7 @@
 //! Workers that speak the platform's HTTP: a job is posted, taken with 202, and its fate comes as calls to
 //! the dispatcher's own address (`HttpTargets::apply_update`). After the 202 a forward lives without a connection.
 
-use super::client::{CallError, HttpAnswer, HttpClient, MAX_ANSWER, TAKEN_WITHIN};
+use super::client::{CallError, HttpAnswer, HttpClient, ACCEPT_TIMEOUT, MAX_ANSWER_BYTES};
 use super::gate::Gate;
 use super::load;
 use crate::facade::{Load, Outcome, TargetId};
@@ -22,13 +22,13 @@
 use tracing::debug;
 
 /// Between attempts to tell a worker that is not reached that a job is given up.
-const CANCEL_AGAIN: Duration = Duration::from_millis(100);
+const CANCEL_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Between attempts to make a probe that this machine could not make.
-const PROBE_AGAIN_AFTER: Duration = Duration::from_millis(100);
+const PROBE_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// How long the answer to giving up a job is waited for, beyond connecting.
-const CANCEL_WITHIN: Duration = Duration::from_millis(150);
+const CANCEL_ANSWER_TIMEOUT: Duration = Duration::from_millis(150);
 /// So many answers to that may stay out: one connection may have fallen silent, not two.
-const CANCEL_TIMEOUTS: u32 = 2;
+const MAX_CANCEL_TIMEOUTS: u32 = 2;
 
 /// What a worker tells of a job.
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -44,21 +44,21 @@
     pub load: Option<serde_json::Value>,
 }
 
-struct Out {
+struct InFlight {
     forward: Forward,
     task: Option<JoinHandle<()>>,
     gate: Rc<Gate>,
     /// The worker has told of the job.
-    told: bool,
+    worker_reported: bool,
     /// The call that gives it up, where there is one, and what the worker has said meanwhile.
-    giving_up: Option<Rc<Gate>>,
-    word: Option<(Outcome, Option<Load>)>,
+    cancel_gate: Option<Rc<Gate>>,
+    reported_outcome: Option<(Outcome, Option<Load>)>,
 }
 
-impl Out {
+impl InFlight {
     /// Whether the worker has said of this very forward that it is over.
-    fn is_over(&self) -> bool {
-        self.word.is_some() && !self.forward.repeats_target
+    fn is_finished(&self) -> bool {
+        self.reported_outcome.is_some() && !self.forward.repeats_target
     }
 }
 
@@ -80,16 +80,23 @@
 pub struct HttpTargets {
     flows: Flows,
     client: HttpClient,
-    connect_within: Duration,
+    connect_timeout: Duration,
     /// Workers report their load: probes ask for it.
-    reports: bool,
-    out: Rc<RefCell<FxHashMap<String, Out>>>,
+    load_reports: bool,
+    in_flight: Rc<RefCell<FxHashMap<String, InFlight>>>,
     counts: Rc<RefCell<UpdateCounts>>,
 }
 
 impl HttpTargets {
-    pub fn new(flows: Flows, client: HttpClient, connect_within: Duration, reports: bool) -> Self {
-        HttpTargets { flows, client, connect_within, reports, out: Rc::default(), counts: Rc::default() }
+    pub fn new(flows: Flows, client: HttpClient, connect_timeout: Duration, load_reports: bool) -> Self {
+        HttpTargets {
+            flows,
+            client,
+            connect_timeout,
+            load_reports,
+            in_flight: Rc::default(),
+            counts: Rc::default(),
+        }
     }
 
     /// Takes note of an update of no attempt here, and of what became of it.
@@ -111,29 +118,32 @@
 
     /// Whether an update is of an attempt that this process has out.
     pub fn has_attempt(&self, update: &JobUpdate) -> bool {
-        self.out.borrow().get(&update.id).is_some_and(|out| *out.forward.target_name == *update.from)
+        self.in_flight
+            .borrow()
+            .get(&update.id)
+            .is_some_and(|in_flight| *in_flight.forward.target_name == *update.from)
     }
 
     /// Takes a worker's update. It may come before the 202, again, or of an attempt that is over: only what
     /// the worker tells of the attempt that it now has is taken up. False: this process has none such out.
     pub fn apply_update(&self, update: JobUpdate) -> bool {
         let forward = {
-            let mut out = self.out.borrow_mut();
-            out.get_mut(&update.id).filter(|o| *o.forward.target_name == *update.from).map(|o| {
-                o.told = true;
+            let mut in_flight = self.in_flight.borrow_mut();
+            in_flight.get_mut(&update.id).filter(|o| *o.forward.target_name == *update.from).map(|o| {
+                o.worker_reported = true;
                 o.forward.clone()
             })
         };
         let Some(forward) = forward else { return false };
         self.counts.borrow_mut().taken += 1;
-        let ticket = forward.ticket;
+        let forward_id = forward.id;
         let end = match update.state.as_str() {
             "started" => {
-                self.flows.job_started(ticket);
+                self.flows.job_started(forward_id);
                 return true;
             }
             "running" => {
-                self.flows.job_progress(ticket, update.share.unwrap_or(0.0));
+                self.flows.job_progress(forward_id, update.share.unwrap_or(0.0));
                 return true;
             }
             "done" => Outcome::Served,
@@ -147,101 +157,113 @@
             other => Bytes::from(other.to_string()),
         });
         let load = update.load.as_ref().and_then(|l| load::from_object(l.as_object()?));
-        if end != Outcome::Served && self.waits(&forward, end, load) {
+        if end != Outcome::Served && self.must_wait_for_cancel(&forward, end, load) {
             return true;
         }
-        self.end(&update.id, ticket, end, result, load);
+        self.end_forward(&update.id, forward_id, end, result, load);
         true
     }
 
     /// Whether a worker's word that a forward came to nothing has to wait until the worker knows that it is given up:
     /// where the call that says so is on its way, since it would meet the next attempt there; and where the word may
     /// be of an earlier attempt there, said again.
-    fn waits(&self, forward: &Forward, end: Outcome, load: Option<Load>) -> bool {
-        let mut out = self.out.borrow_mut();
-        let own = out.get_mut(&forward.job.reference).filter(|o| o.forward.ticket == forward.ticket);
+    fn must_wait_for_cancel(&self, forward: &Forward, end: Outcome, load: Option<Load>) -> bool {
+        let mut in_flight = self.in_flight.borrow_mut();
+        let own = in_flight.get_mut(&forward.job.reference).filter(|o| o.forward.id == forward.id);
         let Some(own) = own else { return false };
         // Of one that may run on it can't be said that it never ran.
         let end = if forward.repeats_target && end == Outcome::NoRoom { Outcome::Fault } else { end };
-        let calling = own.giving_up.as_ref().map(|gate| gate.is_open());
-        own.word = Some((end, load));
-        if forward.repeats_target && calling.is_none() {
+        let cancel_sent = own.cancel_gate.as_ref().map(|gate| gate.may_have_written());
+        own.reported_outcome = Some((end, load));
+        if forward.repeats_target && cancel_sent.is_none() {
             let (this, forward) = (self.clone(), forward.clone());
             // Nobody cancels it; it ends when the worker knows, or time is over.
-            actix_rt::spawn(async move { this.give_up(&forward, None, end).await });
+            actix_rt::spawn(async move { this.cancel_and_end(&forward, None, end).await });
         }
-        forward.repeats_target || calling == Some(true)
+        forward.repeats_target || cancel_sent == Some(true)
     }
 
     /// Ends a forward here and in the core, unless it has ended already.
-    fn end(
+    fn end_forward(
         &self,
         reference: &str,
-        ticket: ForwardId,
+        forward_id: ForwardId,
         outcome: Outcome,
         result: Option<Bytes>,
         load: Option<Load>,
     ) {
         {
-            let mut out = self.out.borrow_mut();
-            if out.get(reference).is_some_and(|o| o.forward.ticket == ticket) {
-                out.remove(reference);
+            let mut in_flight = self.in_flight.borrow_mut();
+            if in_flight.get(reference).is_some_and(|o| o.forward.id == forward_id) {
+                in_flight.remove(reference);
             }
         }
-        self.flows.forward_ended_with_load(ticket, outcome, result, load);
+        self.flows.forward_ended_with_load(forward_id, outcome, result, load);
     }
 
     /// Something of a forward, while it is out.
-    fn of<R>(&self, forward: &Forward, read: impl FnOnce(&mut Out) -> R) -> Option<R> {
-        let mut out = self.out.borrow_mut();
-        out.get_mut(&forward.job.reference).filter(|o| o.forward.ticket == forward.ticket).map(read)
+    fn with_in_flight<R>(&self, forward: &Forward, read: impl FnOnce(&mut InFlight) -> R) -> Option<R> {
+        let mut in_flight = self.in_flight.borrow_mut();
+        in_flight.get_mut(&forward.job.reference).filter(|o| o.forward.id == forward.id).map(read)
     }
 
-    fn is_told(&self, forward: &Forward) -> bool {
-        self.of(forward, |out| out.told) == Some(true)
+    fn worker_has_reported(&self, forward: &Forward) -> bool {
+        self.with_in_flight(forward, |in_flight| in_flight.worker_reported) == Some(true)
     }
 
     /// Gives a forward up at its worker, and ends it: as the worker says meanwhile, else with this outcome.
-    async fn give_up(&self, forward: &Forward, closed: Option<Instant>, unless_told: Outcome) {
-        self.call_back(forward, closed).await;
-        let word = self.of(forward, |out| out.word.take()).flatten();
-        let (outcome, load) = word.unwrap_or((unless_told, None));
-        self.end(&forward.job.reference, forward.ticket, outcome, None, load);
+    async fn cancel_and_end(&self, forward: &Forward, closed_at: Option<Instant>, default_outcome: Outcome) {
+        self.cancel_at_worker(forward, closed_at).await;
+        let reported_outcome =
+            self.with_in_flight(forward, |in_flight| in_flight.reported_outcome.take()).flatten();
+        let (outcome, load) = reported_outcome.unwrap_or((default_outcome, None));
+        self.end_forward(&forward.job.reference, forward.id, outcome, None, load);
     }
 
     /// Tells a worker that a job is given up, until it knows. `closed`: when the connection was ended before the
     /// 202, which gives the job up too, once the worker has seen it.
-    async fn call_back(&self, forward: &Forward, closed: Option<Instant>) {
+    async fn cancel_at_worker(&self, forward: &Forward, closed_at: Option<Instant>) {
         let path = format!("/jobs/{}", forward.job.reference);
-        let within = self.connect_within + CANCEL_WITHIN;
+        let time_limit = self.connect_timeout + CANCEL_ANSWER_TIMEOUT;
         let mut timeouts = 0;
         // After the 202 a worker that is cut off still has the job until it is told: guards against a second
         // copy beside one that nobody could call back.
         loop {
             let (this, copy) = (self.clone(), forward.clone());
             // One that the worker has ended meanwhile needs no giving up: a call then would meet the next one there.
-            let gate = Gate::new(move || this.of(&copy, |out| !out.is_over()) == Some(true));
-            let over = self.of(forward, |out| {
-                out.giving_up = Some(gate.clone());
-                out.is_over()
+            let gate = Gate::new(move || {
+                this.with_in_flight(&copy, |in_flight| !in_flight.is_finished()) == Some(true)
+            });
+            let finished = self.with_in_flight(forward, |in_flight| {
+                in_flight.cancel_gate = Some(gate.clone());
+                in_flight.is_finished()
             });
-            if over != Some(false) {
+            if finished != Some(false) {
                 break;
             }
-            let (addr, body, within) = (forward.addr, Bytes::new(), (within, within));
-            let call = self.client.gated(&gate, Method::DELETE, addr, &path, &[], body, within, MAX_ANSWER);
+            let (addr, body, time_limit) = (forward.addr, Bytes::new(), (time_limit, time_limit));
+            let call = self.client.call_gated(
+                &gate,
+                Method::DELETE,
+                addr,
+                &path,
+                &[],
+                body,
+                time_limit,
+                MAX_ANSWER_BYTES,
+            );
             match call.await {
-                Ok(_) | Err(CallError::Shut) => break,
+                Ok(_) | Err(CallError::NotPermitted) => break,
                 // A process that died, or one that lives and has all the connections it will hold: guards against a
                 // second copy beside one that runs on there. What died with its job is told of as lost.
                 Err(CallError::Refused)
-                    if closed.is_none() && !self.flows.is_listed(&forward.target_name) =>
+                    if closed_at.is_none() && !self.flows.is_listed(&forward.target_name) =>
                 {
                     break
                 }
                 Err(CallError::Timeout) => {
                     timeouts += 1;
-                    if timeouts >= CANCEL_TIMEOUTS {
+                    if timeouts >= MAX_CANCEL_TIMEOUTS {
                         break;
                     }
                     continue;
@@ -249,7 +271,7 @@
                 // A connection may also be reset while it comes up: the end of the one before may not have got
                 // there by then.
                 Err(CallError::NoConnection(_) | CallError::Refused)
-                    if closed.is_some_and(|at| at.elapsed() >= self.connect_within) =>
+                    if closed_at.is_some_and(|at| at.elapsed() >= self.connect_timeout) =>
                 {
                     break
                 }
@@ -259,7 +281,7 @@
             if Instant::now() >= forward.deadline {
                 break;
             }
-            tokio::time::sleep(CANCEL_AGAIN).await;
+            tokio::time::sleep(CANCEL_RETRY_DELAY).await;
         }
     }
 
@@ -268,26 +290,26 @@
         let (flows, sending) = (self.flows.clone(), forward.clone());
         let (audit, sent) = (self.flows.clone(), forward.clone());
         Gate::for_attempt(
-            move |told| flows.send_permit(&sending, told),
-            move |told| audit.first_byte_written(&sent, told),
+            move |budget_sent| flows.send_permit(&sending, budget_sent),
+            move |budget_sent| audit.first_byte_written(&sent, budget_sent),
         )
     }
 
     /// What a worker is told of the time that is left. It is read before there is a connection and arrives when that has come
     /// up: no more must be told then than the client still waits. Of little time half is told, so that some is left.
-    fn budget_passed_on(&self, left: Duration) -> Duration {
-        left.saturating_sub(self.connect_within).max(left / 2)
+    fn worker_budget(&self, left: Duration) -> Duration {
+        left.saturating_sub(self.connect_timeout).max(left / 2)
     }
 
     async fn post(&self, forward: &Forward, gate: &Rc<Gate>) {
         let job = &forward.job;
         if self.flows.send_permit(forward, None).is_err() {
             // The worker began to drain between the decision and this moment, say: no connection is opened for it.
-            return self.end(&job.reference, forward.ticket, Outcome::Moot, None, None);
+            return self.end_forward(&job.reference, forward.id, Outcome::Moot, None, None);
         }
         let left = forward.deadline.saturating_duration_since(Instant::now());
-        let budget = self.budget_passed_on(left);
-        gate.passes_on(budget);
+        let budget = self.worker_budget(left);
+        gate.set_budget_sent(budget);
         let budget = budget.as_millis().to_string();
         let mut headers = vec![
             ("X-Call-Id", job.reference.as_str()),
@@ -297,19 +319,23 @@
         if let Some(key) = &job.idempotency_key {
             headers.push(("Idempotency-Key", key));
         }
-        let (addr, body, within) = (forward.addr, job.body.whole(), (TAKEN_WITHIN, left));
-        let answer =
-            self.client.gated(gate, Method::POST, addr, &job.path, &headers, body, within, MAX_ANSWER).await;
+        let (addr, body, time_limit) = (forward.addr, job.body.whole(), (ACCEPT_TIMEOUT, left));
+        let answer = self
+            .client
+            .call_gated(gate, Method::POST, addr, &job.path, &headers, body, time_limit, MAX_ANSWER_BYTES)
+            .await;
         let load = answer.as_ref().ok().and_then(|answer| answer.load);
         let outcome = match answer {
             Ok(HttpAnswer { status: 202, .. }) => return,
             // It may be the answer before it, said twice; then the worker has this job.
-            Ok(_) if gate.follows_closely() => return self.give_up(forward, None, Outcome::Fault).await,
+            Ok(_) if gate.follows_recent_answer() => {
+                return self.cancel_and_end(forward, None, Outcome::Fault).await
+            }
             Ok(HttpAnswer { status: 503 | 504, rejected: true, .. }) => Outcome::NoRoom,
             Ok(_) => Outcome::Fault,
             Err(CallError::Refused | CallError::NoConnection(_) | CallError::Unsent) => Outcome::NoRoute,
             Err(CallError::Broken(_)) => Outcome::Cut,
-            Err(CallError::Busy | CallError::Shut | CallError::Stale) => Outcome::Moot,
+            Err(CallError::Busy | CallError::NotPermitted | CallError::Stale) => Outcome::Moot,
             Err(CallError::Local(_)) => {
                 // Dropped here, nothing was sent, and the gate says so.
                 tokio::time::sleep(TRY_AGAIN_AFTER).await;
@@ -318,12 +344,12 @@
             Err(CallError::Timeout) if Instant::now() >= forward.deadline => Outcome::TimedOut,
             // The connection has fallen silent. The worker may have the job: if it says so, all is well, else
             // it is told that the job is given up, and only then the next attempt may go out.
-            Err(CallError::Timeout) if self.is_told(forward) => return,
+            Err(CallError::Timeout) if self.worker_has_reported(forward) => return,
             Err(CallError::Timeout) => {
-                return self.give_up(forward, Some(Instant::now()), Outcome::Cut).await;
+                return self.cancel_and_end(forward, Some(Instant::now()), Outcome::Cut).await;
             }
         };
-        self.end(&job.reference, forward.ticket, outcome, None, load);
+        self.end_forward(&job.reference, forward.id, outcome, None, load);
     }
 }
 
@@ -333,36 +359,43 @@
         let own = gate.clone();
         let task = actix_rt::spawn(async move { this.post(&copy, &own).await });
         let reference = forward.job.reference.clone();
-        let out = Out { forward, task: Some(task), gate, told: false, giving_up: None, word: None };
-        self.out.borrow_mut().insert(reference, out);
+        let in_flight = InFlight {
+            forward,
+            task: Some(task),
+            gate,
+            worker_reported: false,
+            cancel_gate: None,
+            reported_outcome: None,
+        };
+        self.in_flight.borrow_mut().insert(reference, in_flight);
     }
 
     fn cancel(&self, forward: Forward) {
-        let own = self.of(&forward, |out| (out.task.take(), out.gate.clone()));
+        let own = self.with_in_flight(&forward, |in_flight| (in_flight.task.take(), in_flight.gate.clone()));
         let (task, gate) = own.map_or((None, None), |(task, gate)| (task, Some(gate)));
         let this = self.clone();
         actix_rt::spawn(async move {
             // Before the 202 it is the end of the connection that gives the job up. Only when that is done and
             // the worker knows may the next attempt go out: else there were two.
-            let mut closed = None;
+            let mut closed_at = None;
             if let Some(task) = task {
                 let posting = !task.is_finished();
                 task.abort();
                 let _ = task.await;
-                closed = posting.then(Instant::now);
-                if posting && gate.is_some_and(|gate| !gate.is_open()) {
+                closed_at = posting.then(Instant::now);
+                if posting && gate.is_some_and(|gate| !gate.may_have_written()) {
                     // Not a byte of it went out, and none will: there is nobody to tell, and it surely never ran.
-                    return this.end(&forward.job.reference, forward.ticket, Outcome::Moot, None, None);
+                    return this.end_forward(&forward.job.reference, forward.id, Outcome::Moot, None, None);
                 }
             }
-            this.give_up(&forward, closed, Outcome::Cancelled).await;
+            this.cancel_and_end(&forward, closed_at, Outcome::Cancelled).await;
         });
     }
 
     fn probe(&self, target: TargetId, addr: SocketAddr, operation: Option<FencedOperation>) {
         let this = self.clone();
         actix_rt::spawn(async move {
-            let path = if this.reports { "/metrics/load" } else { "/alive" };
+            let path = if this.load_reports { "/metrics/load" } else { "/alive" };
             let call = loop {
                 let call = match &operation {
                     None => this.client.probe(addr, path).await,
@@ -375,7 +408,7 @@
                 };
                 // A probe that this machine could not make has no result.
                 let Err(CallError::Local(_)) = call else { break call };
-                tokio::time::sleep(PROBE_AGAIN_AFTER).await;
+                tokio::time::sleep(PROBE_RETRY_DELAY).await;
             };
             let load = call.as_ref().ok().and_then(|(_, body)| load::from_body(body));
             let outcome = match call {
--- a/dispatcher/src/targets/load.rs
+++ b/dispatcher/src/targets/load.rs
@@ -8,19 +8,19 @@
 
 /// Takes a figure by its name, the protocol's or the settings'. PeerLoad are skipped, and so is what is no amount:
 /// a worker's nonsense must not become a decision.
-fn take(load: &mut Load, name: &str, value: f64) {
-    let figure = match name {
+fn set_field(load: &mut Load, name: &str, value: f64) {
+    let field = match name {
         "x0" => &mut load.free,
         "queue" | "depth" => &mut load.waiting,
         "inflight" | "concurrent" => &mut load.held,
         _ => return,
     };
     if value.is_finite() && value >= 0.0 {
-        *figure = Some(value);
+        *field = Some(value);
     }
 }
 
-fn some(load: Load) -> Option<Load> {
+fn non_empty(load: Load) -> Option<Load> {
     (load != Load::default()).then_some(load)
 }
 
@@ -28,18 +28,18 @@
 pub fn from_object(object: &serde_json::Map<String, serde_json::Value>) -> Option<Load> {
     let mut load = Load::default();
     for (name, value) in object {
-        value.as_f64().into_iter().for_each(|value| take(&mut load, name, value));
+        value.as_f64().into_iter().for_each(|value| set_field(&mut load, name, value));
     }
-    some(load)
+    non_empty(load)
 }
 
 /// From `TEXT inflight=7, queue=2`; whatever stands there that is no pair is skipped.
 pub fn from_line(line: &str) -> Option<Load> {
     let mut load = Load::default();
     for (name, value) in line.split([',', ' ']).filter_map(|word| word.split_once('=')) {
-        value.parse().into_iter().for_each(|value| take(&mut load, name, value));
+        value.parse().into_iter().for_each(|value| set_field(&mut load, name, value));
     }
-    some(load)
+    non_empty(load)
 }
 
 /// From the body of a probe's answer, in either form.
@@ -58,13 +58,13 @@
     use super::*;
 
     #[test]
-    fn both_forms_give_the_same_and_nonsense_gives_nothing() {
+    fn both_forms_parse_alike_and_invalid_input_is_ignored() {
         let load = Load { free: Some(2.5), waiting: Some(3.0), held: Some(7.0) };
         assert_eq!(from_line("TEXT inflight=7, queue=3, x0=2.5, util=0.61"), Some(load));
         assert_eq!(from_body(br#"{"load":{"x0":2.5,"depth":3,"concurrent":7,"util":1}}"#), Some(load));
         assert_eq!(from_body(br#"{"x0":2.5,"queue":3,"inflight":7}"#), Some(load));
-        for nonsense in ["", "TEXT", "TEXT x0=", "TEXT x0=NaN", "TEXT x0=-1", "TEXT x0=inf, =3", "x0"] {
-            assert_eq!(from_line(nonsense), None, "{nonsense:?}");
+        for invalid in ["", "TEXT", "TEXT x0=", "TEXT x0=NaN", "TEXT x0=-1", "TEXT x0=inf, =3", "x0"] {
+            assert_eq!(from_line(invalid), None, "{invalid:?}");
         }
         assert_eq!(from_body(&[0xff, b'x', b'0', b'=', b'1']), None);
     }
