--- a/dispatcher/src/targets/upstream.rs
+++ b/dispatcher/src/targets/upstream.rs
@@ -27,13 +27,13 @@
 use tracing::warn;
 
 /// What is read in one go.
-const IN_ONE_GO: usize = 16 << 10;
+const READ_CHUNK: usize = 16 << 10;
 /// The longest answer for a front that takes only whole ones.
-const MAX_WHOLE: usize = 64 << 10;
+const MAX_BUFFERED_ANSWER: usize = 64 << 10;
 /// Idle connections that are kept to one address.
-const MOST_IDLE: usize = 16;
+const MAX_IDLE_PER_ADDRESS: usize = 16;
 /// Ours end before the upstream ends them: a request written to one it has closed may have run.
-const IDLE_PART: f64 = 0.85;
+const IDLE_TIMEOUT_FRACTION: f64 = 0.85;
 
 /// What an HTTP front brings along: the request as it came, and where its answer is to pass.
 pub struct RequestContext {
@@ -46,7 +46,7 @@
     pub answer: RefCell<Option<(Writer, Reader)>>,
 }
 
-struct Out {
+struct InFlight {
     task: JoinHandle<()>,
     stage: Rc<Cell<Stage>>,
 }
@@ -54,13 +54,13 @@
 struct Inner {
     flows: Flows,
     forwarding: Forwarding,
-    connect_within: Duration,
-    keep: Duration,
-    most: usize,
+    connect_timeout: Duration,
+    keepalive: Duration,
+    max_calls: usize,
     calls: Cell<usize>,
     idle: RefCell<FxHashMap<SocketAddr, Vec<(Instant, TcpStream)>>>,
-    out: RefCell<FxHashMap<ForwardId, Out>>,
-    began: Instant,
+    in_flight: RefCell<FxHashMap<ForwardId, InFlight>>,
+    started: Instant,
 }
 
 /// The forwards that are out at such workers of one kind.
@@ -68,41 +68,41 @@
 pub struct Upstreams(Rc<Inner>);
 
 /// How an attempt ended.
-struct Ending {
+struct AttemptEnd {
     verdict: Verdict,
     /// The fault is not the worker's: the client went or was too slow, or this machine lacked something.
-    blameless: bool,
+    external_cause: bool,
     /// A whole answer, for a front that takes only these.
     result: Option<Bytes>,
     reusable: bool,
 }
 
-impl Ending {
-    fn of(verdict: Verdict) -> Ending {
-        Ending { verdict, blameless: false, result: None, reusable: false }
+impl AttemptEnd {
+    fn of(verdict: Verdict) -> AttemptEnd {
+        AttemptEnd { verdict, external_cause: false, result: None, reusable: false }
     }
 }
 
 /// Why there is no connection.
-enum NoStream {
+enum ConnectFailure {
     /// None came up in time, or it was refused.
-    Unreached,
+    Unreachable,
     /// This machine could not make one.
     Local,
 }
 
 /// Why an upload came to no end.
-enum Stuck {
+enum UploadError {
     /// The client went, broke its body, or was too slow.
     Client,
     /// The upstream takes no more: its answer may still come.
-    Upstream,
+    UpstreamClosed,
     UpstreamSlow,
 }
 
-struct Call<'a>(&'a Cell<usize>);
+struct CallGuard<'a>(&'a Cell<usize>);
 
-impl Drop for Call<'_> {
+impl Drop for CallGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -114,172 +114,176 @@
     pub fn new(
         flows: Flows,
         workers: &HttpWorkers,
-        connect_within: Duration,
+        connect_timeout: Duration,
         keepalive: Duration,
-        most: usize,
+        max_calls: usize,
     ) -> Self {
         Upstreams(Rc::new(Inner {
             flows,
             forwarding: workers.forwarding.clone(),
-            connect_within,
-            keep: keepalive.mul_f64(IDLE_PART),
-            most,
+            connect_timeout,
+            keepalive: keepalive.mul_f64(IDLE_TIMEOUT_FRACTION),
+            max_calls,
             calls: Cell::new(0),
             idle: RefCell::default(),
-            out: RefCell::default(),
-            began: Instant::now(),
+            in_flight: RefCell::default(),
+            started: Instant::now(),
         }))
     }
 
     fn now(&self) -> Duration {
-        self.0.began.elapsed()
+        self.0.started.elapsed()
     }
 
     /// A connection that is still of use, or a new one.
-    async fn connect(&self, addr: SocketAddr) -> Result<TcpStream, NoStream> {
+    async fn connect(&self, addr: SocketAddr) -> Result<TcpStream, ConnectFailure> {
         loop {
             let kept = self.0.idle.borrow_mut().get_mut(&addr).and_then(Vec::pop);
             let Some((since, stream)) = kept else { break };
             // One that says anything now, or has ended, is of no use.
-            let quiet =
+            let is_quiet =
                 matches!(stream.try_read(&mut [0]), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
-            if quiet && since.elapsed() < self.0.keep {
+            if is_quiet && since.elapsed() < self.0.keepalive {
                 return Ok(stream);
             }
         }
-        match tokio::time::timeout(self.0.connect_within, TcpStream::connect(addr)).await {
+        match tokio::time::timeout(self.0.connect_timeout, TcpStream::connect(addr)).await {
             Ok(Ok(stream)) => {
                 let _ = stream.set_nodelay(true);
                 Ok(stream)
             }
-            Ok(Err(e)) if is_local(&e) => Err(NoStream::Local),
-            Ok(Err(_)) | Err(_) => Err(NoStream::Unreached),
+            Ok(Err(e)) if is_local(&e) => Err(ConnectFailure::Local),
+            Ok(Err(_)) | Err(_) => Err(ConnectFailure::Unreachable),
         }
     }
 
-    fn keep(&self, addr: SocketAddr, stream: TcpStream) {
+    fn keep_idle(&self, addr: SocketAddr, stream: TcpStream) {
         let mut idle = self.0.idle.borrow_mut();
         idle.retain(|_, kept| {
-            kept.retain(|(since, _)| since.elapsed() < self.0.keep);
+            kept.retain(|(since, _)| since.elapsed() < self.0.keepalive);
             !kept.is_empty()
         });
         // Descriptors are kept for calls: idle ones have what those leave, and no more.
-        let all: usize = idle.values().map(Vec::len).sum();
+        let total_idle: usize = idle.values().map(Vec::len).sum();
         let kept = idle.entry(addr).or_default();
-        if kept.len() < MOST_IDLE && all + self.0.calls.get() < self.0.most {
+        if kept.len() < MAX_IDLE_PER_ADDRESS && total_idle + self.0.calls.get() < self.0.max_calls {
             kept.push((Instant::now(), stream));
         }
     }
 
-    async fn attempt(&self, forward: &Forward, stage: &Cell<Stage>) -> Ending {
-        let never = || Ending::of(Verdict::NeverRan);
-        if self.0.calls.get() >= self.0.most {
-            return Ending { blameless: true, ..never() };
+    async fn attempt(&self, forward: &Forward, stage: &Cell<Stage>) -> AttemptEnd {
+        let never_ran = || AttemptEnd::of(Verdict::NeverRan);
+        if self.0.calls.get() >= self.0.max_calls {
+            return AttemptEnd { external_cause: true, ..never_ran() };
         }
         self.0.calls.set(self.0.calls.get() + 1);
-        let _call = Call(&self.0.calls);
+        let _call = CallGuard(&self.0.calls);
         let stream = match self.connect(forward.addr).await {
             Ok(stream) => stream,
-            Err(NoStream::Unreached) => return never(),
-            Err(NoStream::Local) => {
+            Err(ConnectFailure::Unreachable) => return never_ran(),
+            Err(ConnectFailure::Local) => {
                 // Dropped here, nothing was sent.
                 tokio::time::sleep(TRY_AGAIN_AFTER).await;
-                return Ending { blameless: true, ..never() };
+                return AttemptEnd { external_cause: true, ..never_ran() };
             }
         };
         // What the kernel knows by now of a client that left is heard before the look. Dropped here, nothing was sent.
         tokio::task::yield_now().await;
         if stream.writable().await.is_err() {
-            return never();
+            return never_ran();
         }
         // The worker may have begun to drain, or the client have left, since this was decided. Nothing is awaited between
         // the permit and the write.
         let permit = self.0.flows.send_permit(forward, None);
         if permit.and_then(|permit| permit.is_current(Instant::now())).is_err() {
-            return Ending { blameless: true, ..never() };
+            return AttemptEnd { external_cause: true, ..never_ran() };
         }
-        let asked = forward.job.protocol_data.as_ref().and_then(|d| d.downcast_ref::<RequestContext>());
-        let (head, framing, body) = match self.request(forward, asked) {
+        let context = forward.job.protocol_data.as_ref().and_then(|d| d.downcast_ref::<RequestContext>());
+        let (head, framing, body) = match self.request(forward, context) {
             Some(request) => request,
-            None => return Ending { blameless: true, ..never() },
+            None => return AttemptEnd { external_cause: true, ..never_ran() },
         };
-        let pace = asked.map_or(
+        let pace = context.map_or(
             PaceLimits { idle: Duration::from_secs(3600), least: 0, over: Duration::from_secs(5) },
             |a| a.pace,
         );
-        let method = asked.map_or(Method::POST, |a| a.head.method.clone());
+        let method = context.map_or(Method::POST, |a| a.head.method.clone());
         stage.set(Stage::Head);
         let (mut read, mut write) = stream.into_split();
-        let Ok(bytes) = head.write(framing) else { return Ending { blameless: true, ..never() } };
+        let Ok(bytes) = head.write(framing) else {
+            return AttemptEnd { external_cause: true, ..never_ran() };
+        };
         let written = write.write_all(&bytes).await;
         self.0.flows.first_byte_written(forward, None);
         if written.is_err() {
-            return Ending::of(judge(stage.get(), End::Broken));
+            return AttemptEnd::of(judge(stage.get(), End::Broken));
         }
         stage.set(Stage::Uploading);
         let upload = self.upload(body, &mut write, Encoder::new(framing), pace);
-        let answer = self.answer(forward, asked, &mut read, Incoming::new(method), stage, pace);
-        let (mut uploaded, mut sent) = (false, false);
-        let mut ending = {
+        let answer = self.answer(forward, context, &mut read, Incoming::new(method), stage, pace);
+        let (mut upload_done, mut fully_sent) = (false, false);
+        let mut end = {
             tokio::pin!(upload, answer);
             loop {
                 // Both are kept over the loop: nothing that one has taken is lost when the other is ready.
                 tokio::select! {
-                    done = &mut upload, if !uploaded => {
-                        uploaded = true;
+                    done = &mut upload, if !upload_done => {
+                        upload_done = true;
                         match done {
                             Ok(()) => {
-                                sent = true;
+                                fully_sent = true;
                                 if stage.get() == Stage::Uploading {
                                     stage.set(Stage::Waiting);
                                 }
                             }
-                            Err(Stuck::Upstream) => {}
-                            Err(Stuck::Client) => {
+                            Err(UploadError::UpstreamClosed) => {}
+                            Err(UploadError::Client) => {
                                 let verdict = judge(stage.get(), End::GivenUp);
-                                break Ending { blameless: true, ..Ending::of(verdict) };
+                                break AttemptEnd { external_cause: true, ..AttemptEnd::of(verdict) };
                             }
-                            Err(Stuck::UpstreamSlow) => break Ending::of(judge(stage.get(), End::Late)),
+                            Err(UploadError::UpstreamSlow) => break AttemptEnd::of(judge(stage.get(), End::Late)),
                         }
                     }
-                    ending = &mut answer => break ending,
+                    end = &mut answer => break end,
                 }
             }
         };
-        ending.reusable &= sent;
-        if ending.reusable {
+        end.reusable &= fully_sent;
+        if end.reusable {
             if let Ok(stream) = read.reunite(write) {
-                self.keep(forward.addr, stream);
+                self.keep_idle(forward.addr, stream);
             }
         }
-        ending
+        end
     }
 
     /// What is sent: of an HTTP front what it brought, of another a `POST` of the body.
     fn request(
         &self,
         forward: &Forward,
-        asked: Option<&RequestContext>,
-    ) -> Option<(RequestHead, Framing, Source)> {
+        context: Option<&RequestContext>,
+    ) -> Option<(RequestHead, Framing, BodySource)> {
         let job: &Job = &forward.job;
-        let mut head = match asked {
-            Some(asked) => asked.head.clone(),
+        let mut head = match context {
+            Some(context) => context.head.clone(),
             None => {
                 let mut headers = HeaderMap::new();
                 headers.insert("x-call-id", HeaderValue::from_str(&job.reference).ok()?);
                 RequestHead { method: Method::POST, target: job.path.clone(), headers }
             }
         };
-        let client = asked.and_then(|a| a.client);
+        let client = context.and_then(|a| a.client);
         forward_headers(&mut head.headers, &self.0.forwarding, client, &forward.addr.to_string());
         // The front has answered it already.
         head.headers.remove("expect");
         let (framing, source) = match &job.body {
-            Body::Whole(bytes) if bytes.is_empty() => (Framing::None, Source::Whole(None)),
-            Body::Whole(bytes) => (Framing::Length(bytes.len() as u64), Source::Whole(Some(bytes.clone()))),
+            Body::Whole(bytes) if bytes.is_empty() => (Framing::None, BodySource::Whole(None)),
+            Body::Whole(bytes) => {
+                (Framing::Length(bytes.len() as u64), BodySource::Whole(Some(bytes.clone())))
+            }
             Body::Stream(upload) => {
-                let framing = asked.and_then(|a| a.length).map_or(Framing::Chunked, Framing::Length);
-                (framing, Source::Stream(upload.attempt()?))
+                let framing = context.and_then(|a| a.length).map_or(Framing::Chunked, Framing::Length);
+                (framing, BodySource::Stream(upload.attempt()?))
             }
         };
         Some((head, framing, source))
@@ -287,45 +291,45 @@
 
     async fn upload(
         &self,
-        mut body: Source,
+        mut body: BodySource,
         write: &mut OwnedWriteHalf,
         mut encoder: Encoder,
         limits: PaceLimits,
-    ) -> Result<(), Stuck> {
-        let (mut client, mut upstream) = (Pace::new(limits), Pace::new(limits));
+    ) -> Result<(), UploadError> {
+        let (mut client_pace, mut upstream_pace) = (Pace::new(limits), Pace::new(limits));
         let mut framed = Vec::new();
         loop {
-            client.wait(self.now());
+            client_pace.wait(self.now());
             let next = tokio::select! {
                 next = body.next() => next,
-                () = self.too_slow(&client) => return Err(Stuck::Client),
+                () = self.too_slow(&client_pace) => return Err(UploadError::Client),
             };
             let chunk = match next {
                 Ok(chunk) => chunk,
-                Err(Ended::Broken) => return Err(Stuck::Client),
+                Err(Ended::Broken) => return Err(UploadError::Client),
                 Err(Ended::Whole) => break,
             };
-            client.moved(self.now(), chunk.len());
+            client_pace.moved(self.now(), chunk.len());
             framed.clear();
-            let behind = encoder.data(chunk.len(), &mut framed).map_err(|_| Stuck::Client)?;
-            for mut part in [&framed[..], &chunk[..], behind] {
+            let trailer = encoder.data(chunk.len(), &mut framed).map_err(|_| UploadError::Client)?;
+            for mut part in [&framed[..], &chunk[..], trailer] {
                 while !part.is_empty() {
-                    upstream.wait(self.now());
+                    upstream_pace.wait(self.now());
                     let written = tokio::select! {
                         written = write.write(part) => written,
-                        () = self.too_slow(&upstream) => return Err(Stuck::UpstreamSlow),
+                        () = self.too_slow(&upstream_pace) => return Err(UploadError::UpstreamSlow),
                     };
                     match written {
                         Ok(count) if count > 0 => part = &part[count..],
-                        _ => return Err(Stuck::Upstream),
+                        _ => return Err(UploadError::UpstreamClosed),
                     }
-                    upstream.moved(self.now(), written.unwrap_or(0));
+                    upstream_pace.moved(self.now(), written.unwrap_or(0));
                 }
             }
         }
         framed.clear();
-        encoder.end(None, &mut framed).map_err(|_| Stuck::Client)?;
-        write.write_all(&framed).await.map_err(|_| Stuck::Upstream)
+        encoder.end(None, &mut framed).map_err(|_| UploadError::Client)?;
+        write.write_all(&framed).await.map_err(|_| UploadError::UpstreamClosed)
     }
 
     /// Resolves when a peer that is waited for has been too slow. It must have moved nothing since this was
@@ -344,19 +348,19 @@
     async fn answer(
         &self,
         forward: &Forward,
-        asked: Option<&RequestContext>,
+        context: Option<&RequestContext>,
         read: &mut OwnedReadHalf,
         mut incoming: Incoming,
         stage: &Cell<Stage>,
         limits: PaceLimits,
-    ) -> Ending {
-        let (mut client, mut upstream) = (Pace::new(limits), Pace::new(limits));
+    ) -> AttemptEnd {
+        let (mut client_pace, mut upstream_pace) = (Pace::new(limits), Pace::new(limits));
         let mut input = BytesMut::new();
         let mut writer: Option<Writer> = None;
-        let (mut whole, mut status) = (BytesMut::new(), 0);
+        let (mut buffered, mut status) = (BytesMut::new(), 0);
         let broken = |fault: Fault, stage: Stage| {
             warn!(target = %forward.target_name, error = %fault, "upstream: not an answer");
-            Ending::of(judge(stage, End::Broken))
+            AttemptEnd::of(judge(stage, End::Broken))
         };
         loop {
             loop {
@@ -373,94 +377,115 @@
                         let rejected = head.headers.get("x-rejected").is_some_and(|v| v.as_bytes() == b"1");
                         let verdict = judge(stage.get(), End::Status(status, rejected));
                         if verdict != Verdict::Passes {
-                            return Ending::of(verdict);
+                            return AttemptEnd::of(verdict);
                         }
-                        if let Some(asked) = asked {
-                            match self.pass(forward, asked, head) {
-                                Some(passing) => writer = Some(passing),
-                                None => return Ending { blameless: true, ..Ending::of(Verdict::GivenUp) },
+                        if let Some(context) = context {
+                            match self.start_streaming(forward, context, head) {
+                                Some(stream) => writer = Some(stream),
+                                None => {
+                                    return AttemptEnd {
+                                        external_cause: true,
+                                        ..AttemptEnd::of(Verdict::GivenUp)
+                                    }
+                                }
                             }
                             stage.set(Stage::Answering);
                         }
                     }
                     Event::Data(data) => match &writer {
                         Some(writer) => writer.push(data),
-                        None if whole.len() + data.len() > MAX_WHOLE => return Ending::of(Verdict::Failed),
-                        None => whole.extend_from_slice(&data),
+                        None if buffered.len() + data.len() > MAX_BUFFERED_ANSWER => {
+                            return AttemptEnd::of(Verdict::Failed)
+                        }
+                        None => buffered.extend_from_slice(&data),
                     },
-                    Event::End { reusable } => return self.whole(writer, whole, status, reusable),
+                    Event::End { reusable } => return self.finish_answer(writer, buffered, status, reusable),
                 }
             }
-            let mut room = IN_ONE_GO;
+            let mut room = READ_CHUNK;
             if let Some(writer) = &writer {
-                client.wait(self.now());
-                let held = tokio::select! {
+                client_pace.wait(self.now());
+                let free_room = tokio::select! {
                     room = writer.room() => room,
-                    () = self.too_slow(&client) => {
-                        warn!(flow = forward.ticket.flow.0, "client too slow: its answer is cut short");
+                    () = self.too_slow(&client_pace) => {
+                        warn!(flow = forward.id.flow.0, "client too slow: its answer is cut short");
                         None
                     }
                 };
-                let Some(free) = held else {
-                    return Ending { blameless: true, ..Ending::of(judge(stage.get(), End::GivenUp)) };
+                let Some(free) = free_room else {
+                    return AttemptEnd {
+                        external_cause: true,
+                        ..AttemptEnd::of(judge(stage.get(), End::GivenUp))
+                    };
                 };
-                client.moved(self.now(), free);
-                room = free.min(IN_ONE_GO);
+                client_pace.moved(self.now(), free);
+                room = free.min(READ_CHUNK);
             }
-            upstream.wait(self.now());
+            upstream_pace.wait(self.now());
             input.reserve(room);
             let mut limited = (&mut *read).take(room as u64);
-            let gone = async {
+            let client_gone = async {
                 match &writer {
                     Some(writer) => writer.gone().await,
                     None => std::future::pending().await,
                 }
             };
             // Before the head it is the flow's deadline that ends this.
-            let passing = stage.get() == Stage::Answering;
-            let came = tokio::select! {
-                came = limited.read_buf(&mut input) => came,
-                () = gone => return Ending { blameless: true, ..Ending::of(judge(stage.get(), End::GivenUp)) },
-                () = self.too_slow(&upstream), if passing => {
+            let is_streaming = stage.get() == Stage::Answering;
+            let read_result = tokio::select! {
+                read = limited.read_buf(&mut input) => read,
+                () = client_gone => return AttemptEnd { external_cause: true, ..AttemptEnd::of(judge(stage.get(), End::GivenUp)) },
+                () = self.too_slow(&upstream_pace), if is_streaming => {
                     warn!(target = %forward.target_name, "upstream too slow: its answer is cut short");
-                    return Ending::of(judge(stage.get(), End::Late));
+                    return AttemptEnd::of(judge(stage.get(), End::Late));
                 }
             };
-            match came {
+            match read_result {
                 Ok(0) => {
                     return match incoming.eof() {
-                        Ok(Some(Event::End { .. })) => self.whole(writer, whole, status, false),
-                        Ok(_) => Ending::of(judge(stage.get(), End::Broken)),
-                        Err(Fault::Truncated) => Ending::of(judge(stage.get(), End::Broken)),
+                        Ok(Some(Event::End { .. })) => self.finish_answer(writer, buffered, status, false),
+                        Ok(_) => AttemptEnd::of(judge(stage.get(), End::Broken)),
+                        Err(Fault::Truncated) => AttemptEnd::of(judge(stage.get(), End::Broken)),
                         Err(fault) => broken(fault, stage.get()),
                     }
                 }
-                Ok(count) => upstream.moved(self.now(), count),
-                Err(_) => return Ending::of(judge(stage.get(), End::Broken)),
+                Ok(count) => upstream_pace.moved(self.now(), count),
+                Err(_) => return AttemptEnd::of(judge(stage.get(), End::Broken)),
             }
         }
     }
 
     /// From here on the answer passes; where its body goes.
-    fn pass(&self, forward: &Forward, asked: &RequestContext, head: ResponseHead) -> Option<Writer> {
-        let (writer, body) = asked.answer.borrow_mut().take()?;
-        let passing = StreamedAnswer { head: Box::new(head), body };
-        self.0.flows.stream_answer(forward.ticket, passing).then_some(writer)
+    fn start_streaming(
+        &self,
+        forward: &Forward,
+        context: &RequestContext,
+        head: ResponseHead,
+    ) -> Option<Writer> {
+        let (writer, body) = context.answer.borrow_mut().take()?;
+        let streamed = StreamedAnswer { head: Box::new(head), body };
+        self.0.flows.stream_answer(forward.id, streamed).then_some(writer)
     }
 
-    fn whole(&self, writer: Option<Writer>, whole: BytesMut, status: u16, reusable: bool) -> Ending {
+    fn finish_answer(
+        &self,
+        writer: Option<Writer>,
+        buffered: BytesMut,
+        status: u16,
+        reusable: bool,
+    ) -> AttemptEnd {
         if let Some(writer) = writer {
             writer.end(Ended::Whole);
-            return Ending { reusable, ..Ending::of(Verdict::Served) };
+            return AttemptEnd { reusable, ..AttemptEnd::of(Verdict::Served) };
         }
         // A front of another wire knows only what was done and what was not.
         let verdict = if (200..300).contains(&status) { Verdict::Served } else { Verdict::Failed };
-        Ending { result: Some(whole.freeze()), reusable, ..Ending::of(verdict) }
+        AttemptEnd { result: Some(buffered.freeze()), reusable, ..AttemptEnd::of(verdict) }
     }
 
-    fn end(&self, ticket: ForwardId, ending: Ending) {
-        self.0.out.borrow_mut().remove(&ticket);
-        let outcome = match (ending.verdict, ending.blameless) {
+    fn end_forward(&self, forward_id: ForwardId, end: AttemptEnd) {
+        self.0.in_flight.borrow_mut().remove(&forward_id);
+        let outcome = match (end.verdict, end.external_cause) {
             (Verdict::NeverRan, true) => Outcome::Moot,
             (Verdict::NeverRan, false) => Outcome::NoRoute,
             (Verdict::NoRoom, _) => Outcome::NoRoom,
@@ -472,21 +497,21 @@
             (Verdict::Late, _) => Outcome::TimedOut,
             (Verdict::Served | Verdict::Passes, _) => Outcome::Served,
         };
-        self.0.flows.forward_ended(ticket, outcome, ending.result);
+        self.0.flows.forward_ended(forward_id, outcome, end.result);
     }
 }
 
 /// Where the body of an attempt comes from.
-enum Source {
+enum BodySource {
     Whole(Option<Bytes>),
     Stream(Attempt),
 }
 
-impl Source {
+impl BodySource {
     async fn next(&mut self) -> Result<Bytes, Ended> {
         match self {
-            Source::Whole(bytes) => bytes.take().ok_or(Ended::Whole),
-            Source::Stream(attempt) => attempt.next().await,
+            BodySource::Whole(bytes) => bytes.take().ok_or(Ended::Whole),
+            BodySource::Stream(attempt) => attempt.next().await,
         }
     }
 }
@@ -494,16 +519,16 @@
 impl Target for Upstreams {
     fn forward(&self, _permit: RetryPermit, forward: Forward) {
         let (this, stage) = (self.clone(), Rc::new(Cell::new(Stage::Connecting)));
-        let (ticket, at) = (forward.ticket, stage.clone());
+        let (forward_id, at) = (forward.id, stage.clone());
         let task = actix_rt::spawn(async move {
-            let ending = this.attempt(&forward, &at).await;
-            this.end(ticket, ending);
+            let end = this.attempt(&forward, &at).await;
+            this.end_forward(forward_id, end);
         });
-        self.0.out.borrow_mut().insert(ticket, Out { task, stage });
+        self.0.in_flight.borrow_mut().insert(forward_id, InFlight { task, stage });
     }
 
     fn cancel(&self, forward: Forward) {
-        let Some(out) = self.0.out.borrow_mut().remove(&forward.ticket) else { return };
+        let Some(out) = self.0.in_flight.borrow_mut().remove(&forward.id) else { return };
         let this = self.clone();
         actix_rt::spawn(async move {
             // The end of the connection gives the attempt up: an upstream sees a broken request, never a whole
@@ -511,7 +536,7 @@
             out.task.abort();
             let _ = out.task.await;
             let verdict = judge(out.stage.get(), End::GivenUp);
-            this.end(forward.ticket, Ending { blameless: true, ..Ending::of(verdict) });
+            this.end_forward(forward.id, AttemptEnd { external_cause: true, ..AttemptEnd::of(verdict) });
         });
     }
 
@@ -520,7 +545,7 @@
         actix_rt::spawn(async move {
             let outcome = loop {
                 let connect = TcpStream::connect(addr);
-                match tokio::time::timeout(this.0.connect_within, connect).await {
+                match tokio::time::timeout(this.0.connect_timeout, connect).await {
                     Ok(Ok(_)) => break Outcome::Served,
                     // A probe that this machine could not make has no result.
                     Ok(Err(e)) if is_local(&e) => tokio::time::sleep(TRY_AGAIN_AFTER * 2).await,
