--- a/dispatcher/src/flow/contract.rs
+++ b/dispatcher/src/flow/contract.rs
@@ -1,5 +1,5 @@
-//! What the core and its two sides say to each other: jobs in, answers out, forwards and how they end. Fronts and
-//! carriers translate at their edges; nothing here is of one wire.
+//! Types and traits shared by the core, the listeners and the targets: jobs, answers, forwards and their
+//! outcomes. Listeners and targets translate to and from their protocols; nothing here depends on one protocol.
 
 use crate::body::{Body, Reader};
 use crate::facade::{FlowId, Listed, Stage, TargetId};
@@ -11,29 +11,29 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-/// What is to be done for a client, as it came in.
+/// A client's request, as the listener received it.
 #[derive(Debug)]
 pub struct Job {
-    /// The client's name for it, which targets see too.
+    /// The client's identifier of the job, which is also sent to targets.
     pub reference: String,
     pub class: usize,
     pub tenant: Option<usize>,
-    /// What it concerns.
+    /// The key of the data that the job concerns.
     pub key: Option<String>,
-    /// By this targets know a repeat.
+    /// Lets targets recognise a repeated request.
     pub idempotency_key: Option<String>,
     pub slots: f64,
-    /// Its running time as the client guesses it.
+    /// The client's estimate of the running time.
     pub expected_run_time: Option<Duration>,
-    /// What is asked for, where the wire has such a thing.
+    /// The request path, for protocols that have one.
     pub path: String,
-    /// What a front says to a transport of the same wire. The core never looks at it.
+    /// Data that a listener hands to a target of the same protocol. The core never inspects it.
     pub protocol_data: Option<Rc<dyn Any>>,
     pub body: Body,
 }
 
-/// An answer that passes as it comes: its head, which a front of the same wire can read, and its body. Whoever
-/// reads the body to its end knows whether it was whole.
+/// An answer that is streamed as it arrives: its head, which a listener of the same protocol can interpret, and
+/// its body. Whoever reads the body to its end learns whether it was complete.
 pub struct StreamedAnswer {
     pub head: Box<dyn Any>,
     pub body: Reader,
@@ -41,36 +41,36 @@
 
 impl fmt::Debug for StreamedAnswer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("Passing")
+        f.write_str("StreamedAnswer")
     }
 }
 
-/// The one final answer of a flow.
+/// The single final answer of a flow.
 #[derive(Debug)]
 pub enum Answer {
-    /// A target's answer, as it comes.
+    /// A target's answer, streamed as it arrives.
     Streamed(StreamedAnswer),
-    /// A target's result.
+    /// A target's complete result.
     Served(Bytes),
-    /// Not done, and trying again is harmless, after that time.
+    /// Not executed; the client may safely retry after this time.
     Refused(Duration),
-    /// Not done, as far as is known; nothing is promised.
+    /// Not executed as far as is known; it may have run.
     Failed,
 }
 
-/// A client's side of one flow.
+/// The client's side of one flow.
 pub trait Listener {
     fn answer(self: Box<Self>, answer: Answer);
 }
 
-/// Names one forward.
+/// Identifies one forward.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ForwardId {
     pub flow: FlowId,
     pub number: u32,
 }
 
-/// One attempt, as a target carries it.
+/// One attempt, as handed to a target.
 #[derive(Clone, Debug)]
 pub struct Forward {
     pub id: ForwardId,
@@ -78,49 +78,54 @@
     pub target_name: Rc<str>,
     pub addr: SocketAddr,
     pub transport: usize,
-    /// What the list said of the target when this was decided.
+    /// The worker's stage in the list when this forward was decided.
     pub stage: Stage,
     pub job: Rc<Job>,
-    /// When the dispatcher stops waiting.
+    /// When the dispatcher stops waiting for an answer.
     pub deadline: Instant,
-    /// Until when its first byte may go out, where an earlier forward may have run: the workers' memory of that one ends.
+    /// The latest time for the first byte if an earlier forward may have run: after it, workers no longer
+    /// remember the idempotency key of that forward.
     pub start_by: Option<Instant>,
-    /// An earlier forward of the flow ended at this target: what is said again of that one looks like this one's.
+    /// An earlier forward of the flow ended at the same target. Late updates about that one cannot be told
+    /// apart from updates about this one.
     pub repeats_target: bool,
 }
 
-/// The workers' side: one implementation for each protocol that workers speak.
+/// The worker side: one implementation for each protocol that workers speak.
 pub trait Target {
-    /// Starts a forward; `Flows::ended` is called for it once at least. Its first byte needs a permit of its own:
-    /// `Flows::send_permit`.
+    /// Starts a forward. `Flows::forward_ended` is called for it at least once. Its first byte needs a separate
+    /// permit, see `Flows::send_permit`.
     fn forward(&self, permit: RetryPermit, forward: Forward);
-    /// Gives a forward up; `Flows::ended` is called when that is done.
+    /// Cancels a forward. `Flows::forward_ended` is called once that is done.
     fn cancel(&self, forward: Forward);
-    /// Looks whether the worker lives; `Flows::probed` is called. Done for the fleet, it bears that operation's fence, or
-    /// `Flows::lapsed` is called.
+    /// Checks whether the worker is alive and calls `Flows::probe_ended`. A probe on behalf of the fleet
+    /// carries the fencing token of `operation`; if that is no longer valid, `Flows::probe_not_permitted` is
+    /// called instead.
     fn probe(&self, target: TargetId, addr: SocketAddr, operation: Option<FencedOperation>);
-    /// The worker drains, or has left the list.
+    /// The worker is draining or has left the list.
     fn target_closed(&self, _target: TargetId) {}
 }
 
-/// Who is told of the forwards that are out.
+/// Observes the forwards in flight.
 pub trait ForwardObserver {
-    /// So many forwards are out at a target now; `None`: it has just refused one, or was not reached.
+    /// The number of forwards in flight at a target has changed. `None`: the target has just refused a forward
+    /// or could not be reached.
     fn in_flight_changed(&self, name: &str, zone: &str, out: Option<usize>);
-    /// The list names a target.
+    /// The list contains this target.
     fn target_listed(&self, target: TargetId, name: &str, zone: &str);
-    /// A flow has come. True: it waits for what peers have out, until `Flows::place`.
+    /// A flow was opened. Returns true if it has to wait for the load that peers report; `Flows::dispatch` then
+    /// continues it.
     fn flow_opened(&self, flow: FlowId) -> bool;
 }
 
-/// Where operators' words are kept that reach this dispatcher by whichever of its processes.
+/// Source of operator overrides, whichever process of this dispatcher received them.
 pub trait OperatorStateSource {
-    /// Brings what operators have set up to date; `Flows::steer` is called where that has changed. Called in the step that
-    /// writes a first byte: it must not wait.
+    /// Brings the overrides up to date and calls `Flows::apply_overrides` if they changed. Called in the same
+    /// step that writes a first byte, so it must not wait.
     fn refresh(&self);
 }
 
-/// What peers tell of a target: their forwards there, and whether it has just refused one.
+/// What peers report of a target: the forwards they have in flight there, and whether it has just refused one.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerLoad {
     pub target: TargetId,
@@ -128,7 +133,7 @@
     pub refused: bool,
 }
 
-/// One line of the list, with what only sockets and people need of it.
+/// One entry of the worker list, including fields that the decision module does not need.
 pub struct ListEntry {
     pub listed: Listed,
     pub endpoint: Endpoint,
@@ -136,7 +141,7 @@
     pub kind: Rc<str>,
 }
 
-/// A target as operators see it.
+/// A target, as reported to operators.
 #[derive(Clone, Debug)]
 pub struct TargetStatus {
     pub name: Rc<str>,
@@ -144,45 +149,46 @@
     pub stage: Stage,
     pub zone: Rc<str>,
     pub kind: Rc<str>,
-    /// Forwards that are out there.
+    /// Number of forwards in flight at this target.
     pub in_flight: usize,
 }
 
-/// Flows as operators see them.
+/// Totals over all flows, as reported to operators.
 #[derive(Clone, Debug, Default)]
 pub struct FlowTotals {
-    /// Owed an answer; with a forward out; bytes of bodies.
+    /// Flows without an answer yet; flows with a forward in flight; bytes of request bodies held.
     pub open: usize,
     pub in_flight: usize,
     pub bytes: usize,
-    /// Answers that broke off while they passed, since the start.
+    /// Streamed answers that ended before they were complete, since the start.
     pub cut_short: u64,
-    /// Open flows by class, by position.
+    /// Open flows of each class, by class index.
     pub classes: Vec<usize>,
 }
 
-/// Where a target is reached, and who carries forwards there, by position among those plugged in.
+/// A target's address, and the index of the [`Target`] that handles its protocol (see `Flows::add_target`).
 #[derive(Clone, Copy, Debug)]
 pub struct Endpoint {
     pub addr: SocketAddr,
     pub transport: usize,
 }
 
-/// How much the core takes on.
+/// Limits on what the core accepts.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     pub flows: usize,
-    /// Bytes of bodies held in all.
+    /// Total bytes of request bodies held.
     pub bytes: usize,
-    /// How long sends to a worker may go on that drains or is gone; `None`: the list does not bind.
+    /// How long requests may still be sent to a worker after the list marks it as draining or gone. `None`: no
+    /// limit.
     pub drain_grace: Option<Duration>,
 }
 
-/// Why a flow was not taken.
+/// Why a flow could not be opened.
 #[derive(Debug, PartialEq)]
 pub enum OpenError {
-    /// The reference belongs to a flow that is still open.
+    /// A flow with the same reference is still open.
     Duplicate,
-    /// The bounds are reached.
+    /// A limit of [`Bounds`] is reached.
     Full,
 }
--- a/dispatcher/src/flow/core.rs
+++ b/dispatcher/src/flow/core.rs
@@ -1,5 +1,5 @@
-//! The state behind [`super::Flows`]: open flows, their deadlines and what is out. Every change comes here, and what it
-//! makes necessary outside goes back as effects.
+//! The state behind [`super::Flows`]: open flows, their deadlines and the forwards in flight. Every state
+//! change happens here and returns the effects that have to be carried out.
 
 use super::contract::{Answer, Bounds, Endpoint, Forward, ForwardId, Job, Listener};
 use super::permit_stats::PermitStats;
@@ -18,18 +18,17 @@
 pub(super) struct Flow {
     pub(super) job: Rc<Job>,
     pub(super) listener: Option<Box<dyn Listener>>,
-    /// It has not been placed yet.
+    /// The request for a decision, until it has been made.
     pub(super) ask: Option<Ask>,
     pub(super) deadline: Instant,
     pub(super) in_flight: Option<InFlight>,
-    /// See `Forward::start_by`.
     pub(super) start_by: Option<Instant>,
-    /// Where forwards of it have ended, and whether one of them may have run.
+    /// Targets at which forwards of this flow have ended, and whether any of those forwards may have run.
     pub(super) tried_targets: Vec<TargetId>,
     pub(super) may_have_run: bool,
-    /// When its client left.
     pub(super) client_left_at: Option<Instant>,
-    /// The answer passes: the flow is bound to the forward that is out. How long its head took.
+    /// Set once the answer is being streamed, which ties the flow to the forward in flight: the time until its
+    /// head arrived.
     pub(super) head_latency: Option<Duration>,
 }
 
@@ -37,7 +36,6 @@
     pub(super) forward: Forward,
     pub(super) sent: Instant,
     pub(super) cancelling: bool,
-    /// Its first byte was written.
     pub(super) first_byte_written: bool,
 }
 
@@ -46,20 +44,20 @@
     pub(super) name: Rc<str>,
     pub(super) endpoint: Endpoint,
     pub(super) stage: Stage,
-    /// Since when the list says that it drains or is gone.
+    /// Since when the list marks the worker as draining or gone.
     pub(super) unready_since: Option<Instant>,
     pub(super) zone: Rc<str>,
     pub(super) kind: Rc<str>,
 }
 
-/// Done after the borrow of the core has ended.
+/// Carried out after the borrow of the core has ended.
 pub(super) enum Effect {
     Answer(Box<dyn Listener>, Answer),
     Forward(RetryPermit, Forward),
     Cancel(Forward),
     Probe(TargetId),
     TargetClosed(TargetId, usize),
-    /// A forward that can't be made, or must not be.
+    /// A forward that could not be sent or was not permitted.
     ForwardNotSent(ForwardId, Outcome),
     ProbeFailed(TargetId),
 }
@@ -70,19 +68,20 @@
     pub(super) references: FxHashSet<String>,
     pub(super) deadlines: BTreeSet<(Instant, FlowId)>,
     pub(super) targets: FxHashMap<TargetId, KnownTarget>,
-    /// Forwards that are out at each target, and what the observer is to be told of them.
+    /// The number of forwards in flight at each target, and the changes that the observer has not been notified
+    /// of yet.
     pub(super) in_flight_counts: FxHashMap<TargetId, usize>,
     pub(super) in_flight_changes: Vec<(TargetId, Option<usize>)>,
     pub(super) last_flow_id: u64,
     pub(super) body_bytes: usize,
-    /// Answers that broke off after their head had gone to the client.
+    /// Answers that were truncated after their head had been sent to the client.
     pub(super) cut_short: u64,
     pub(super) bounds: Bounds,
     pub(super) list: Rc<ListMonitor>,
-    /// Whether the module takes the list for valid.
+    /// The list validity that the decision module was last told.
     pub(super) list_valid_reported: bool,
     pub(super) permit_stats: PermitStats,
-    /// Workers that operators have taken out, and since when this process knows.
+    /// Workers that operators have taken out of service, and since when this process knows it.
     pub(super) out_of_service: FxHashMap<TargetId, Instant>,
 }
 
@@ -92,7 +91,7 @@
         in_flight.is_some_and(|o| o.forward.id == forward_id)
     }
 
-    /// Turns decisions into effects, and keeps the table of flows in step.
+    /// Converts decisions into effects and updates the table of flows accordingly.
     pub(super) fn effects(&mut self, decisions: Vec<Decision>, watch: &Notify) -> Vec<Effect> {
         let mut effects = Vec::new();
         for decision in decisions {
@@ -106,7 +105,7 @@
                     if let Some(listener) = self.flows.get_mut(&id).and_then(|f| f.listener.take()) {
                         effects.push(Effect::Answer(listener, answer));
                     }
-                    // An attempt that outlives its flow serves nobody.
+                    // Nobody needs the result of a forward once its flow has been answered.
                     effects.extend(self.cancel(id));
                     self.remove_if_finished(id);
                 }
@@ -128,7 +127,7 @@
     pub(super) fn start_forward(&mut self, forward_id: ForwardId, target: TargetId) -> Option<Effect> {
         let known = self.targets.get(&target).cloned();
         let flow = self.flows.get_mut(&forward_id.flow)?;
-        // Whatever was decided.
+        // Checked independently of what the decision module decided.
         let facts = RetryFacts {
             now: Instant::now(),
             effect: self.facade.side_effect(flow.job.class),
@@ -217,12 +216,14 @@
             effects.push(Effect::Answer(listener, Answer::Served(result.unwrap_or_default())));
         }
         let over = flow.listener.is_none();
-        // A body whose beginning is gone can't be sent again: the flow ends here, whatever its class.
+        // A body whose beginning has been discarded cannot be sent again, so the flow ends here whatever its
+        // class.
         if let Some(listener) = flow.listener.take_if(|_| !repeatable) {
             effects.push(Effect::Answer(listener, Answer::Failed));
         }
         let over = over || flow.listener.is_none();
-        // A slow client must not make its target look slow.
+        // For a streamed answer only the time to its head counts: a slow client must not make its target look
+        // slow.
         let (number, spent) =
             (forward_id.number, flow.head_latency.unwrap_or_else(|| in_flight.sent.elapsed()));
         debug!(flow = forward_id.flow.0, forward = number, target = %in_flight.forward.target_name, class = flow.job.class,
@@ -230,7 +231,7 @@
         if flow.head_latency.is_some() && outcome != Outcome::Served {
             self.cut_short += 1;
             warn!(flow = forward_id.flow.0, target = %in_flight.forward.target_name, class = flow.job.class,
-                outcome = ?outcome, "an answer was cut short");
+                outcome = ?outcome, "answer truncated after its head was sent");
         }
         let news = News::Ended { flow: forward_id.flow, number, outcome, over, spent, load };
         let decisions = self.facade.report(news);
@@ -239,16 +240,18 @@
         effects
     }
 
-    /// The deadline of a flow has come: its forward timed out, and then the module answers it. What it left
-    /// unanswered is answered here: the client must not wait for a decision that does not come.
+    /// Handles the deadline of a flow: the forward in flight times out, and the decision module then answers
+    /// the flow. A flow that it leaves unanswered is answered here, so that the client does not wait for a
+    /// missing decision.
     pub(super) fn deadline_reached(&mut self, id: FlowId, now: Instant, watch: &Notify) -> Vec<Effect> {
         let Some(flow) = self.flows.get(&id) else { return Vec::new() };
-        // The deadline is one for the head of an answer. What passes after it has limits of its own.
+        // The deadline applies to the head of an answer. A streamed body has its own time limits.
         if flow.head_latency.is_some() {
             return Vec::new();
         }
         let mut effects = Vec::new();
-        // One that still waits for a picture, since its time was short: its answer is decided like any other's.
+        // The flow still waits for load reports from peers because little time was left. It is decided like any
+        // other flow.
         if let Some(ask) = self.flows.get_mut(&id).and_then(|f| f.ask.take()) {
             let decisions = self.facade.pick(id, ask);
             effects.extend(self.effects(decisions, watch));
@@ -263,7 +266,11 @@
         if now < flow.deadline + DEADLINE_FALLBACK_DELAY {
             self.deadlines.insert((flow.deadline + DEADLINE_FALLBACK_DELAY, id));
         } else if let Some(listener) = flow.listener.take() {
-            error!(flow = id.0, class = flow.job.class, "unanswered at its deadline");
+            error!(
+                flow = id.0,
+                class = flow.job.class,
+                "flow not answered by the decision module at its deadline"
+            );
             effects.push(Effect::Answer(listener, Answer::Failed));
             let decisions = self.facade.report(News::Left(id));
             effects.extend(self.effects(decisions, watch));
@@ -272,8 +279,8 @@
         effects
     }
 
-    /// Answers a flow that this process can wait for no longer: as refused where nothing of it was ever sent, else as failed.
-    /// What is out for it is given up.
+    /// Answers a flow that this process can no longer wait for: as refused if none of its forwards was sent, as
+    /// failed otherwise. Cancels the forward in flight.
     pub(super) fn abort_flow(&mut self, id: FlowId, retry_after: Duration, watch: &Notify) -> Vec<Effect> {
         let Some(flow) = self.flows.get_mut(&id) else { return Vec::new() };
         let Some(listener) = flow.listener.take() else { return Vec::new() };
--- a/dispatcher/src/flow/mod.rs
+++ b/dispatcher/src/flow/mod.rs
@@ -1,9 +1,9 @@
-//! The core: open flows, from their arrival to their one final answer. It knows no wire. Listeners bring
-//! flows in and take answers out; targets carry forwards and tell how they end. Between the two stands the
-//! facade, which decides.
+//! The core: tracks each flow from its arrival to its single final answer, independently of protocols.
+//! Listeners open flows and receive answers; targets send forwards and report how they end. The facade between
+//! them makes the decisions.
 //!
-//! Whatever is to be done outside is collected while the core is borrowed and done after the borrow has
-//! ended (`Effect`), so a listener or a target may call back at once.
+//! Side effects are collected while the core is borrowed and carried out after the borrow has ended (`Effect`),
+//! so a listener or a target may call back immediately.
 
 mod contract;
 mod core;
@@ -31,11 +31,11 @@
 
 pub use crate::facade::ListKind;
 
-/// The final answer comes this long before the client gives up, so that it still reaches it.
+/// The final answer is due this long before the client's time-out, so that it still arrives in time.
 const ANSWER_MARGIN: Duration = Duration::from_millis(25);
-/// What the decisions leave unanswered at the deadline is answered as failed this much later.
+/// A flow that the decision module leaves unanswered at its deadline is answered as failed after this delay.
 const DEADLINE_FALLBACK_DELAY: Duration = Duration::from_millis(10);
-/// The core, shared by listeners and targets. All of them run on one thread.
+/// Handle to the core, shared by listeners and targets. All of them run on one thread.
 #[derive(Clone)]
 pub struct Flows {
     core: Rc<RefCell<Core>>,
@@ -79,27 +79,29 @@
         }
     }
 
-    /// Adds one who carries forwards; its position.
+    /// Registers a target implementation and returns its index.
     pub fn add_target(&self, target: Rc<dyn Target>) -> usize {
         let mut targets = self.targets.borrow_mut();
         targets.push(target);
         targets.len() - 1
     }
 
-    /// Has one told of the forwards that are out, and of the targets that are listed.
+    /// Notifies `observer` of changes in the forwards in flight and of listed targets.
     pub fn observe_forwards(&self, observer: Rc<dyn ForwardObserver>) {
         let core = self.core.borrow();
         core.targets.iter().for_each(|(id, known)| observer.target_listed(*id, &known.name, &known.zone));
         *self.observer.borrow_mut() = Some(observer);
     }
 
-    /// Whether flows are held: nothing of theirs is out, and they wait for no picture.
+    /// Whether any flow is held back: it has no forward in flight and does not wait for load reports from
+    /// peers.
     pub fn has_held_flows(&self) -> bool {
         let core = self.core.borrow();
         core.flows.values().any(|f| f.listener.is_some() && f.in_flight.is_none() && f.ask.is_none())
     }
 
-    /// Takes a job in. From here on its listener is owed one answer, unless it leaves first.
+    /// Opens a flow for a job. From here on its listener gets exactly one answer, unless the client leaves
+    /// first.
     pub fn open(
         &self,
         job: Job,
@@ -152,12 +154,12 @@
         if !observer.is_some_and(|observer| observer.flow_opened(id)) {
             self.dispatch(id);
         }
-        // Until it is placed only its deadline is to be heeded.
+        // Until the flow is dispatched, only its deadline has to be observed.
         self.timer_changed.notify_one();
         Ok(id)
     }
 
-    /// Has it decided where a flow goes, unless that was done or the client has left.
+    /// Lets the decision module choose a target, unless it already has or the client has left.
     pub fn dispatch(&self, id: FlowId) {
         let effects = {
             let core = &mut *self.core.borrow_mut();
@@ -169,7 +171,8 @@
         self.apply_effects(effects);
     }
 
-    /// The client has gone: it is owed nothing more, and its forward is given up. False: no such open flow.
+    /// The client has left: it needs no answer, and the forward in flight is cancelled. Returns false if there
+    /// is no such open flow.
     pub fn client_left(&self, id: FlowId) -> bool {
         let effects = {
             let core = &mut *self.core.borrow_mut();
@@ -186,19 +189,20 @@
         true
     }
 
-    /// A target tells that the job has begun.
+    /// A target reports that the job has started.
     pub fn job_started(&self, forward_id: ForwardId) {
         debug!(flow = forward_id.flow.0, forward = forward_id.number, "forward began");
         self.report_forward_news(forward_id, News::Begun(forward_id.flow, forward_id.number));
     }
 
-    /// A target tells how far the job has got.
+    /// A target reports the progress of the job.
     pub fn job_progress(&self, forward_id: ForwardId, share: f64) {
         self.report_forward_news(forward_id, News::Progress(forward_id.flow, forward_id.number, share));
     }
 
-    /// The head of an answer has come, and the answer passes from here on: the flow has its one answer, and is
-    /// bound to this forward until `ended` is called for it. False: nobody wants it.
+    /// The head of an answer has arrived and the answer is streamed from here on. This is the single answer of
+    /// the flow, which stays tied to this forward until `forward_ended` is called for it. Returns false if the
+    /// client no longer waits.
     pub fn stream_answer(&self, forward_id: ForwardId, streamed: StreamedAnswer) -> bool {
         let effects = {
             let core = &mut *self.core.borrow_mut();
@@ -217,7 +221,8 @@
         true
     }
 
-    /// Answers every flow that is owed an answer, since this process may end at any moment from now on; how many those are.
+    /// Answers every unanswered flow because this process may exit at any moment from now on. Returns their
+    /// number.
     pub fn answer_all_pending(&self, retry_after: Duration) -> usize {
         let (count, effects) = {
             let core = &mut *self.core.borrow_mut();
@@ -243,12 +248,12 @@
         self.apply_effects(effects);
     }
 
-    /// A forward has ended. Said again, or of one that ended otherwise before, it changes nothing.
+    /// A forward has ended. Repeated calls, and calls for a forward that has already ended, have no effect.
     pub fn forward_ended(&self, forward_id: ForwardId, outcome: Outcome, result: Option<Bytes>) {
         self.forward_ended_with_load(forward_id, outcome, result, None);
     }
 
-    /// The same, with the target's account of its load.
+    /// Like `forward_ended`, with the load that the target reported.
     pub fn forward_ended_with_load(
         &self,
         forward_id: ForwardId,
@@ -272,7 +277,7 @@
         self.apply_effects(effects);
     }
 
-    /// Counts the open flows, of so many classes.
+    /// Totals over the open flows. `classes` is the number of classes.
     pub fn flow_totals(&self, classes: usize) -> FlowTotals {
         let core = self.core.borrow();
         let mut totals = FlowTotals {
@@ -291,32 +296,32 @@
         totals
     }
 
-    /// Flows that are owed an answer.
+    /// Number of flows without an answer yet.
     pub fn unanswered_flows(&self) -> usize {
         self.core.borrow().flows.values().filter(|f| f.listener.is_some()).count()
     }
 
-    /// Flows with an attempt out.
+    /// Number of flows with a forward in flight.
     pub fn forwards_in_flight(&self) -> usize {
         self.core.borrow().flows.values().filter(|f| f.in_flight.is_some()).count()
     }
 
-    /// Flows whose answer is passing.
+    /// Number of flows whose answer is being streamed.
     pub fn streaming_answers(&self) -> usize {
         self.core.borrow().flows.values().filter(|f| f.head_latency.is_some()).count()
     }
 
-    /// Resolves when somebody should look at `owed` again.
+    /// Resolves when `unanswered_flows` may have changed.
     pub async fn unanswered_changed(&self) {
         self.unanswered_changed.notified().await;
     }
 
-    /// Resolves when the module wants the list watched.
+    /// Resolves when the decision module requests that the list be watched.
     pub async fn watch_requested(&self) {
         self.watch_requested.notified().await;
     }
 
-    /// Runs the clock: the module's ticks, and the flows' deadlines. Never ends.
+    /// Runs the timers of the decision module and the deadlines of flows. Never returns.
     pub async fn run_timers(&self) {
         loop {
             let due = {
--- a/dispatcher/src/flow/permit_stats.rs
+++ b/dispatcher/src/flow/permit_stats.rs
@@ -1,4 +1,4 @@
-//! Permits that were refused, and rules that were broken all the same, by reason. Each is logged with its ids.
+//! Counts refused permits and violated rules by reason, and logs each one with its identifiers.
 
 use super::contract::ForwardId;
 use enum_map::EnumMap;
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use tracing::{debug, error, warn};
 
-/// Counts since the start.
+/// Counters since the start of the process.
 #[derive(Clone, Default)]
 pub struct PermitStats {
     sent: u64,
@@ -21,21 +21,21 @@
     violations: EnumMap<Violation, u64>,
 }
 
-/// The ledger as operators see it.
+/// The counters, as reported to operators.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PermitStatsReport {
     /// First bytes that were written.
     pub sent: u64,
-    /// Those of them by a list that was not confirmed, or too long ago.
+    /// Of these, first bytes that were written while the list was unconfirmed or expired.
     pub sent_on_invalid_list: u64,
-    /// Permits that were refused, by act and reason.
+    /// Refused permits, by operation and reason.
     pub refused: BTreeMap<String, u64>,
-    /// Rules that were broken.
+    /// Violated rules.
     pub violations: BTreeMap<String, u64>,
 }
 
 impl PermitStats {
-    /// Takes note of what became of the permit for a first byte.
+    /// Counts the result of a permit request for a first byte.
     pub fn record_send(
         &mut self,
         forward_id: ForwardId,
@@ -48,7 +48,8 @@
         })
     }
 
-    /// The same of one for an attempt. The decisions should not have asked for it.
+    /// Counts the result of a permit request for an attempt. A refusal means that the decision module should
+    /// not have asked.
     pub fn record_retry(
         &mut self,
         forward_id: ForwardId,
@@ -60,7 +61,7 @@
         })
     }
 
-    /// The same of one for the end of a connection.
+    /// Counts the result of a permit request for closing a connection.
     pub fn record_close(
         &mut self,
         permit: Result<ClosePermit, CloseRefusal>,
@@ -71,7 +72,7 @@
         })
     }
 
-    /// The same of one for the start of a request.
+    /// Counts the result of a permit request for accepting a job.
     pub fn record_start(
         &mut self,
         reference: &str,
@@ -83,16 +84,16 @@
         })
     }
 
-    /// A first byte was written.
+    /// Counts a first byte that was written.
     pub fn record_sent(&mut self, list_is_valid: bool) {
         self.sent += 1;
         self.sent_on_invalid_list += u64::from(!list_is_valid);
     }
 
-    /// A rule was broken: a fault of this program.
+    /// Counts a violated rule, which is a bug in this program.
     ///
     /// # Panics
-    /// In builds with debug assertions, so that no test passes over it.
+    /// In builds with debug assertions, so that tests fail on a violation.
     pub fn record_violation(
         &mut self,
         forward_id: Option<ForwardId>,
@@ -105,7 +106,7 @@
         debug_assert!(false, "rule broken: {violation:?}, flow {flow:?}, target {target:?}");
     }
 
-    /// What operators are shown: reasons that came up.
+    /// The counters for operators; reasons that never occurred are omitted.
     pub fn report(&self) -> PermitStatsReport {
         let mut refused = BTreeMap::new();
         let mut add = |operation: &str, reason: String, count: u64| {
--- a/dispatcher/src/flow/permits.rs
+++ b/dispatcher/src/flow/permits.rs
@@ -1,5 +1,5 @@
-//! Where the core takes its facts together for the permits, and for the audit behind each first byte. What may be done is
-//! decided in `lineroute_permit` alone.
+//! Collects the facts for permits, and for the audit after each first byte. `lineroute_permit` alone decides
+//! what is permitted.
 
 use super::contract::{Forward, ForwardId};
 use super::core::Core;
@@ -78,14 +78,14 @@
 }
 
 impl Flows {
-    /// The permit for a forward's first byte, by what is known in this moment. To be asked for in the step that writes.
-    /// `passed_on`: the time that the bytes tell the worker is left.
+    /// Requests the permit for a forward's first byte, based on the current state. Must be called in the same
+    /// step as the write. `passed_on` is the remaining time that the request states to the worker.
     pub fn send_permit(
         &self,
         forward: &Forward,
         passed_on: Option<Duration>,
     ) -> Result<SendPermit, SendRefusal> {
-        // What operators have told another process of this dispatcher is a fact as well.
+        // Overrides that operators sent to another process of this dispatcher apply here too.
         self.refresh_operator_state();
         let permit = {
             let core = &mut *self.core.borrow_mut();
@@ -93,13 +93,15 @@
             core.permit_stats.record_send(forward.id, &forward.target_name, permit)
         };
         if matches!(permit, Err(SendRefusal::ListUnconfirmed | SendRefusal::ListExpired)) {
-            // Before the refusal becomes an outcome, and the module decides anew.
+            // The decision module has to learn that the list is invalid before it handles this refusal as an
+            // outcome.
             self.update_list_validity();
         }
         permit
     }
 
-    /// Tells the module whether the list is valid, if that has changed. While it is not, nothing is sent and requests wait.
+    /// Tells the decision module whether the list is valid, if that has changed. While it is not, nothing is
+    /// sent and requests wait.
     pub fn update_list_validity(&self) {
         let effects = {
             let core = &mut *self.core.borrow_mut();
@@ -113,7 +115,7 @@
         self.apply_effects(effects);
     }
 
-    /// The first byte of a forward was written: whether that was right is looked at anew.
+    /// The first byte of a forward was written: audits whether that was permitted.
     pub fn first_byte_written(&self, forward: &Forward, passed_on: Option<Duration>) {
         let core = &mut *self.core.borrow_mut();
         core.permit_stats.record_sent(core.list.was_recently_valid());
@@ -133,27 +135,27 @@
         }
     }
 
-    /// The permit to take a request.
+    /// Requests the permit to accept a job.
     pub fn start_permit(&self, reference: &str, facts: StartFacts) -> Result<StartPermit, StartRefusal> {
         self.core.borrow_mut().permit_stats.record_start(reference, facts.permit())
     }
 
-    /// The permit to end a client's connection; `None`: it has to stay.
+    /// Requests the permit to close a client's connection. `None`: it has to stay open.
     pub fn close_permit(&self, facts: CloseFacts) -> Option<ClosePermit> {
         self.core.borrow_mut().permit_stats.record_close(facts.permit()).ok()
     }
 
-    /// A connection that owed its client an answer has ended.
+    /// A connection was closed although its client had not been answered.
     pub fn closed_with_answer_pending(&self) {
         self.core.borrow_mut().permit_stats.record_violation(None, None, Violation::AnswerOwed);
     }
 
-    /// The worker list, for operators.
+    /// The state of the worker list, for operators.
     pub fn list_report(&self) -> ListReport {
         self.core.borrow().list.report()
     }
 
-    /// Permits refused and rules broken, for operators.
+    /// Refused permits and violated rules, for operators.
     pub fn permit_stats(&self) -> PermitStatsReport {
         self.core.borrow().permit_stats.report()
     }
--- a/dispatcher/src/flow/targets.rs
+++ b/dispatcher/src/flow/targets.rs
@@ -1,4 +1,4 @@
-//! What the core knows of targets: the list, what peers and operators say of them, and who probes them.
+//! Target state kept by the core: the worker list, load reports from peers, operator overrides and probes.
 
 use super::core::{Effect, KnownTarget};
 use super::{Flows, Forward, ListEntry, ListKind, OperatorStateSource, PeerLoad, TargetStatus};
@@ -9,12 +9,12 @@
 use std::rc::Rc;
 use std::time::Instant;
 impl Flows {
-    /// Has another see to probes.
+    /// Delegates probes to `prober`.
     pub fn set_prober(&self, prober: Rc<dyn Probing>) {
         *self.prober.borrow_mut() = Some(prober);
     }
 
-    /// Makes a probe; `probed` is called.
+    /// Sends a probe; `probe_ended` is called with its result.
     pub fn probe(&self, target: TargetId, operation: Option<FencedOperation>) {
         let endpoint = self.core.borrow().targets.get(&target).map(|known| known.endpoint);
         match endpoint {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// A probe was to be made for the fleet, and this process may not act for it any longer: nothing was sent.
+    /// A probe on behalf of the fleet was not sent because this process may no longer act for the fleet.
     pub fn probe_not_permitted(&self, target: TargetId) {
         let prober = self.prober.borrow().clone();
         let known = self.core.borrow().targets.get(&target).map(|k| k.name.clone());
@@ -36,7 +36,7 @@
         self.request_probe(target);
     }
 
-    /// Has a probe made, by this process or by who sees to probes.
+    /// Requests a probe, either from the configured prober or from this process.
     pub(super) fn request_probe(&self, target: TargetId) {
         let prober = self.prober.borrow().clone();
         let known = self.core.borrow().targets.get(&target).map(|k| (k.name.clone(), k.zone.clone()));
@@ -49,13 +49,13 @@
         }
     }
 
-    /// The target of a name, as it is listed.
+    /// Looks up a target in the list by its name.
     pub fn find_target(&self, name: &str) -> Option<TargetId> {
         let core = self.core.borrow();
         core.targets.iter().find(|(_, known)| *known.name == *name).map(|(id, _)| *id)
     }
 
-    /// Peers tell of targets.
+    /// Applies load reports from peers.
     pub fn report_peer_load(&self, news: &[PeerLoad]) {
         let effects = {
             let core = &mut *self.core.borrow_mut();
@@ -82,22 +82,22 @@
         self.shared_probe_ended(target, outcome, load);
     }
 
-    /// A probe that another made for this process has ended.
+    /// A probe that another process sent on behalf of this one has ended.
     pub fn shared_probe_ended(&self, target: TargetId, outcome: Outcome, load: Option<Load>) {
         self.report(News::Probed(target, outcome, load));
     }
 
-    /// The list could not be had, or the watch broke.
+    /// The list could not be fetched, or the watch was interrupted.
     pub fn list_failed(&self) {
         self.report(News::ListFailed);
     }
 
-    /// The number of a target, by its name.
+    /// The identifier of a target, by its name.
     pub fn target_id(&self, name: &str) -> TargetId {
         self.core.borrow_mut().facade.target(name)
     }
 
-    /// What operators have set, all of it.
+    /// Replaces all operator overrides.
     pub fn apply_overrides(&self, steer: Steer) {
         {
             let core = &mut *self.core.borrow_mut();
@@ -108,12 +108,12 @@
         self.report(News::Steer(steer));
     }
 
-    /// Has what operators set brought up to date by this source before each first byte.
+    /// Sets the source from which the overrides are refreshed before each first byte.
     pub fn set_operator_state_source(&self, source: Rc<dyn OperatorStateSource>) {
         *self.operator_state.borrow_mut() = Some(source);
     }
 
-    /// Brings what operators have set up to date.
+    /// Refreshes the overrides from their source.
     pub fn refresh_operator_state(&self) {
         let source = self.operator_state.borrow().clone();
         if let Some(source) = source {
@@ -121,18 +121,18 @@
         }
     }
 
-    /// Whether the list names a target that has not left.
+    /// Whether the list contains this target and it is not gone.
     pub fn is_listed(&self, name: &str) -> bool {
         let core = self.core.borrow();
         core.targets.values().any(|t| &*t.name == name && t.stage != Stage::Gone)
     }
 
-    /// Whether a list ever named it, here or in a cached list.
+    /// Whether any list has contained this target, cached lists included.
     pub fn was_listed(&self, name: &str) -> bool {
         self.core.borrow().targets.values().any(|t| &*t.name == name)
     }
 
-    /// The targets that have not left, by name.
+    /// The targets that are not gone, sorted by name.
     pub fn listed_targets(&self) -> Vec<TargetStatus> {
         let core = self.core.borrow();
         let mut counts: FxHashMap<TargetId, usize> = FxHashMap::default();
@@ -154,7 +154,7 @@
         statuses
     }
 
-    /// News of the targets, with their addresses.
+    /// Applies a worker list, including the addresses of the workers.
     pub fn update_list(&self, kind: ListKind, entries: Vec<ListEntry>) {
         let effects = {
             let core = &mut *self.core.borrow_mut();
@@ -191,7 +191,8 @@
         self.apply_effects(effects);
     }
 
-    /// Whether the list still says of the target what it said when the forward was decided, and it may still go out.
+    /// Whether the list still gives the target the stage it had when the forward was decided, and the forward
+    /// may still be sent.
     pub fn is_still_valid(&self, forward: &Forward) -> bool {
         if forward.start_by.is_some_and(|by| Instant::now() >= by) {
             return false;
--- a/dispatcher/src/list/calls.rs
+++ b/dispatcher/src/list/calls.rs
@@ -1,4 +1,4 @@
-//! Single calls to discovery, and why one brought no list.
+//! Single calls to discovery, and the reasons why they fail.
 
 use super::HostList;
 use crate::targets::client::{CallError, HttpClient};
@@ -8,26 +8,26 @@
 use std::pin::pin;
 use std::time::Duration;
 
-/// The longest list that is read.
+/// Limit on the size of a list.
 const MAX_LIST_BYTES: usize = 4 << 20;
-/// While a call stands in discovery's queue, whether its machine can be reached is looked at so often.
+/// Interval at which reachability of discovery's host is checked while a call waits in discovery's queue.
 const REACHABILITY_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Why a call brought no list.
+/// Why a call returned no list.
 #[derive(Debug)]
 pub(super) enum ListCallError {
-    /// It came to no answer.
+    /// The call failed without an answer.
     Call(CallError),
-    /// Discovery's machine can't be reached any more.
+    /// Discovery's host has become unreachable during the call.
     HostUnreachable,
-    /// It was answered with another status than 200.
+    /// The status of the answer was not 200.
     Status(u16),
-    /// What could not be read is asked for whole the next time.
+    /// The answer could not be parsed. The next call requests the whole list.
     Unreadable(serde_json::Error),
 }
 
 impl ListCallError {
-    /// What it tells of whether discovery can be reached.
+    /// What the error says about whether discovery can be reached.
     pub(super) fn failure(&self) -> CallFailure {
         match self {
             ListCallError::Call(CallError::Timeout) => CallFailure::Silent,
@@ -47,14 +47,15 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ListCallError::Call(e) => write!(f, "{e}"),
-            ListCallError::HostUnreachable => write!(f, "its machine can't be reached any more"),
-            ListCallError::Status(status) => write!(f, "status {status}"),
-            ListCallError::Unreadable(e) => write!(f, "not understood: {e}"),
+            ListCallError::HostUnreachable => write!(f, "host became unreachable during the call"),
+            ListCallError::Status(status) => write!(f, "unexpected status {status}"),
+            ListCallError::Unreadable(e) => write!(f, "invalid list: {e}"),
         }
     }
 }
 
-/// Asks for what is newer than a version, or for the whole list, and waits for news so long; the answer may take `within`.
+/// Requests the changes since a version, or the whole list, and lets discovery wait for changes up to `wait`.
+/// The answer may take up to `within`.
 pub(super) async fn call(
     client: &HttpClient,
     at: SocketAddr,
@@ -73,10 +74,10 @@
     }
 }
 
-/// The same without waiting for news. The call stands in the queue of a discovery that handles calls in turn: it is given up
-/// only where the machine can't be reached, or after `patience`. One given up early would have to be paid for again, and
-/// a queue of calls that nobody waits for never ends. Its answer may also have been lost: one more call is made beside it after
-/// `second_after`.
+/// Like [`call`], but without waiting for changes. A discovery that handles calls one at a time queues this
+/// call, so it is abandoned only if the host cannot be reached, or after the time limit: an abandoned call has
+/// to be repeated at the end of the queue, and a queue of abandoned calls never empties. Since an answer may
+/// also get lost, a second call is made in parallel after `second_after`.
 pub(super) async fn call_queued(
     client: &HttpClient,
     at: SocketAddr,
@@ -90,8 +91,8 @@
     });
     let mut second_failed = false;
     loop {
-        // Both calls are kept over the loop; a look that is dropped holds nothing. A call that is dropped in the end closes
-        // its connection.
+        // Both calls are kept between iterations; the reachability check holds no state and may be dropped. A
+        // call that is dropped at the end closes its connection.
         tokio::select! {
             answer = first.as_mut() => return answer,
             answer = second.as_mut(), if !second_failed => match answer {
@@ -105,7 +106,7 @@
     }
 }
 
-/// Whether discovery's machine can be reached, a while from now.
+/// Checks after one interval whether discovery's host can be reached.
 async fn reachable_after_interval(client: &HttpClient, at: SocketAddr) -> bool {
     tokio::time::sleep(REACHABILITY_CHECK_INTERVAL).await;
     client.is_reachable(at).await
--- a/dispatcher/src/list/follow.rs
+++ b/dispatcher/src/list/follow.rs
@@ -1,4 +1,4 @@
-//! Following the agent on this machine that lists are pushed to.
+//! Receives the worker list from an agent on the same machine, to which lists are pushed.
 
 use super::calls::{call, ListCallError};
 use super::monitor::Change;
@@ -7,17 +7,18 @@
 use std::time::Duration;
 use tracing::{debug, info, warn};
 
-/// A call waits for news for this part of the time that drains have, may take twice as long beyond that, and the next one
-/// comes as much later. What a silent call missed is heard of within five eighths.
+/// Each call waits for changes for this fraction of the drain grace period, may take twice as long in addition,
+/// and is followed by the next call after the same time. A change missed by a call without an answer is
+/// therefore received within five eighths of the period.
 const POLL_FRACTION: u32 = 8;
-/// The bounds of that: an agent costs nothing, but each call takes time of this process.
+/// Bounds of that wait: calls cost the agent nothing, but each one takes time of this process.
 const POLL_WAIT_BOUNDS: (Duration, Duration) = (Duration::from_millis(10), Duration::from_millis(100));
 
-/// Follows the agent, whoever wants lists: what it holds counts as told, and the module, to which changes come by
-/// themselves here, never asks. The agent answers at once and says nothing while discovery is down, so each call is short
-/// and the next one comes soon. Never ends.
+/// Follows the agent whether or not the decision module requests the list: what the agent holds counts as
+/// known, and since changes arrive by themselves, the module never has to ask. The agent answers immediately,
+/// and does not answer while discovery is down, so calls are short and frequent. Never returns.
 ///
-/// `drains`: how long sends to a worker that drains may go on.
+/// `drain_grace`: how long requests may still be sent to a draining worker.
 pub async fn follow(source: ListSource, drain_grace: Duration) {
     let ListSource { flows, client, mut discovery, mut names, initial_version, monitor, .. } = source;
     let wait = (drain_grace / POLL_FRACTION).clamp(POLL_WAIT_BOUNDS.0, POLL_WAIT_BOUNDS.1);
@@ -26,7 +27,7 @@
     loop {
         let (call_started, at) = (tokio::time::Instant::now(), *discovery.borrow_and_update());
         if at != last_address {
-            // Another agent counts its versions by itself.
+            // Another agent has its own version numbers.
             info!(from = ?last_address, to = ?at, "discovery: moved");
             monitor.record(Change::Moved);
             (last_address, after) = (at, None);
--- a/dispatcher/src/list/mod.rs
+++ b/dispatcher/src/list/mod.rs
@@ -1,5 +1,6 @@
-//! The worker list: how discovery words it, and how it is handed to the core. [`watch()`] asks for it where it has to be asked
-//! for, [`follow`] where an agent is sent it; [`monitor`] keeps how far it can be relied on.
+//! The worker list: its representation in discovery, and its transfer to the core. [`watch()`] polls discovery,
+//! [`follow`] reads from an agent that receives the list by push; [`monitor`] tracks how far the list can be
+//! relied on.
 
 mod calls;
 mod follow;
@@ -21,22 +22,22 @@
 use std::rc::Rc;
 use tracing::debug;
 
-/// Where discovery or the agent is; it may move.
+/// The address of discovery or of the agent, which may change.
 type AddressReceiver = tokio::sync::watch::Receiver<Option<SocketAddr>>;
 
-/// What asking for lists works with, wherever they come from.
+/// What is needed to request lists, from either source.
 pub struct ListSource {
     pub flows: Flows,
     pub client: HttpClient,
     pub discovery: AddressReceiver,
     pub names: NameTable,
-    /// The version of the list that was told at the start.
+    /// The version of the list that was loaded at the start.
     pub initial_version: Option<u64>,
     pub monitor: Rc<ListMonitor>,
     pub reports: Rc<DiscoveryReports>,
 }
 
-/// A list, as discovery words it.
+/// A list, in discovery's representation.
 #[derive(Clone, Debug, Deserialize)]
 pub struct HostList {
     pub version: u64,
@@ -45,8 +46,8 @@
 }
 
 impl HostList {
-    /// What to ask for changes after, the next time: nothing, where a discovery that counts anew has told of none. It has
-    /// lost what it once said, and so its next word is to be its whole list.
+    /// The version after which changes are requested next. `None` if discovery has restarted its version
+    /// numbers and sent only changes: it has lost its earlier state, so the whole list is requested.
     fn next_after(&self, before: Option<u64>) -> Option<u64> {
         Some(self.version).filter(|version| self.full || before.is_none_or(|before| *version >= before))
     }
@@ -60,7 +61,7 @@
     }
 }
 
-/// One worker in a list.
+/// A worker in the list.
 #[derive(Clone, Debug, Deserialize, JsonSchema, Serialize)]
 pub struct Host {
     pub id: String,
@@ -75,12 +76,12 @@
     pub state: State,
     #[serde(default)]
     pub started_ms: u64,
-    /// Its size beside that of others.
+    /// Its size relative to other workers.
     #[serde(default)]
     pub weight: f64,
 }
 
-/// What a worker takes.
+/// Whether a worker takes new jobs.
 #[derive(Clone, Copy, Debug, Default, Deserialize, JsonSchema, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
@@ -90,17 +91,17 @@
     Removed,
 }
 
-/// The names of zones and kinds, by position.
+/// The names of zones and kinds, by index.
 #[derive(Clone, Debug)]
 pub struct NameTable {
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
-    /// Who carries forwards to workers of a kind, where that is not the first.
+    /// The index of the [`crate::flow::Target`] for workers of a kind, unless it is the first one.
     pub transports: FxHashMap<String, usize>,
 }
 
 impl NameTable {
-    /// The position of a name. One that the settings don't hold gets a position of its own behind them.
+    /// The index of a name. A name that is missing in the settings is appended.
     fn position(names: &mut Vec<String>, name: &str) -> u32 {
         let position = names.iter().position(|n| n == name).unwrap_or_else(|| {
             names.push(name.to_owned());
@@ -110,13 +111,13 @@
     }
 }
 
-/// Hands a list to the core.
+/// Passes a list to the core.
 pub fn apply_list(flows: &Flows, names: &mut NameTable, list: &HostList, kind: ListKind) {
-    // A worker that a list names twice counts as its last entry says.
+    // If a list names a worker twice, the last entry applies.
     let mut entries: FxHashMap<&str, ListEntry> = FxHashMap::default();
     for host in &list.servers {
         debug!(target = %host.id, zone = %host.zone, kind = %host.kind, state = ?host.state,
-            started_ms = host.started_ms, size = host.weight, "listed");
+            started_ms = host.started_ms, size = host.weight, "worker list entry");
         let listed = Listed {
             target: flows.target_id(&host.id),
             zone: NameTable::position(&mut names.zones, &host.zone),
@@ -140,7 +141,8 @@
     flows.update_list(kind, entries);
 }
 
-/// Stands in for discovery where the operator's file lists the hosts: nothing ever changes. Never ends.
+/// Replaces discovery when the hosts are listed in the operator's file, where nothing ever changes. Never
+/// returns.
 pub async fn serve_fixed_list(flows: Flows) {
     loop {
         flows.watch_requested().await;
--- a/dispatcher/src/list/monitor.rs
+++ b/dispatcher/src/list/monitor.rs
@@ -1,5 +1,5 @@
-//! The state of the worker list, watched: each transition is logged with its reason, and sends are counted by the state
-//! that they were made in. Operators see both at the admin listener.
+//! Monitors the state of the worker list. Each transition is logged with its reason and counted, and operators
+//! can read the state from the admin listener.
 
 use crate::arrival::ArrivalClock;
 use crate::flow::Flows;
@@ -11,47 +11,47 @@
 use tokio::sync::Notify;
 use tracing::{info, warn};
 
-/// Between two looks where nothing is due.
+/// Check interval when no expiry is due.
 const CHECK_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Between a permit and the look behind the write, in milliseconds.
+/// Maximum time between a permit and the audit after the write, in milliseconds.
 const PERMIT_TO_AUDIT_MS: u64 = 20;
 
-/// What makes the state of the list change.
+/// Events that may change the state of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Discovery answered with its list, or with nothing new.
+    /// Discovery answered with its list, or without changes.
     Answered,
-    /// A watch began that may wait so long.
+    /// A watch began that may wait for this long.
     WatchBegan(Duration),
-    /// A call came to nothing.
+    /// A call failed.
     Failed(CallFailure),
     /// A peer reports that discovery has answered it with this version.
     PeerAnswered(u64),
-    /// Discovery has moved.
+    /// The address of discovery has changed.
     Moved,
-    /// Time passed.
     Elapsed,
 }
 
-/// The list as operators see it.
+/// The state of the list, as reported to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListReport {
     pub state: ListState,
-    /// The version that was taken last; `None`: there is none.
+    /// The version that was applied last; `None`: there is none.
     pub version: Option<u64>,
-    /// Since discovery answered last.
+    /// Time since the last answer of discovery.
     pub confirmed_ago: Option<Duration>,
-    /// Times that the list stopped being valid.
+    /// How often the list has stopped being valid.
     pub expired: u64,
-    /// The shortest call that did not wait for news: what a turn costs at discovery, at most.
+    /// The shortest call that did not wait for changes: an upper bound of what discovery needs for one call.
     pub shortest_call: Option<Duration>,
-    /// Reports of peers that discovery had answered them, and how many of them left the list less time.
+    /// Reports of peers that discovery had answered them, and how many of these shortened the validity of the
+    /// list.
     pub peer_reports: u64,
     pub shortened_by_peers: u64,
 }
 
-/// Follows the state of one list.
+/// Tracks the state of one list.
 pub struct ListMonitor {
     started: Instant,
     status: RefCell<ListStatus>,
@@ -61,14 +61,14 @@
     peer_reports: Cell<u64>,
     shortened_by_peers: Cell<u64>,
     changed: Notify,
-    /// When what is read now may have come.
+    /// Provides the earliest time at which data read now may have arrived.
     arrivals: Rc<ArrivalClock>,
-    /// When the call was made that ended last.
+    /// The start of the call that ended last.
     call_started: Cell<Instant>,
 }
 
 impl ListMonitor {
-    /// Begins with a list in this state.
+    /// Starts with a list in this state.
     pub fn new(status: ListStatus, arrivals: Rc<ArrivalClock>) -> Self {
         let logged_state = Cell::new(status.at(0));
         ListMonitor {
@@ -85,13 +85,13 @@
         }
     }
 
-    /// Tells the core when the list becomes valid or stops being so, by a call or by time alone. Never ends; dropped, it
-    /// holds nothing.
+    /// Notifies the core when the list becomes valid or invalid, because of a call or because time has passed.
+    /// Never returns; may be dropped at any time.
     pub async fn run(self: Rc<Self>, flows: Flows) {
         loop {
             flows.update_list_validity();
             let due = self.expires().unwrap_or_else(|| Instant::now() + CHECK_INTERVAL);
-            // Either branch can be dropped: the state is read anew.
+            // Either branch may be dropped: the state is read again.
             tokio::select! {
                 () = tokio::time::sleep_until(due.into()) => self.record(Change::Elapsed),
                 () = self.changed.notified() => {}
@@ -103,13 +103,13 @@
         self.started.elapsed().as_millis() as u64
     }
 
-    /// When the end of a call may have come that is heard of now: it may have stood unread while the list changed. It did not come
-    /// before its call was made.
+    /// The earliest time at which the call that has just ended may have been answered. The answer may have been
+    /// waiting unread while the list changed, but it did not arrive before the call was made.
     fn earliest_call_end(&self) -> u64 {
         self.earliest_arrival().max(self.millis_at(self.call_started.get()))
     }
 
-    /// When what is read now may have come.
+    /// The earliest time at which data that is read now may have arrived.
     fn earliest_arrival(&self) -> u64 {
         self.millis_at(self.arrivals.earliest(Instant::now()))
     }
@@ -118,40 +118,41 @@
         instant.saturating_duration_since(self.started).as_millis() as u64
     }
 
-    /// A list with this version is in use: told at the start, or by discovery.
+    /// Sets the version of the list in use, which was loaded at the start or sent by discovery.
     pub fn set_version(&self, version: u64) {
         self.version.set(Some(version));
     }
 
-    /// Peers report from now on that discovery has answered them.
+    /// From now on, peers report when discovery has answered them.
     pub fn expect_peer_reports(&self) {
         self.status.borrow_mut().hears_peers();
     }
 
-    /// Discovery has answered a call that was made then.
+    /// Discovery has answered a call that was started at this time.
     pub fn answered(&self, call_started: Instant) {
         self.call_started.set(call_started);
         self.record(Change::Answered);
     }
 
-    /// The same, where the call did not wait for news.
+    /// Like [`ListMonitor::answered`], for a call that did not wait for changes.
     pub fn queued_call_answered(&self, call_started: Instant) {
         self.status.borrow_mut().took_turn(call_started.elapsed().as_millis() as u64);
         self.answered(call_started);
     }
 
-    /// Whether a crowd of the whole tier may last too long at discovery, as far as is known.
+    /// Whether calls of the whole tier at the same time may keep discovery busy for too long, as far as is
+    /// known.
     pub fn crowd_outlasts_bound(&self) -> bool {
         self.status.borrow().crowd_outlasts_bound()
     }
 
-    /// A call that was made then came to nothing.
+    /// A call that was started at this time has failed.
     pub fn failed(&self, call_started: Instant, failure: CallFailure) {
         self.call_started.set(call_started);
         self.record(Change::Failed(failure));
     }
 
-    /// Takes note of a change.
+    /// Applies an event to the state.
     pub fn record(&self, change: Change) {
         let now = self.now();
         {
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Watches renew all the time; what is worth a line is that validity, or the way discovery is reached, has changed.
+    /// Watches are renewed all the time. Only changes of validity, or of whether discovery answers, are logged.
     fn log(&self, before: ListState, state: ListState, change: Change) {
         let answered_lately = |state| matches!(state, ListState::Confirmed | ListState::Watched);
         if before == state || answered_lately(before) && answered_lately(state) {
@@ -202,20 +203,19 @@
             up_ms = self.now(), "worker list: state");
     }
 
-    /// The state now.
     pub fn state(&self) -> ListState {
         self.status.borrow().at(self.now())
     }
 
-    /// Whether the list is valid, or was until a moment ago: a permit was given by then.
+    /// Whether the list is valid, or was when a permit may have been granted shortly before.
     pub fn was_recently_valid(&self) -> bool {
         let now = self.now();
         let status = self.status.borrow();
         status.at(now).is_valid() || status.at(now.saturating_sub(PERMIT_TO_AUDIT_MS)).is_valid()
     }
 
-    /// How long the list stays valid, if nothing more is heard: not at all before it was confirmed. Longest where it has no end
-    /// to come, or has come to it.
+    /// How long the list stays valid without further answers: zero before it was confirmed, and the maximum if
+    /// it does not expire or already has.
     pub fn valid_for(&self) -> Duration {
         if self.state() == ListState::Unconfirmed {
             return Duration::ZERO;
@@ -223,14 +223,14 @@
         self.expires().map_or(Duration::MAX, |at| at.saturating_duration_since(Instant::now()))
     }
 
-    /// When the list stops being valid, if nothing more is heard; `None` where it is not valid, or always is.
+    /// When the list expires without further answers; `None` if it is invalid or does not expire.
     fn expires(&self) -> Option<Instant> {
         let valid = self.state().is_valid();
         let until = self.status.borrow().expires().filter(|_| valid);
         until.map(|at| self.started + Duration::from_millis(at))
     }
 
-    /// What operators are shown.
+    /// The state, for operators.
     pub fn report(&self) -> ListReport {
         let now = self.now();
         let confirmed_at = self.status.borrow().confirmed_at();
--- a/dispatcher/src/list/watch.rs
+++ b/dispatcher/src/list/watch.rs
@@ -1,5 +1,6 @@
-//! The watch of a discovery that has to be asked: call upon call, for as long as calls succeed. What a call that came to
-//! nothing leaves of the list's validity is the monitor's; when to call again is the schedule's and the module's.
+//! Watches a discovery that has to be polled, with one call after the other as long as they succeed. The
+//! monitor decides how a failed call affects the validity of the list; the schedule and the decision module
+//! decide when to call again.
 
 use super::calls::{call, call_queued, ListCallError};
 use super::monitor::Change;
@@ -12,20 +13,21 @@
 use tokio::time::Instant;
 use tracing::{debug, info, warn};
 
-/// How long an answer may take beyond the wait for news.
+/// Time limit for an answer, in addition to the wait for changes.
 const ANSWER_TIMEOUT_BEYOND_WAIT: Duration = Duration::from_millis(1500);
-/// The least time between two calls that bring nothing: guards against a discovery that does not wait.
+/// Minimum time between two calls that return no changes, in case discovery does not wait.
 const MIN_CALL_GAP: Duration = Duration::from_millis(20);
 
-/// A call so long behind an answer carries no watch on, and takes a turn.
+/// A call that starts this long after the previous answer does not continue the watch, and is queued.
 const WATCH_BREAK_DELAY: Duration = Duration::from_millis(WATCH_CONTINUES_WITHIN + 50);
 
-/// A second call is made beside one without an answer so long before the list stops being valid, within these bounds: a queue
-/// that is shorter needs none.
+/// If a call is unanswered this long before the list expires, a second one is made in parallel, within the
+/// bounds below. A shorter queue needs no second call.
 const SECOND_CALL_AHEAD: Duration = Duration::from_millis(500);
 const SECOND_CALL_AFTER: (Duration, Duration) = (Duration::from_millis(3500), Duration::from_millis(5500));
 
-/// Watches discovery, wherever it stands now, from the start on: the first request need not wait for the list. Never ends.
+/// Watches discovery from the start on, so that the first request need not wait for the list, and follows
+/// changes of its address. Never returns.
 pub async fn watch(source: ListSource, schedule: WatchSchedule) {
     let last_address = *source.discovery.borrow();
     let mut watcher = Watcher {
@@ -37,29 +39,32 @@
         schedule,
     };
     loop {
-        // The first call is answered at once, so that the module knows where it stands; the next ones wait.
+        // The first call is answered at once, so that the decision module knows the state; the following calls
+        // wait for changes.
         watcher.wait = Duration::ZERO;
         watcher.call_until_failure().await;
         watcher.wait_until_requested().await;
     }
 }
 
-/// A watch under way.
+/// An active watch.
 struct Watcher {
     source: ListSource,
     schedule: WatchSchedule,
-    /// The version that changes are asked after.
+    /// The version after which changes are requested.
     after: Option<u64>,
-    /// Where the last call went.
+    /// The address of the last call.
     last_address: Option<SocketAddr>,
-    /// How long the next call waits for news.
+    /// How long the next call waits for changes.
     wait: Duration,
-    /// The last answer could not be read. The next call may carry on the watch that it ended, and take no turn.
+    /// The last answer could not be parsed. The next call may continue the watch that the answer ended, and is
+    /// then not queued.
     was_unreadable: bool,
 }
 
 impl Watcher {
-    /// Calls until discovery is nowhere, or a call failed that the module has to say when to make again.
+    /// Makes calls until discovery has no address, or until a call fails and the decision module has to say
+    /// when to call again.
     async fn call_until_failure(&mut self) {
         loop {
             let at = *self.source.discovery.borrow_and_update();
@@ -71,8 +76,8 @@
             let mut moved = self.source.discovery.clone();
             let answer = tokio::select! {
                 answer = self.call(at) => answer,
-                // Guards against waiting on a discovery that has been replaced: what the new one has to tell
-                // counts as told soon. The call that is dropped ends its connection.
+                // Avoids waiting for a discovery that has been replaced: the list of the new one is needed
+                // soon. Dropping the call closes its connection.
                 Ok(()) = moved.changed() => continue,
             };
             match answer {
@@ -85,7 +90,7 @@
         }
     }
 
-    /// Another discovery counts its versions by itself: the whole list is asked for.
+    /// Another discovery has its own version numbers, so the whole list is requested.
     fn address_changed(&mut self, to: Option<SocketAddr>) {
         info!(from = ?self.last_address, to = ?to, "discovery: moved");
         self.source.monitor.record(Change::Moved);
@@ -135,7 +140,7 @@
         }
     }
 
-    /// How many milliseconds to wait before the next call; `None`: the module has to say.
+    /// The delay before the next call in milliseconds; `None`: the decision module has to request it.
     fn call_failed(&mut self, at: SocketAddr, error: &ListCallError, call_started: Instant) -> Option<u64> {
         let monitor = &self.source.monitor;
         let (took_ms, waited_ms) = (call_started.elapsed().as_millis() as u64, self.wait.as_millis() as u64);
@@ -147,19 +152,19 @@
             self.after = None;
         }
         let failed = FailedCall { watched: !self.wait.is_zero(), failure, took: took_ms };
-        // The next call does not wait: if it comes to nothing, that is a failure like any other.
+        // The next call does not wait for changes; if it fails, that is a failure like any other.
         self.wait = Duration::ZERO;
         self.schedule.call_again_after(failed)
     }
 
-    /// Resolves when the module wants the list again, or discovery has moved.
+    /// Resolves when the decision module requests the list again, or the address of discovery changes.
     async fn wait_until_requested(&mut self) {
         let ListSource { flows, discovery, .. } = &mut self.source;
-        // What the module wished for before the failure is no leave to call again at once.
+        // A request made before the failure does not permit another call at once.
         let _ = flows.watch_requested().now_or_never();
         flows.list_failed();
-        // A move need not wait until the module wants the list again. Neither branch loses anything when it is dropped:
-        // the wish and the address stay until they are taken.
+        // A change of address is handled without waiting for a request. Either branch may be dropped: the
+        // request and the address remain available until they are taken.
         tokio::select! {
             () = flows.watch_requested() => {}
             Ok(()) = discovery.changed() => {}
@@ -167,14 +172,14 @@
     }
 }
 
-/// Waits, unless discovery moves.
+/// Sleeps, but returns early if the address of discovery changes.
 async fn sleep_unless_moved(delay_ms: u64, discovery: &mut AddressReceiver) {
     if delay_ms > 0 {
         sleep_until_unless_moved(Instant::now() + Duration::from_millis(delay_ms), discovery).await;
     }
 }
 
-/// The same until an instant.
+/// Like `sleep_unless_moved`, until an instant.
 pub(super) async fn sleep_until_unless_moved(until: Instant, discovery: &mut AddressReceiver) {
     let moved = discovery.wait_for({
         let at = *discovery.borrow();
--- a/dispatcher/src/peers/load_gossip.rs
+++ b/dispatcher/src/peers/load_gossip.rs
@@ -1,6 +1,6 @@
-//! Load gossip with the other dispatchers of a large tier: how many forwards of each are out at which target. What the
-//! reports say and who aggregates them is `lineroute_control::load_gossip`; here is the socket. A report that can't be
-//! sent is one that is lost.
+//! Load gossip with the other dispatchers of a large tier: how many forwards each of them has in flight at
+//! which target. `lineroute_control::load_gossip` defines the reports and who aggregates them; this module
+//! handles the socket. A report that cannot be sent is lost.
 
 use crate::config::LoadGossipPeers;
 use crate::facade::{FlowId, TargetId};
@@ -19,16 +19,17 @@
 use tokio::net::UdpSocket;
 use tracing::{debug, info};
 
-/// After an error of the socket.
+/// Delay after a socket error.
 const SOCKET_ERROR_DELAY: Duration = Duration::from_millis(20);
-/// Datagrams that are taken in before others on this thread get their turn.
+/// Limit on the datagrams that are handled before other tasks of this thread run.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
-/// Between two questions while flows are held, about.
+/// Average time between two queries while flows are held back.
 const QUERY_INTERVAL: Duration = Duration::from_millis(100);
-/// What is out long is sent reports again.
+/// Interval at which forwards that stay in flight are reported again.
 const REPORT_INTERVAL: Duration = Duration::from_millis(REPORT_TTL / 2);
 
-/// The gossip of this process: it learns of forwards from the core, and reports those of peers to the core.
+/// The load gossip of this process: it observes the forwards of the core, and passes the reports of peers to
+/// the core.
 struct LoadGossip {
     weak_self: Weak<LoadGossip>,
     socket: UdpSocket,
@@ -36,7 +37,7 @@
     own: u32,
     home_zone: Option<Tag>,
     peers: Vec<SocketAddr>,
-    /// One address for all of them, where there is one.
+    /// A common address of all peers, if there is one.
     all_peers: Option<SocketAddr>,
     reports: Rc<DiscoveryReports>,
     peer_numbers: FxHashMap<SocketAddr, u32>,
@@ -44,38 +45,38 @@
     state: RefCell<State>,
 }
 
-/// A question that is out.
+/// A query that has not been answered yet.
 struct Query {
     turn: u8,
     zone: Tag,
     aggregator: u32,
     sent_at: Instant,
-    /// Flows that wait for its answer.
+    /// Flows that wait for the answer.
     flows: Vec<FlowId>,
 }
 
 struct State {
-    /// What this dispatcher keeps for others, and who keeps what.
+    /// What this dispatcher aggregates for others, and who aggregates which zone.
     reported: ReportedLoad,
     aggregators: ZoneAggregators,
-    /// The targets that a tag may mean, and their zone.
+    /// The targets that a tag may stand for, and their zone.
     targets: FxHashMap<Tag, (Tag, FxHashSet<TargetId>)>,
     zones: Vec<Tag>,
     next_zone: usize,
-    /// What is out, with its zone, and what has just refused one.
+    /// Forwards in flight, with their zone, and targets that have just refused one.
     in_flight: FxHashMap<Tag, (Tag, u8)>,
     refused: FxHashSet<Tag>,
     turn: u8,
     reported_at: Instant,
     queries: Vec<Query>,
-    /// What the core was told of each target last.
+    /// What the core was last told of each target.
     last_reported: FxHashMap<TargetId, u8>,
 }
 
-/// Binds the socket and begins to report and to receive.
+/// Binds the socket and starts to send and receive reports.
 ///
 /// # Errors
-/// The address can't be bound.
+/// The address cannot be bound.
 pub async fn start(
     config: LoadGossipPeers,
     flows: Flows,
@@ -85,7 +86,7 @@
     let socket = open_patiently(|| UdpSocket::bind(listen))
         .await
         .map_err(|e| format!("peer_listen: {listen}: {e}"))?;
-    info!(peers = peers.len(), own, "load gossip: reports forwards to peers");
+    info!(peers = peers.len(), own, "load gossip: started");
     let peer_numbers = peers.iter().zip(0..).map(|(at, number)| (*at, number)).collect();
     let state = State {
         reported: ReportedLoad::default(),
@@ -190,7 +191,7 @@
         }
     }
 
-    /// What is out here, as a load report.
+    /// A report of the forwards that this process has in flight.
     fn own_report(&self, purpose: Purpose, zone: Tag) -> LoadReport {
         let state = &mut *self.state.borrow_mut();
         state.turn = state.turn.wrapping_add(1) & 15;
@@ -199,7 +200,7 @@
         LoadReport { purpose, turn: state.turn, zone, out, refused }
     }
 
-    /// Tells the aggregators of a zone what is out.
+    /// Reports the forwards in flight to the aggregators of a zone.
     fn report(&self, zone: Tag) {
         let report = self.own_report(Purpose::Tell, zone);
         let receivers = {
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Asks for the picture of a zone; whether the flow has to wait for it.
+    /// Queries the load of a zone. Returns whether the flow has to wait for the answer.
     fn query(&self, zone: Tag, flow: Option<FlowId>) -> bool {
         let now = self.now();
         let aggregator = {
@@ -243,7 +244,7 @@
             flows: flow.into_iter().collect(),
         };
         self.state.borrow_mut().queries.push(query);
-        // Guards against aggregators that are dead.
+        // The aggregator may be dead.
         let answer_wait = Duration::from_millis(self.state.borrow().aggregators.answer_wait());
         let weak_self = self.weak_self.clone();
         actix_rt::spawn(async move {
@@ -255,7 +256,7 @@
         true
     }
 
-    /// An answer that has not come by now is waited for no longer.
+    /// Stops waiting for an answer that has not arrived in time.
     fn answer_timed_out(&self, turn: u8, zone: Tag) {
         let query = {
             let state = &mut *self.state.borrow_mut();
@@ -264,21 +265,25 @@
             state.aggregators.was_silent(query.aggregator, self.now());
             query
         };
-        debug!(aggregator = query.aggregator, flows = query.flows.len(), "an aggregator is silent");
+        debug!(
+            aggregator = query.aggregator,
+            flows = query.flows.len(),
+            "load gossip: aggregator did not answer in time"
+        );
         query.flows.into_iter().for_each(|flow| self.flows.dispatch(flow));
     }
 
-    /// What all but the querier have out in a zone.
+    /// The forwards that all peers except the querier have in flight in a zone.
     fn zone_summary(&self, zone: Tag, querier: u32, turn: u8) -> LoadReport {
         let state = self.state.borrow();
-        // A target that the own list does not name is shown to all.
+        // A target that is missing in this process's own list is included in every zone.
         let is_in_zone = |tag: Tag| state.targets.get(&tag).is_none_or(|(z, _)| *z == zone);
         let (out, refused) = state.reported.picture(querier, self.now(), is_in_zone);
         let out = out.into_iter().map(|(tag, out)| (tag, out.min(u32::from(u8::MAX)) as u8)).collect();
         LoadReport { purpose: Purpose::Picture, turn, zone, out, refused }
     }
 
-    /// Tells the core what is new in a picture.
+    /// Passes the changes in a zone's load to the core.
     fn apply_zone_summary(&self, summary: &LoadReport) {
         let refused: FxHashSet<Tag> = summary.refused.iter().copied().collect();
         let out: FxHashMap<Tag, u8> = summary.out.iter().copied().collect();
@@ -290,7 +295,7 @@
                 let (out, refused) = (out.get(tag).copied().unwrap_or(0), refused.contains(tag));
                 for target in targets {
                     let previous = state.last_reported.insert(*target, out);
-                    // One at least, so that the core knows that peers tell.
+                    // At least one change is passed on, so that the core knows that peers report.
                     if previous != Some(out) || refused || changes.is_empty() {
                         changes.push(PeerLoad { target: *target, in_flight: u32::from(out), refused });
                     }
@@ -301,7 +306,7 @@
     }
 
     async fn receive_loop(self: Rc<Self>) {
-        // One more than the longest: a longer one must not look like one that fits.
+        // One byte more than the longest datagram, so that a longer one is not mistaken for one that fits.
         let mut bytes = [0; MAX_DATAGRAM + 1];
         loop {
             if self.socket.readable().await.is_err() {
@@ -310,7 +315,7 @@
             }
             for _ in 0..MAX_DATAGRAMS_PER_TURN {
                 let Ok((size, from)) = self.socket.try_recv_from(&mut bytes) else { break };
-                // What is no report, or not from a peer, changes nothing.
+                // Datagrams from other senders than peers, and invalid ones, are ignored.
                 let Some(peer) = self.peer_numbers.get(&from).filter(|peer| **peer != self.own) else {
                     continue;
                 };
@@ -336,18 +341,22 @@
             let state = &mut *self.state.borrow_mut();
             let matches_report =
                 |q: &Query| (q.turn, q.zone, q.aggregator) == (report.turn, report.zone, peer);
-            // Not asked for, or too late.
+            // Not requested, or too late.
             let Some(at) = state.queries.iter().position(matches_report) else { return };
             let query = state.queries.swap_remove(at);
             state.aggregators.answered(peer, query.sent_at.elapsed().as_millis() as u64);
             query
         };
-        debug!(aggregator = peer, took_us = query.sent_at.elapsed().as_micros() as u64, "a picture came");
+        debug!(
+            aggregator = peer,
+            took_us = query.sent_at.elapsed().as_micros() as u64,
+            "load gossip: zone load received"
+        );
         self.apply_zone_summary(report);
         query.flows.into_iter().for_each(|flow| self.flows.dispatch(flow));
     }
 
-    /// Asks on while flows are held. Not in step with peers that hold some too.
+    /// Keeps querying while flows are held back, with jitter so that peers do not query in step.
     async fn query_while_held(self: Rc<Self>) {
         loop {
             let jitter = f64::from(getrandom::u32().unwrap_or(0)) / f64::from(u32::MAX);
@@ -358,7 +367,7 @@
         }
     }
 
-    /// Tells again what is out long.
+    /// Repeats reports of forwards that stay in flight.
     async fn repeat_reports(self: Rc<Self>) {
         loop {
             tokio::time::sleep(REPORT_INTERVAL).await;
--- a/dispatcher/src/peers/mod.rs
+++ b/dispatcher/src/peers/mod.rs
@@ -1,5 +1,5 @@
-//! Datagrams to and from the other dispatchers of the tier. What is said is `lineroute_control::peers`; here
-//! are the socket and the rounds.
+//! Datagrams to and from the other dispatchers of the tier. `lineroute_control::peers` defines the messages;
+//! this module handles the socket and the periodic rounds.
 
 pub mod discovery_reports;
 pub mod load_gossip;
@@ -18,14 +18,15 @@
 use tokio::time::{interval, MissedTickBehavior};
 use tracing::{info, warn};
 
-/// Between two rounds.
+/// Interval between two gossip rounds.
 const ROUND_INTERVAL: Duration = Duration::from_millis(200);
-/// Datagrams that are taken in before others on this thread get their turn: a flood must not hold up clients.
+/// Limit on the datagrams that are handled before other tasks of this thread run, so that a flood does not
+/// delay clients.
 const MAX_DATAGRAMS_PER_TURN: usize = 32;
-/// What can't be believed is told of this often at most.
+/// Minimum time between two warnings about rejected datagrams.
 const WARN_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The talk as others see it.
+/// Handle to the gossip with peers, for other parts of the process.
 #[derive(Clone)]
 pub struct Handle {
     gossip: Rc<RefCell<Gossip>>,
@@ -42,26 +43,26 @@
 impl Handle {
     fn send(&self, out: Vec<Outgoing>) {
         for (to, bytes) in out {
-            // One that is not sent is one that is lost.
+            // A datagram that cannot be sent is lost.
             let _ = self.socket.try_send_to(&bytes, to);
         }
     }
 
-    /// Goes over to other keys.
+    /// Replaces the keys.
     pub fn rekey(&self, keys: KeyRing) {
         self.gossip.borrow_mut().rekey(keys);
     }
 
-    /// What has come and gone.
+    /// Counters of datagrams sent and received.
     pub fn counts(&self) -> Counts {
         self.gossip.borrow().counts()
     }
 }
 
-/// Binds the socket and begins to talk.
+/// Binds the socket and starts to communicate with peers.
 ///
 /// # Errors
-/// The address can't be bound, or the system has no random numbers.
+/// The address cannot be bound, or the system provides no random numbers.
 pub async fn start(
     config: Peers,
     overrides: Overrides,
@@ -72,7 +73,7 @@
         .await
         .map_err(|e| format!("peer_listen: {listen}: {e}"))?;
     let mut seed = [0; 32];
-    getrandom::fill(&mut seed).map_err(|e| format!("peers: no random numbers: {e}"))?;
+    getrandom::fill(&mut seed).map_err(|e| format!("peers: no random numbers available: {e}"))?;
     let at = socket.local_addr().map_err(|e| format!("peer_listen: {e}"))?;
     info!(addr = %at, peers = others.len(), "talks with peers");
     let gossip = Rc::new(RefCell::new(Gossip::new(&others, keys, seed)));
@@ -97,8 +98,8 @@
         let mut warn_timer = interval(WARN_INTERVAL);
         let mut reported = Counts::default();
         loop {
-            // Every branch may be dropped at its await: nothing has been taken out of the socket or the
-            // queue by then.
+            // Every branch may be dropped while it waits: nothing has been taken from the socket or the queue
+            // by then.
             tokio::select! {
                 ready = self.handle.socket.readable() => match ready {
                     Ok(()) => {
@@ -106,7 +107,7 @@
                         tokio::task::yield_now().await;
                     }
                     Err(e) => {
-                        warn!(error = %e, "peers: the socket fails");
+                        warn!(error = %e, "peers: reading from the socket failed");
                         tokio::time::sleep(ROUND_INTERVAL).await;
                     }
                 },
@@ -124,7 +125,7 @@
                     let faults = |c: &Counts| [c.malformed, c.unauthentic, c.strangers, c.refused];
                     if faults(&counts) != faults(&reported) {
                         let Counts { malformed, unauthentic, replayed, strangers, refused, .. } = counts;
-                        warn!(malformed, unauthentic, replayed, strangers, refused, "peers: datagrams not believed");
+                        warn!(malformed, unauthentic, replayed, strangers, refused, "peers: datagrams rejected");
                     }
                     reported = counts;
                 }
@@ -132,15 +133,15 @@
         }
     }
 
-    /// Takes in what has come, up to a bound.
+    /// Handles received datagrams, up to a limit.
     fn receive_datagrams(&self) {
-        // One more than the longest: a longer one must not look like one that fits.
+        // One byte more than the longest datagram, so that a longer one is not mistaken for one that fits.
         let mut bytes = [0; MAX_DATAGRAM + 1];
         for _ in 0..MAX_DATAGRAMS_PER_TURN {
             let (size, from) = match self.handle.socket.try_recv_from(&mut bytes) {
                 Ok(received) => received,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                // What a datagram of ours met elsewhere: a peer that is down.
+                // An earlier datagram of ours was rejected elsewhere, because a peer is down.
                 Err(_) => continue,
             };
             let datagram = &bytes[..size];
--- a/dispatcher/src/targets/beanstalkd.rs
+++ b/dispatcher/src/targets/beanstalkd.rs
@@ -1,9 +1,9 @@
-//! Workers that take their jobs from a beanstalkd server of their own: a forward is a job in its work tube,
-//! and what becomes of it comes back in an answers tube that is this dispatcher's alone.
+//! Workers that take their jobs from their own beanstalkd server. A forward is a job in the server's work tube;
+//! its result comes back through an answers tube that belongs to this dispatcher alone.
 //!
-//! A job's first line names the answers tube, the client's reference and the key by which repeats are known
-//! (`-`: none); the body follows. An answer's first line names the job's id and what became of it: `started`,
-//! `served`, `failed`, or `refused` where it was handed back unstarted; the result follows.
+//! The first line of a job names the answers tube, the client's reference and the idempotency key (`-`: none);
+//! the body follows. The first line of an answer names the job's id and its status: `started`, `served`,
+//! `failed`, or `refused` if the job was handed back without being started; the result follows.
 
 use crate::beanstalkd::{read_answer, read_body, read_line, Line, MAX_JOB};
 use crate::config::BeanstalkdWorkers;
@@ -27,18 +27,17 @@
 use tokio::sync::mpsc;
 use tracing::warn;
 
-/// How long a server may take to answer a command that waits for nothing.
+/// Time limit for the answer to a command that does not block.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long one wait for an answer lasts. A link that says nothing for longer is dead.
+/// Duration of one blocking reserve command. A connection that stays silent for longer is considered dead.
 const RESERVE_WAIT: Duration = Duration::from_secs(5);
-/// Time that a job may stay reserved beyond its deadline: no server is to hand it out a second time.
+/// Added to the deadline for the time-to-run of a job, so that the server does not hand it out a second time.
 const TTR_MARGIN: Duration = Duration::from_secs(60);
-/// Answers that may come before their job's id is known.
+/// Limit on the answers that are kept before the id of their job is known.
 const MAX_EARLY_ANSWERS: usize = 256;
-/// Waits between attempts to reach a server that has jobs of ours.
+/// Minimum and maximum delay between attempts to reach a server that holds jobs of this dispatcher.
 const RECONNECT_BACKOFF: (Duration, Duration) = (Duration::from_millis(50), Duration::from_secs(1));
 
-/// A connection to a server.
 struct Connection {
     input: BufReader<OwnedReadHalf>,
     output: OwnedWriteHalf,
@@ -56,7 +55,7 @@
         Ok(Connection { input: BufReader::new(input), output })
     }
 
-    /// Nothing has come unasked, the end of the connection included.
+    /// Whether there is no unsolicited input, the end of the connection included.
     fn is_idle(&mut self) -> bool {
         self.input.fill_buf().now_or_never().is_none()
     }
@@ -73,7 +72,7 @@
         .await
     }
 
-    /// Asks for something that must be answered by one of these words.
+    /// Sends a command whose reply must start with one of these words.
     async fn request_expecting(&mut self, request: &str, words: &[&str]) -> io::Result<String> {
         let reply = self.request(request.as_bytes(), COMMAND_TIMEOUT).await?;
         let word = reply.split(' ').next().unwrap_or_default();
@@ -83,7 +82,7 @@
         }
     }
 
-    /// The body that a reply has announced by its last word.
+    /// Reads the body whose size is the last word of the reply.
     async fn reply_body(&mut self, reply: &str) -> io::Result<Bytes> {
         let size = reply.rsplit(' ').next().and_then(|n| n.parse::<usize>().ok());
         let size = size.filter(|s| *s <= MAX_JOB * 2).ok_or(io::ErrorKind::InvalidData)?;
@@ -91,7 +90,7 @@
         body.ok_or_else(|| io::ErrorKind::InvalidData.into())
     }
 
-    /// Whether a job has never been handed to anybody, and is gone now that it has been deleted.
+    /// Deletes a job if it was never reserved. Returns whether it was deleted.
     async fn delete_unreserved(&mut self, id: u64) -> io::Result<bool> {
         let reply = self.request_expecting(&format!("stats-job {id}\r\n"), &["OK", "NOT_FOUND"]).await?;
         if reply == "NOT_FOUND" {
@@ -100,7 +99,7 @@
         let stats = self.reply_body(&reply).await?;
         let stats = String::from_utf8_lossy(&stats).into_owned();
         let has_line = |wanted: &str| stats.lines().any(|line| line.trim() == wanted);
-        // One that was released or buried can be deleted too, but it may have run before.
+        // A job that was released or buried could also be deleted, but it may have run before.
         if !(has_line("reserves: 0") && (has_line("state: ready") || has_line("state: delayed"))) {
             return Ok(false);
         }
@@ -111,7 +110,7 @@
 
 enum Command {
     Put(Forward),
-    /// Give a forward up: for good, or only if it has not begun.
+    /// Take a job back: unconditionally, or only if it has not started.
     Withdraw(ForwardId, WithdrawReason),
     Probe,
 }
@@ -122,14 +121,14 @@
     Draining,
 }
 
-/// One worker's server.
+/// The beanstalkd server of one worker.
 struct Server {
     target: TargetId,
     addr: SocketAddr,
     commands: mpsc::UnboundedSender<Command>,
-    /// Jobs that lie there, by the server's ids.
+    /// Jobs on the server, by the ids that it assigned.
     in_flight: RefCell<FxHashMap<u64, ForwardId>>,
-    /// Puts that are under way, and answers to jobs whose ids are not known yet.
+    /// Puts in progress, and answers to jobs whose ids are not known yet.
     pending_puts: Cell<usize>,
     early_answers: RefCell<Vec<(u64, Bytes)>>,
     is_reading_answers: Cell<bool>,
@@ -145,7 +144,7 @@
     }
 }
 
-/// The forwards that are out at such workers.
+/// The forwards in flight at workers with a beanstalkd server.
 #[derive(Clone)]
 pub struct BeanstalkdTargets {
     flows: Flows,
@@ -156,7 +155,7 @@
 }
 
 impl BeanstalkdTargets {
-    /// `name` is this dispatcher's own: answers tubes are not shared.
+    /// `name` is the name of this dispatcher: answers tubes are not shared.
     pub fn new(flows: Flows, workers: &BeanstalkdWorkers, name: &str, connect_timeout: Duration) -> Self {
         BeanstalkdTargets {
             flows,
@@ -187,7 +186,7 @@
         server
     }
 
-    /// Errands one after the other, so that a job is never taken back before it is put.
+    /// Runs commands in sequence, so that a job is never withdrawn before it is put.
     async fn run_commands(self, server: Rc<Server>, mut receiver: mpsc::UnboundedReceiver<Command>) {
         let mut connection: Option<Connection> = None;
         while let Some(command) = receiver.recv().await {
@@ -215,7 +214,8 @@
                                     .await
                                     .is_ok()
                             }
-                            // A probe that this machine could not make has no result.
+                            // A probe that failed for a local reason says nothing about the worker; it is
+                            // retried.
                             Err(e) if is_local(&e) => tokio::time::sleep(TRY_AGAIN_AFTER * 2).await,
                             Err(_) => break false,
                         }
@@ -250,7 +250,7 @@
         Ok(connection.insert(open))
     }
 
-    /// Puts a forward's job; true where the link is of no use any more.
+    /// Puts the job of a forward. Returns true if the connection can no longer be used.
     async fn put(&self, server: &Rc<Server>, connection: &mut Option<Connection>, forward: &Forward) -> bool {
         let (forward_id, job) = (forward.id, &forward.job);
         let open = match self.ensure_connected(server, connection).await {
@@ -268,7 +268,7 @@
         let left = forward.deadline.saturating_duration_since(Instant::now());
         let permit = self.flows.send_permit(forward, None);
         if permit.and_then(|permit| permit.is_current(Instant::now())).is_err() {
-            // Drained, over or given up since it was decided: nothing is sent.
+            // The worker drains, or the flow is over or cancelled since this was decided: nothing is sent.
             self.flows.forward_ended(forward_id, Outcome::Moot, None);
             return false;
         }
@@ -288,7 +288,7 @@
         let reply = match open.request(&request, left.min(COMMAND_TIMEOUT)).await {
             Ok(reply) => reply,
             Err(_) => {
-                // The job may lie there.
+                // The job may have been stored.
                 self.flows.forward_ended(forward_id, Outcome::Cut, None);
                 return true;
             }
@@ -309,7 +309,7 @@
                 false
             }
             ("BURIED", Ok(id)) => {
-                // The server had no memory to queue it: nobody can have had it.
+                // The server had no memory to queue the job, so no worker can have reserved it.
                 let deleted = open.request_expecting(&format!("delete {id}\r\n"), &["DELETED"]).await.is_ok();
                 self.flows.forward_ended(
                     forward_id,
@@ -323,7 +323,7 @@
                 false
             }
             _ => {
-                warn!(server = %server.addr, reply = ?reply, "beanstalkd server: put was not taken");
+                warn!(server = %server.addr, reply = ?reply, "beanstalkd server: unexpected reply to put");
                 self.flows.forward_ended(forward_id, Outcome::Fault, None);
                 true
             }
@@ -338,7 +338,7 @@
         reason: WithdrawReason,
     ) -> bool {
         let Some(id) = server.job_id(forward_id) else {
-            // Ended before; or it never got there.
+            // The forward has already ended, or its job was never stored.
             self.flows.forward_ended(forward_id, Outcome::Cancelled, None);
             return false;
         };
@@ -348,9 +348,9 @@
         };
         let outcome = match (&withdrawn, reason) {
             (Ok(true), _) => Outcome::Moot,
-            // A worker has it, or it can't be told: it may have run.
+            // A worker has reserved the job, or its state is unknown: it may have run.
             (_, WithdrawReason::Cancelled) => Outcome::Cancelled,
-            // A worker that drains completes what it has: its answer is awaited.
+            // A draining worker completes the jobs that it holds, so its answer is awaited.
             (_, WithdrawReason::Draining) => return withdrawn.is_err(),
         };
         server.in_flight.borrow_mut().remove(&id);
@@ -358,10 +358,10 @@
         withdrawn.is_err()
     }
 
-    /// Takes up what a worker says of a job.
+    /// Handles an answer of a worker.
     fn handle_answer(&self, server: &Server, body: &Bytes) {
         let Some((id, word, result)) = read_answer(body) else {
-            warn!(server = %server.addr, "beanstalkd server: a job in the answers tube is no answer");
+            warn!(server = %server.addr, "beanstalkd server: malformed job in the answers tube");
             return;
         };
         let forward_id = server.in_flight.borrow().get(&id).copied();
@@ -378,7 +378,7 @@
             "failed" => Outcome::Fault,
             "refused" => Outcome::NoRoom,
             _ => {
-                warn!(server = %server.addr, word, "beanstalkd server: no word for what became of a job");
+                warn!(server = %server.addr, word, "beanstalkd server: unknown status in an answer");
                 return;
             }
         };
@@ -386,7 +386,7 @@
         self.flows.forward_ended(forward_id, outcome, Some(result).filter(|_| word == "served"));
     }
 
-    /// Sees that answers are waited for, as long as any are due.
+    /// Starts reading answers, unless that is already running.
     fn ensure_reading_answers(&self, server: &Rc<Server>) {
         if !server.is_reading_answers.replace(true) {
             let (this, server) = (self.clone(), server.clone());
@@ -400,7 +400,7 @@
             match self.read_answers_once(&server, &mut backoff).await {
                 Ok(()) => break,
                 Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => {
-                    // The process is dead, and its jobs with it.
+                    // The server process is dead, and its jobs are lost with it.
                     let lost: Vec<ForwardId> =
                         server.in_flight.borrow_mut().drain().map(|(_, t)| t).collect();
                     lost.into_iter()
@@ -414,12 +414,12 @@
         server.is_reading_answers.set(false);
     }
 
-    /// Waits for answers on one connection, until none are due.
+    /// Reads answers on one connection until none are expected.
     async fn read_answers_once(&self, server: &Server, backoff: &mut Duration) -> io::Result<()> {
         let mut connection = Connection::open(server.addr, self.connect_timeout).await?;
         connection.request_expecting(&format!("watch {}\r\n", self.answers_tube), &["WATCHING"]).await?;
         connection.request_expecting("ignore default\r\n", &["WATCHING"]).await?;
-        // What a server that was lost for a while no longer knows, and has no answer to, is lost.
+        // After a reconnect, jobs that the server no longer knows and has no answer to are lost.
         let mut missing = Vec::new();
         let known: Vec<(u64, ForwardId)> =
             server.in_flight.borrow().iter().map(|(id, t)| (*id, *t)).collect();
--- a/dispatcher/src/targets/client.rs
+++ b/dispatcher/src/targets/client.rs
@@ -1,5 +1,5 @@
-//! Calls by HTTP to workers and discovery: a pool of connections for each address, bounds on calls at a time, and what is
-//! known of a call that came to no answer.
+//! HTTP client for workers and discovery: a connection pool for each address, a limit on concurrent calls, and
+//! a classification of failed calls.
 
 use super::connections::{Connections, OpenConnection};
 use super::gate::{self, Gate};
@@ -21,38 +21,37 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 
-/// Answers of workers are short: results come as calls.
+/// Answers of workers are short, since results arrive as separate calls.
 pub(super) const MAX_ANSWER_BYTES: usize = 64 << 10;
-/// How long a probe may take.
 pub(super) const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
-/// How long a worker may take to say that it has taken a job. It does not wait for room: it takes or turns away.
+/// Time limit for a worker to accept a job. Workers do not queue requests: they accept or refuse immediately.
 pub(super) const ACCEPT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Our idle connections end before a worker ends them: a request written to one it has closed is lost.
+/// Idle connections are closed before the worker closes them: a request written to a connection that the worker
+/// has closed is lost.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.85;
-/// How long connections to a worker are not kept after one broke; each further time twice as long.
+/// How long connections to a worker are not kept alive after one broke. Doubles with each further break.
 const NO_KEEPALIVE_AFTER_BREAK: Duration = Duration::from_secs(10);
 const MAX_NO_KEEPALIVE_DOUBLINGS: u32 = 5;
 
-/// Why a call brought no answer.
+/// Why a call failed.
 #[derive(Debug)]
 pub enum CallError {
-    /// Nobody listens there: the process is dead, and what it had with it.
+    /// Nothing listens on that port: the process is dead, and its state is lost.
     Refused,
-    /// No connection came up: nothing was sent.
+    /// No connection was established: nothing was sent.
     NoConnection(String),
-    /// This machine could not make a connection: nothing was sent, and it says nothing of the other side.
+    /// A local error prevented the connection: nothing was sent, and it says nothing about the peer.
     Local(String),
-    /// Too many calls are out: nothing was sent, and it says nothing of the other side.
+    /// Too many concurrent calls: nothing was sent, and it says nothing about the peer.
     Busy,
-    /// It must no longer be sent: nothing was.
+    /// The call was no longer permitted: nothing was sent.
     NotPermitted,
-    /// The other side had closed the kept connection: nothing was sent.
+    /// The peer had closed the idle connection: nothing was sent.
     Stale,
-    /// The connection broke before the last byte was written: nobody runs half a request.
+    /// The connection broke before the last byte was written. Workers do not run an incomplete request.
     Unsent,
-    /// No answer in time.
     Timeout,
-    /// It broke, or what came was no answer: the request may have arrived.
+    /// The connection broke, or the answer was invalid: the request may have arrived.
     Broken(String),
 }
 
@@ -60,14 +59,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             CallError::Refused => write!(f, "connection refused"),
-            CallError::NoConnection(e) => write!(f, "no connection: {e}"),
-            CallError::Local(e) => write!(f, "no connection could be made here: {e}"),
+            CallError::NoConnection(e) => write!(f, "connection failed: {e}"),
+            CallError::Local(e) => write!(f, "local error while connecting: {e}"),
             CallError::Busy => write!(f, "too many calls are out"),
-            CallError::NotPermitted => write!(f, "not to be sent any longer"),
-            CallError::Stale => write!(f, "the kept connection was closed"),
-            CallError::Unsent => write!(f, "broken before it was sent"),
-            CallError::Timeout => write!(f, "no answer in time"),
-            CallError::Broken(e) => write!(f, "broken: {e}"),
+            CallError::NotPermitted => write!(f, "no longer permitted"),
+            CallError::Stale => write!(f, "idle connection was closed by the peer"),
+            CallError::Unsent => write!(f, "connection broke before the request was sent"),
+            CallError::Timeout => write!(f, "timed out waiting for the answer"),
+            CallError::Broken(e) => write!(f, "connection broke or answer is invalid: {e}"),
         }
     }
 }
@@ -75,7 +74,7 @@
 impl From<SendRequestError> for CallError {
     fn from(error: SendRequestError) -> Self {
         match error {
-            // awc says this also of a connection that ended before the head of the answer: it was in use.
+            // awc also reports this for a connection that ended before the head of the answer; it was in use.
             SendRequestError::Connect(ConnectError::Disconnected) => CallError::Broken("disconnected".into()),
             SendRequestError::Connect(ConnectError::Io(e)) if e.kind() == ErrorKind::ConnectionRefused => {
                 CallError::Refused
@@ -88,7 +87,7 @@
     }
 }
 
-/// A pool of connections for each address that is called, and a bound on calls at a time.
+/// HTTP client with a connection pool for each address and a limit on concurrent calls.
 #[derive(Clone)]
 pub struct HttpClient {
     pools: Rc<RefCell<Pools>>,
@@ -96,39 +95,38 @@
     max_calls: usize,
 }
 
-/// awc ends the idle connections of an address only when it calls that address again. Guards against those to
-/// workers that have left, which would stay for good: a pool that is not used goes, with all it holds.
+/// awc closes the idle connections of an address only when that address is called again. To avoid keeping
+/// connections to workers that have left, unused pools are dropped together with their connections.
 struct Pools {
     by_addr: FxHashMap<SocketAddr, Pool>,
     last_sweep: Instant,
     connect_timeout: Duration,
     keepalive: Duration,
     max_calls: usize,
-    /// Connections that are open, those that are kept included; and how many may be.
+    /// Open connections, idle ones included, and their limit.
     open_connections: Rc<Cell<usize>>,
     max_open_connections: usize,
-    /// These pools, for the connectors that open connections for them.
+    /// For the connectors that open connections on behalf of these pools.
     weak_self: Weak<RefCell<Pools>>,
 }
 
-/// The connections to one address. Some ends break kept connections under the next request: guards against
-/// that by keeping none for a time after one broke.
+/// The connections to one address. Some peers break idle connections when the next request arrives; after such
+/// a break connections are not kept alive for a time.
 struct Pool {
     client: awc::Client,
     connections: Rc<Connections>,
     last_used: Instant,
     breaks: u32,
-    /// Until when none is kept.
     no_keepalive_until: Option<Instant>,
 }
 
 impl Pools {
-    /// What awc would do by itself is named here: it gives up after 5 s, and follows redirects, which would
-    /// make a second attempt. Its own limit makes calls wait; ours refuses them (`most`).
+    /// Overrides the defaults of awc: a time-out of 5 s, and redirects, which would cause a second attempt. The
+    /// limit of awc makes calls wait; `max_calls` refuses them.
     fn new_client(&self, keepalive: Duration) -> (awc::Client, Rc<Connections>) {
         let connections = Rc::new(Connections::new(self.open_connections.clone()));
         let (pools, counted) = (self.weak_self.clone(), connections.clone());
-        // No pool is borrowed when the library opens a connection: it does so while a call is polled.
+        // The pools are not borrowed at this point: the library opens connections while a call is polled.
         let open_connection = move || {
             pools.upgrade().iter().for_each(|pools| pools.borrow_mut().make_room(&counted));
             OpenConnection::new(counted.clone())
@@ -150,7 +148,7 @@
         (client, connections)
     }
 
-    /// How long connections of a pool are kept now.
+    /// The keep-alive time that currently applies to a pool.
     fn keepalive_for(&self, pool: &Pool) -> Duration {
         match pool.no_keepalive_until {
             Some(_) => Duration::ZERO,
@@ -158,9 +156,9 @@
         }
     }
 
-    /// Before a connection for a pool is opened: where so many are open that there would be too many, the pools that were
-    /// used least recently let go of theirs. Calls that are out are not ended. Guards the bound on descriptors: each
-    /// address may have idle connections, and there may be many addresses.
+    /// Called before a connection is opened. If the limit on open connections is reached, drops the connections
+    /// of the least recently used pools. Calls in progress are not interrupted. Without this, idle connections
+    /// to many addresses would exhaust the file descriptors.
     fn make_room(&mut self, requester: &Rc<Connections>) {
         while self.open_connections.get() >= self.max_open_connections {
             let pools = self
@@ -206,10 +204,10 @@
         .unwrap_or_default()
     }
 
-    /// A connection to this address broke.
+    /// Handles a broken connection to this address.
     fn connection_broke(&mut self, addr: SocketAddr) {
         let now = Instant::now();
-        // Those of a dead pool end one after the other: that is one break.
+        // The connections of a dead peer break one after the other; this counts as one break.
         let Some(breaks) =
             self.by_addr.get(&addr).filter(|p| p.no_keepalive_until.is_none()).map(|p| p.breaks)
         else {
@@ -234,7 +232,7 @@
 }
 
 impl HttpClient {
-    /// `most` calls at a time, and `most_open` connections, those that are kept included.
+    /// `max_calls` limits concurrent calls, `max_open_connections` limits connections, idle ones included.
     pub fn new(
         connect_timeout: Duration,
         keepalive: Duration,
@@ -256,8 +254,8 @@
         HttpClient { pools, calls: Rc::default(), max_calls }
     }
 
-    /// A call to discovery. It needs no place among the calls that may be out: it is one at a time, and calls to workers
-    /// that hang must not hold it up.
+    /// Calls discovery. This is exempt from the limit on concurrent calls: there is one such call at a time,
+    /// and hanging calls to workers must not delay it.
     pub async fn get(
         &self,
         addr: SocketAddr,
@@ -270,20 +268,20 @@
         self.note_break(addr, answer).map(|answer| (answer.status, answer.body))
     }
 
-    /// Whether a connection comes up there, as far as this machine can tell. Nothing is sent on it.
+    /// Whether a connection can be established, as far as this machine can tell. Nothing is sent on it.
     pub async fn is_reachable(&self, addr: SocketAddr) -> bool {
         let connect_timeout = self.pools.borrow().connect_timeout;
         let connected = tokio::time::timeout(connect_timeout, TcpStream::connect(addr)).await;
         connected.is_ok_and(|connected| connected.map_or_else(|e| is_local(&e), |_| true))
     }
 
-    /// A probe of a worker.
+    /// Probes a worker.
     pub(super) async fn probe(&self, addr: SocketAddr, path: &str) -> Result<(u16, Bytes), CallError> {
         let Some(_slot) = self.acquire_slot(&Method::GET) else { return Err(CallError::Busy) };
         self.get(addr, path, PROBE_TIMEOUT, MAX_ANSWER_BYTES).await
     }
 
-    /// The same for the fleet; nothing where it may not act for it any longer.
+    /// Probes a worker on behalf of the fleet. `None` if this process may no longer act for the fleet.
     pub(super) async fn health_check(
         &self,
         addr: SocketAddr,
@@ -295,9 +293,9 @@
         health_check(addr, path, operation, (connect_timeout, PROBE_TIMEOUT), MAX_ANSWER_BYTES).await
     }
 
-    /// A place among the calls that may be out.
+    /// Reserves one of the concurrent calls.
     fn acquire_slot(&self, method: &Method) -> Option<CallSlot> {
-        // Jobs leave room for what is short: probes, and giving jobs up.
+        // Jobs leave room for short calls: probes and cancellations.
         let max_calls =
             if *method == Method::POST { self.max_calls } else { self.max_calls + self.max_calls / 4 };
         if self.calls.get() >= max_calls {
@@ -307,8 +305,8 @@
         Some(CallSlot(self.calls.clone()))
     }
 
-    /// A call to a worker through a gate, which is looked at right before the first byte; from that on it may take `within`, and
-    /// `left` in all.
+    /// Calls a worker through a gate, which is checked right before the first byte. The call may take
+    /// `time_limit` from that moment on, and `left` in total.
     #[allow(clippy::too_many_arguments)]
     pub(super) async fn call_gated(
         &self,
@@ -327,7 +325,7 @@
             let exchange = self.exchange(method.clone(), addr, path, headers, body.clone(), limit);
             let left = until.saturating_duration_since(Instant::now());
             match gate.clone().call(exchange, time_limit, left).await {
-                // The pool has one connection less, and the request has not left: the next one is tried.
+                // The pool has dropped that connection and nothing was sent: another connection is tried.
                 Err(CallError::Stale) => gate.reset_if_stale(),
                 answer => return self.note_break(addr, answer),
             }
@@ -364,10 +362,10 @@
         let rejected = response.headers().get("x-rejected").is_some_and(|v| v.as_bytes() == b"1");
         let load = response.headers().get(LOAD_HEADER).and_then(|v| load::from_line(v.to_str().ok()?));
         if response.status() == StatusCode::ACCEPTED {
-            // The job is taken, whatever becomes of the rest: guards against a second copy for a body that breaks, or
-            // never ends. It is read only to have the connection free again.
+            // The job is accepted whatever happens to the rest of the answer: a body that breaks or never ends
+            // must not cause a second copy of the job. The body is read only to make the connection reusable.
             if response.next().now_or_never().is_none_or(|chunk| chunk.is_some()) {
-                // Dropped, it ends the connection; nobody waits for it.
+                // Dropping the response closes the connection; nothing waits for it.
                 actix_rt::spawn(tokio::time::timeout(ACCEPT_TIMEOUT, async move {
                     let mut left = limit;
                     while let Some(Ok(chunk)) = response.next().await {
@@ -381,11 +379,11 @@
             return Ok(HttpAnswer { status: 202, rejected, load, body: Bytes::new() });
         }
         let mut body = BytesMut::new();
-        // Read to its end, also where nobody wants it: only then is the connection free again.
+        // The body is always read to its end, since the connection is reusable only then.
         while let Some(chunk) = response.next().await {
             let chunk = chunk.map_err(|e| CallError::Broken(e.to_string()))?;
             if body.len() + chunk.len() > limit {
-                return Err(CallError::Broken("the answer is too long".into()));
+                return Err(CallError::Broken("answer exceeds the size limit".into()));
             }
             body.extend_from_slice(&chunk);
         }
--- a/dispatcher/src/targets/connections.rs
+++ b/dispatcher/src/targets/connections.rs
@@ -1,10 +1,9 @@
-//! Counts connections that are open: of one pool, and of all. A bound on calls alone would not do, since idle connections are
-//! kept.
+//! Counts open connections, of one pool and in total. A limit on calls alone is not enough, since idle
+//! connections are kept open.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The connections of one pool.
 #[derive(Debug)]
 pub struct Connections {
     open: Cell<usize>,
@@ -13,18 +12,17 @@
 }
 
 impl Connections {
-    /// `in_all` counts those of all pools together.
+    /// `total` counts the connections of all pools.
     pub fn new(total: Rc<Cell<usize>>) -> Self {
         Connections { open: Cell::new(0), total, released: Cell::new(false) }
     }
 
-    /// How many are open.
     pub fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// The pool is dropped: its idle connections end in this turn, and the others with the calls on them, which are bounded by
-    /// themselves. From here on none counts.
+    /// The pool is dropped. Its idle connections close in this turn of the event loop; the others close with
+    /// their calls, which have their own limit. None of them is counted from here on.
     pub fn release(&self) {
         if !self.released.replace(true) {
             self.total.set(self.total.get() - self.open.get());
@@ -32,7 +30,7 @@
     }
 }
 
-/// A connection that counts until it is dropped, from before it comes up.
+/// A connection that is counted from before it is established until it is dropped.
 #[derive(Debug)]
 pub struct OpenConnection(Rc<Connections>);
 
--- a/dispatcher/src/targets/gate.rs
+++ b/dispatcher/src/targets/gate.rs
@@ -1,5 +1,6 @@
-//! The last look before a request's first byte. The client library finds a connection, or waits for one, and then
-//! writes: guards against what happens in between, and tells what was written when a call comes to no answer.
+//! Final check before the first byte of a request. The HTTP client library picks or waits for a connection and
+//! then writes; the gate rechecks the conditions at the write, since they may have changed meanwhile, and
+//! records what was written when a call fails.
 
 use super::client::CallError;
 use super::connections::OpenConnection;
@@ -24,42 +25,43 @@
 use tokio::time::timeout_at;
 
 tokio::task_local! {
-    /// The gate of the call that is being polled. One call has one connection, which asks here before its first byte.
+    /// The gate of the call that is being polled. Each call uses one connection, which checks the gate before
+    /// its first byte.
     static GATE: Rc<Gate>;
 }
 
-/// What has become of a request.
+/// How much of a request was written.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 enum WriteState {
-    /// Not a byte of it is written.
+    /// Nothing has been written yet.
     #[default]
     Waiting,
-    /// The look said no: nothing is written, and nothing will be.
+    /// The check failed: nothing was written, and nothing will be.
     Refused,
-    /// The other side has closed the kept connection: nothing was written.
+    /// The peer has closed the idle connection: nothing was written.
     Stale,
     Open(Instant),
     /// The connection broke before the last byte was written.
     Unsent,
 }
 
-/// The time that a worker is told is left, where it is told any.
+/// The remaining time that the request states to the worker, if any.
 type BudgetSent = Option<Duration>;
 
-/// Who decides whether the first byte goes out.
+/// Decides whether the first byte may be written.
 enum Check {
-    /// An attempt: it needs a permit, and what was written is judged behind the write.
-    /// Both are given the time that the bytes tell the worker is left.
+    /// An attempt: it needs a permit, and the write is audited afterwards. Both closures receive the remaining
+    /// time that the request states to the worker.
     Attempt {
         permit: Box<dyn Fn(BudgetSent) -> Result<SendPermit, SendRefusal>>,
         written: Box<dyn Fn(BudgetSent)>,
     },
-    /// A call that is no attempt, as long as it has a purpose.
+    /// Another call, which is sent as long as it is still needed.
     Call(Box<dyn Fn() -> bool>),
 }
 
 impl Check {
-    /// Nothing is awaited between this and the write.
+    /// Nothing may be awaited between this check and the write.
     fn is_granted(&self, budget_sent: BudgetSent) -> bool {
         match self {
             Check::Attempt { permit, .. } => {
@@ -70,33 +72,34 @@
     }
 }
 
-/// A worker that answers twice does so within this time: an answer to a request that went out sooner behind another
-/// one's on the same connection may be that one's. No setting tells of it.
+/// A worker that sends an answer twice does so within this time. An answer to a request that was sent within
+/// this time after another answer on the same connection may therefore belong to the earlier request. Not
+/// configurable.
 const DUPLICATE_ANSWER_WINDOW: Duration = Duration::from_millis(25);
 
-/// What one request has to pass.
+/// The checks that one request has to pass before it is written.
 #[derive(Default)]
 pub struct Gate {
     check: Option<Check>,
     state: Cell<WriteState>,
-    /// The time that the bytes tell the worker is left.
+    /// The remaining time that the request states to the worker.
     budget_sent: Cell<BudgetSent>,
-    /// The write of the first byte was told of.
+    /// The write of the first byte has been reported.
     write_reported: Cell<bool>,
     follows_answer: Cell<bool>,
-    /// The event loop's turn before the look. A task of its own, so that no other wake of the call counts as the turn;
-    /// left behind by a call that is dropped, it ends with that turn.
+    /// Task that lets the event loop run one turn before the check. It is a separate task so that other
+    /// wake-ups of the call do not count as the turn; if the call is dropped, the task ends after that turn.
     loop_turn: RefCell<Option<JoinHandle<()>>>,
 }
 
 impl Gate {
-    /// For a call that is no attempt. `is_wanted` is called once there is a connection that takes bytes, right before the
-    /// first one goes out.
+    /// For a call that is not an attempt. `is_wanted` is called once a writable connection exists, right before
+    /// the first byte.
     pub fn new(is_wanted: impl Fn() -> bool + 'static) -> Rc<Gate> {
         Rc::new(Gate { check: Some(Check::Call(Box::new(is_wanted))), ..Gate::default() })
     }
 
-    /// For an attempt. `permit` is called at that moment, and `written` right behind the write.
+    /// For an attempt. `permit` is called right before the first byte and `written` right after it.
     pub fn for_attempt(
         permit: impl Fn(BudgetSent) -> Result<SendPermit, SendRefusal> + 'static,
         written: impl Fn(BudgetSent) + 'static,
@@ -105,7 +108,7 @@
         Rc::new(Gate { check: Some(check), ..Gate::default() })
     }
 
-    /// Bytes were written.
+    /// Reports the first write to the audit.
     fn report_write(&self) {
         if let (Some(Check::Attempt { written, .. }), false) =
             (&self.check, self.write_reported.replace(true))
@@ -114,22 +117,22 @@
         }
     }
 
-    /// The bytes of the call tell the worker that so much time is left.
+    /// Sets the remaining time that the request states to the worker.
     pub fn set_budget_sent(&self, left: Duration) {
         self.budget_sent.set(Some(left));
     }
 
-    /// Whether a byte may have gone out.
+    /// Whether a byte may have been sent.
     pub fn may_have_written(&self) -> bool {
         matches!(self.state.get(), WriteState::Open(_) | WriteState::Unsent)
     }
 
-    /// Whether the request went out right behind the answer to another one.
+    /// Whether the request was sent shortly after the answer to another one on the same connection.
     pub fn follows_recent_answer(&self) -> bool {
         self.follows_answer.get()
     }
 
-    /// Nothing was written: the call may be made anew.
+    /// Prepares for another try if nothing was written.
     pub fn reset_if_stale(&self) {
         if self.state.get() == WriteState::Stale {
             self.state.set(WriteState::Waiting);
@@ -137,8 +140,8 @@
         }
     }
 
-    /// Lets the event loop take a turn before the look: what the kernel knows by then of a client that left, or of a
-    /// worker that drains, is heard first, whatever woke this call.
+    /// Lets the event loop run one turn before the check, so that events already known to the kernel, such as a
+    /// client that left or a worker that drains, are handled first, whatever woke this call.
     fn poll_loop_turn(&self, cx: &mut Context<'_>) -> Poll<()> {
         if self.state.get() != WriteState::Waiting {
             return Poll::Ready(());
@@ -152,14 +155,14 @@
         match self.state.get() {
             WriteState::Waiting => {}
             WriteState::Open(_) => return Ok(()),
-            // Whoever tries to write again: it stays at that.
+            // Repeated writes get the same result.
             WriteState::Refused | WriteState::Stale | WriteState::Unsent => {
                 return Err(ErrorKind::NotConnected.into())
             }
         }
         self.follows_answer
             .set(last_read.is_some_and(|last_read| last_read.elapsed() < DUPLICATE_ANSWER_WINDOW));
-        // Nothing is awaited from here to the write.
+        // Nothing may be awaited from here to the write.
         stops::at("post.look");
         let state = match is_unusable(stream) {
             true => WriteState::Stale,
@@ -175,8 +178,8 @@
         }
     }
 
-    /// Makes a call through this gate. It may take `within` from its first byte; before that the connector's own limit
-    /// holds, and `left` in all.
+    /// Runs a call through this gate. It may take `time_limit` from its first byte on, and `left` in total;
+    /// before the first byte the connector's own time limit applies.
     pub async fn call<T>(
         self: Rc<Self>,
         call: impl Future<Output = Result<T, CallError>>,
@@ -187,7 +190,7 @@
         let mut call = pin!(GATE.scope(self.clone(), call));
         let mut until = start + time_limit.min(left);
         let answer = loop {
-            // The call is kept over the loop: nothing of it is lost.
+            // The call is not dropped between iterations, so nothing is lost.
             match timeout_at(until.into(), call.as_mut()).await {
                 Ok(answer) => break answer,
                 Err(_) => {
@@ -208,31 +211,31 @@
             (WriteState::Stale, _) => Err(CallError::Stale),
             (WriteState::Unsent, _) => Err(CallError::Unsent),
             (WriteState::Waiting, Err(CallError::Timeout)) => {
-                Err(CallError::NoConnection("it did not come up in time".into()))
+                Err(CallError::NoConnection("connect timed out".into()))
             }
             (_, Err(e)) => Err(e),
         }
     }
 }
 
-/// Whether the other side has ended the connection, as the kernel knows by now: what the event loop has been told may
-/// be older. Words that nobody asked for make it useless as well.
+/// Whether the peer has closed the connection according to the kernel; the event loop may not know it yet. A
+/// connection with unsolicited input is not usable either.
 fn is_unusable(stream: &TcpStream) -> bool {
     let peeked = SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]);
     !matches!(peeked, Err(e) if e.kind() == ErrorKind::WouldBlock)
 }
 
-/// A connection that asks the gate.
+/// A connection that checks the gate before its first byte.
 #[derive(Debug)]
 pub struct GatedStream {
     stream: TcpStream,
-    /// When something was last read from it.
+    /// When data was last read from the connection.
     last_read: Option<Instant>,
-    /// Behind the stream: it counts until that is closed.
+    /// Declared after the stream, so that the connection is counted until the stream is closed.
     _open_connection: OpenConnection,
 }
 
-/// Opens connections that ask the gate. `opens` is called before each, and counts it.
+/// Opens connections that check the gate. `open_connection` is called before each one and counts it.
 pub fn connector(
     open_connection: impl Fn() -> OpenConnection + Clone + 'static,
 ) -> impl Service<ConnectInfo<Uri>, Response = Connection<Uri, GatedStream>, Error = ConnectError> + Clone {
@@ -264,7 +267,7 @@
 
 impl AsyncWrite for GatedStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        // What is said outside of any call passes: the end of a connection.
+        // Writes outside of a call, which happen when a connection is closed, are not checked.
         let Ok(gate) = GATE.try_with(Rc::clone) else {
             return Pin::new(&mut self.stream).poll_write(cx, buf);
         };
--- a/dispatcher/src/targets/health_check.rs
+++ b/dispatcher/src/targets/health_check.rs
@@ -1,5 +1,5 @@
-//! Health checks of workers on behalf of the fleet. The fencing token is read when the connection stands and can be
-//! written to, and the bytes go out in the same step: guards against a wait between the check of the lease and the
+//! Health checks of workers on behalf of the fleet. The fencing token is read once the connection is writable,
+//! and the request is written in the same step, so that no wait separates the check of the lease from the
 //! write.
 
 use super::client::CallError;
@@ -16,10 +16,10 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Requests a path under a fencing token. `None`: this process's lease has ended, and nothing was sent.
+/// Requests a path with a fencing token. `None`: the lease of this process has expired, and nothing was sent.
 ///
 /// # Errors
-/// As every call's: no connection, no answer in time, or none that can be read.
+/// No connection, no answer in time, or an invalid answer.
 pub async fn health_check(
     addr: SocketAddr,
     path: &str,
@@ -28,7 +28,7 @@
     limit: usize,
 ) -> Result<Option<(u16, Bytes)>, CallError> {
     let mut stream = match timeout(connect_timeout, TcpStream::connect(addr)).await {
-        Err(_) => return Err(CallError::NoConnection("it did not come up in time".into())),
+        Err(_) => return Err(CallError::NoConnection("connect timed out".into())),
         Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => return Err(CallError::Refused),
         Ok(Err(e)) if is_local(&e) => return Err(CallError::Local(e.to_string())),
         Ok(Err(e)) => return Err(CallError::NoConnection(e.to_string())),
@@ -44,8 +44,9 @@
         stops::at("act.write");
         let written = stream.try_write(head.as_bytes()).map_err(broken)?;
         if written < head.len() {
-            // A new connection takes far more than this at once; the rest would be a write without a check.
-            return Err(CallError::Broken("it took half a request".into()));
+            // A new connection accepts far more than this at once. Writing the rest later would bypass the
+            // check of the lease.
+            return Err(CallError::Broken("request could be written only in part".into()));
         }
         stops::at("act.written");
         read_answer(&mut stream, limit).await.map(Some)
@@ -62,7 +63,7 @@
             match event {
                 Event::Head(head) => status = head.status.as_u16(),
                 Event::Data(data) if body.len() + data.len() > limit => {
-                    return Err(broken("the answer is too long".into()));
+                    return Err(broken("answer exceeds the size limit".into()));
                 }
                 Event::Data(data) => body.extend_from_slice(&data),
                 Event::Interim(_) | Event::Trailers(_) | Event::End { .. } => {}
--- a/dispatcher/src/targets/http.rs
+++ b/dispatcher/src/targets/http.rs
@@ -1,5 +1,6 @@
-//! Workers that speak the platform's HTTP: a job is posted, taken with 202, and its fate comes as calls to
-//! the dispatcher's own address (`HttpTargets::apply_update`). After the 202 a forward lives without a connection.
+//! Workers that speak the platform's HTTP protocol: a job is posted and accepted with 202, and its status
+//! updates arrive as calls to the dispatcher's own address (`HttpTargets::apply_update`). After the 202 a
+//! forward has no connection.
 
 use super::client::{CallError, HttpAnswer, HttpClient, ACCEPT_TIMEOUT, MAX_ANSWER_BYTES};
 use super::gate::Gate;
@@ -21,16 +22,17 @@
 use tokio::task::JoinHandle;
 use tracing::debug;
 
-/// Between attempts to tell a worker that is not reached that a job is given up.
+/// Delay between attempts to cancel a job at a worker that cannot be reached.
 const CANCEL_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Between attempts to make a probe that this machine could not make.
+/// Delay between attempts to send a probe that failed for a local reason.
 const PROBE_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// How long the answer to giving up a job is waited for, beyond connecting.
+/// Time limit for the answer to a cancellation, in addition to the connect time-out.
 const CANCEL_ANSWER_TIMEOUT: Duration = Duration::from_millis(150);
-/// So many answers to that may stay out: one connection may have fallen silent, not two.
+/// Cancellations that may time out before the worker is given up: one connection may have failed silently, but
+/// two are unlikely to.
 const MAX_CANCEL_TIMEOUTS: u32 = 2;
 
-/// What a worker tells of a job.
+/// A job status update sent by a worker.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct JobUpdate {
     pub id: String,
@@ -48,40 +50,41 @@
     forward: Forward,
     task: Option<JoinHandle<()>>,
     gate: Rc<Gate>,
-    /// The worker has told of the job.
+    /// The worker has sent an update about the job.
     worker_reported: bool,
-    /// The call that gives it up, where there is one, and what the worker has said meanwhile.
+    /// The cancellation in progress, if any, and the outcome that the worker has reported meanwhile.
     cancel_gate: Option<Rc<Gate>>,
     reported_outcome: Option<(Outcome, Option<Load>)>,
 }
 
 impl InFlight {
-    /// Whether the worker has said of this very forward that it is over.
+    /// Whether the worker has reported the end of this particular forward.
     fn is_finished(&self) -> bool {
         self.reported_outcome.is_some() && !self.forward.repeats_target
     }
 }
 
-/// Job status updates that workers have sent, since the start.
+/// Job status updates received from workers since the start.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct UpdateCounts {
-    /// Of an attempt that this process has out.
+    /// About an attempt that this process has in flight.
     pub taken: u64,
-    /// Of one that a sibling process has out: passed on to it.
+    /// About an attempt of a sibling process, and forwarded to it.
     pub passed_on: u64,
-    /// Of none: sent again, or of one that is over.
+    /// About no known attempt: repeated, or about an attempt that has ended.
     pub unknown: u64,
-    /// Refused, so that they are sent again: a sibling process that may have the job could not be asked.
+    /// Refused, so that the worker sends them again: a sibling process that may have the job could not be
+    /// asked.
     pub refused: u64,
 }
 
-/// The forwards that are out at such workers, by the reference of their job.
+/// The forwards in flight at these workers, by job reference.
 #[derive(Clone)]
 pub struct HttpTargets {
     flows: Flows,
     client: HttpClient,
     connect_timeout: Duration,
-    /// Workers report their load: probes ask for it.
+    /// Workers report their load, so probes request it.
     load_reports: bool,
     in_flight: Rc<RefCell<FxHashMap<String, InFlight>>>,
     counts: Rc<RefCell<UpdateCounts>>,
@@ -99,10 +102,10 @@
         }
     }
 
-    /// Takes note of an update of no attempt here, and of what became of it.
+    /// Counts an update that concerns no attempt of this process, by what became of it.
     pub fn count_foreign_update(&self, update: &JobUpdate, delivery: Delivery) {
         let (reference, worker, state) = (&*update.id, &*update.from, &*update.state);
-        debug!(reference, worker, state, ?delivery, "a job status update of no attempt here");
+        debug!(reference, worker, state, ?delivery, "job status update for no attempt of this process");
         let counts = &mut *self.counts.borrow_mut();
         match delivery {
             Delivery::Taken => counts.passed_on += 1,
@@ -111,12 +114,11 @@
         }
     }
 
-    /// Job status updates since the start.
     pub fn update_counts(&self) -> UpdateCounts {
         *self.counts.borrow()
     }
 
-    /// Whether an update is of an attempt that this process has out.
+    /// Whether an update concerns an attempt that this process has in flight.
     pub fn has_attempt(&self, update: &JobUpdate) -> bool {
         self.in_flight
             .borrow()
@@ -124,8 +126,9 @@
             .is_some_and(|in_flight| *in_flight.forward.target_name == *update.from)
     }
 
-    /// Takes a worker's update. It may come before the 202, again, or of an attempt that is over: only what
-    /// the worker tells of the attempt that it now has is taken up. False: this process has none such out.
+    /// Applies a worker's update. Updates may arrive before the 202, more than once, or for an attempt that has
+    /// ended; only updates of the attempt in flight at that worker are applied. Returns false if this process
+    /// has no such attempt in flight.
     pub fn apply_update(&self, update: JobUpdate) -> bool {
         let forward = {
             let mut in_flight = self.in_flight.borrow_mut();
@@ -164,26 +167,26 @@
         true
     }
 
-    /// Whether a worker's word that a forward came to nothing has to wait until the worker knows that it is given up:
-    /// where the call that says so is on its way, since it would meet the next attempt there; and where the word may
-    /// be of an earlier attempt there, said again.
+    /// Whether a reported failure has to wait until the worker has confirmed the cancellation. This is the case
+    /// if the cancellation has already been sent, since it could hit the next attempt at that worker, or if the
+    /// report may be a repeated one about an earlier attempt there.
     fn must_wait_for_cancel(&self, forward: &Forward, end: Outcome, load: Option<Load>) -> bool {
         let mut in_flight = self.in_flight.borrow_mut();
         let own = in_flight.get_mut(&forward.job.reference).filter(|o| o.forward.id == forward.id);
         let Some(own) = own else { return false };
-        // Of one that may run on it can't be said that it never ran.
+        // An attempt that may still be running cannot be reported as never run.
         let end = if forward.repeats_target && end == Outcome::NoRoom { Outcome::Fault } else { end };
         let cancel_sent = own.cancel_gate.as_ref().map(|gate| gate.may_have_written());
         own.reported_outcome = Some((end, load));
         if forward.repeats_target && cancel_sent.is_none() {
             let (this, forward) = (self.clone(), forward.clone());
-            // Nobody cancels it; it ends when the worker knows, or time is over.
+            // This task is not cancelled; it ends when the worker confirms, or at the deadline.
             actix_rt::spawn(async move { this.cancel_and_end(&forward, None, end).await });
         }
         forward.repeats_target || cancel_sent == Some(true)
     }
 
-    /// Ends a forward here and in the core, unless it has ended already.
+    /// Ends a forward here and in the core, unless it has already ended.
     fn end_forward(
         &self,
         reference: &str,
@@ -201,7 +204,7 @@
         self.flows.forward_ended_with_load(forward_id, outcome, result, load);
     }
 
-    /// Something of a forward, while it is out.
+    /// Accesses the state of a forward, if it is in flight.
     fn with_in_flight<R>(&self, forward: &Forward, read: impl FnOnce(&mut InFlight) -> R) -> Option<R> {
         let mut in_flight = self.in_flight.borrow_mut();
         in_flight.get_mut(&forward.job.reference).filter(|o| o.forward.id == forward.id).map(read)
@@ -211,7 +214,8 @@
         self.with_in_flight(forward, |in_flight| in_flight.worker_reported) == Some(true)
     }
 
-    /// Gives a forward up at its worker, and ends it: as the worker says meanwhile, else with this outcome.
+    /// Cancels a forward at its worker and ends it, with the outcome that the worker reports meanwhile or else
+    /// `default_outcome`.
     async fn cancel_and_end(&self, forward: &Forward, closed_at: Option<Instant>, default_outcome: Outcome) {
         self.cancel_at_worker(forward, closed_at).await;
         let reported_outcome =
@@ -220,17 +224,18 @@
         self.end_forward(&forward.job.reference, forward.id, outcome, None, load);
     }
 
-    /// Tells a worker that a job is given up, until it knows. `closed`: when the connection was ended before the
-    /// 202, which gives the job up too, once the worker has seen it.
+    /// Cancels a job at its worker and retries until the worker has confirmed. `closed_at`: when the connection
+    /// was closed before the 202, which also cancels the job once the worker notices it.
     async fn cancel_at_worker(&self, forward: &Forward, closed_at: Option<Instant>) {
         let path = format!("/jobs/{}", forward.job.reference);
         let time_limit = self.connect_timeout + CANCEL_ANSWER_TIMEOUT;
         let mut timeouts = 0;
-        // After the 202 a worker that is cut off still has the job until it is told: guards against a second
-        // copy beside one that nobody could call back.
+        // After the 202 an unreachable worker keeps the job until it receives the cancellation. Giving up
+        // earlier could leave a second copy running.
         loop {
             let (this, copy) = (self.clone(), forward.clone());
-            // One that the worker has ended meanwhile needs no giving up: a call then would meet the next one there.
+            // If the worker reports the end of the job meanwhile, no cancellation is sent: it would hit the
+            // next attempt there.
             let gate = Gate::new(move || {
                 this.with_in_flight(&copy, |in_flight| !in_flight.is_finished()) == Some(true)
             });
@@ -254,8 +259,9 @@
             );
             match call.await {
                 Ok(_) | Err(CallError::NotPermitted) => break,
-                // A process that died, or one that lives and has all the connections it will hold: guards against a
-                // second copy beside one that runs on there. What died with its job is told of as lost.
+                // The process is dead, or it is alive and at its connection limit. Only a worker that is no
+                // longer listed is given up, since the job may still run and a second copy must not be started.
+                // Jobs of a dead process are reported as lost.
                 Err(CallError::Refused)
                     if closed_at.is_none() && !self.flows.is_listed(&forward.target_name) =>
                 {
@@ -268,14 +274,14 @@
                     }
                     continue;
                 }
-                // A connection may also be reset while it comes up: the end of the one before may not have got
-                // there by then.
+                // A connection may also be reset while it is being established, because the worker has not yet
+                // noticed the end of the previous one.
                 Err(CallError::NoConnection(_) | CallError::Refused)
                     if closed_at.is_some_and(|at| at.elapsed() >= self.connect_timeout) =>
                 {
                     break
                 }
-                // Broken: it may have been an idle connection that the worker had closed.
+                // This may have been an idle connection that the worker had closed: try again.
                 Err(_) => {}
             }
             if Instant::now() >= forward.deadline {
@@ -285,7 +291,7 @@
         }
     }
 
-    /// The permit of a forward's first byte is asked for right before it, and the write judged right behind it.
+    /// The gate requests the permit right before the first byte, and audits the write right after it.
     fn gate(&self, forward: &Forward) -> Rc<Gate> {
         let (flows, sending) = (self.flows.clone(), forward.clone());
         let (audit, sent) = (self.flows.clone(), forward.clone());
@@ -295,8 +301,9 @@
         )
     }
 
-    /// What a worker is told of the time that is left. It is read before there is a connection and arrives when that has come
-    /// up: no more must be told then than the client still waits. Of little time half is told, so that some is left.
+    /// The remaining time that is stated to the worker. It is computed before the connection exists but arrives
+    /// once it is established, so the connect time-out is subtracted: the worker must not be told more time
+    /// than the client still waits. If little time is left, half of it is stated, so that the worker has some.
     fn worker_budget(&self, left: Duration) -> Duration {
         left.saturating_sub(self.connect_timeout).max(left / 2)
     }
@@ -304,7 +311,7 @@
     async fn post(&self, forward: &Forward, gate: &Rc<Gate>) {
         let job = &forward.job;
         if self.flows.send_permit(forward, None).is_err() {
-            // The worker began to drain between the decision and this moment, say: no connection is opened for it.
+            // For example, the worker has begun to drain since the decision; no connection is opened for it.
             return self.end_forward(&job.reference, forward.id, Outcome::Moot, None, None);
         }
         let left = forward.deadline.saturating_duration_since(Instant::now());
@@ -327,7 +334,7 @@
         let load = answer.as_ref().ok().and_then(|answer| answer.load);
         let outcome = match answer {
             Ok(HttpAnswer { status: 202, .. }) => return,
-            // It may be the answer before it, said twice; then the worker has this job.
+            // The answer may be a repeated answer to the previous request; the worker then has this job.
             Ok(_) if gate.follows_recent_answer() => {
                 return self.cancel_and_end(forward, None, Outcome::Fault).await
             }
@@ -337,13 +344,13 @@
             Err(CallError::Broken(_)) => Outcome::Cut,
             Err(CallError::Busy | CallError::NotPermitted | CallError::Stale) => Outcome::Moot,
             Err(CallError::Local(_)) => {
-                // Dropped here, nothing was sent, and the gate says so.
+                // If this task is dropped here, nothing was sent, and the gate reports that.
                 tokio::time::sleep(TRY_AGAIN_AFTER).await;
                 Outcome::Moot
             }
             Err(CallError::Timeout) if Instant::now() >= forward.deadline => Outcome::TimedOut,
-            // The connection has fallen silent. The worker may have the job: if it says so, all is well, else
-            // it is told that the job is given up, and only then the next attempt may go out.
+            // The connection is silent and the worker may have the job. If it has sent an update, the forward
+            // continues; otherwise it is cancelled before the next attempt may be sent.
             Err(CallError::Timeout) if self.worker_has_reported(forward) => return,
             Err(CallError::Timeout) => {
                 return self.cancel_and_end(forward, Some(Instant::now()), Outcome::Cut).await;
@@ -375,8 +382,8 @@
         let (task, gate) = own.map_or((None, None), |(task, gate)| (task, Some(gate)));
         let this = self.clone();
         actix_rt::spawn(async move {
-            // Before the 202 it is the end of the connection that gives the job up. Only when that is done and
-            // the worker knows may the next attempt go out: else there were two.
+            // Before the 202, closing the connection cancels the job. The next attempt may be sent only when
+            // the worker knows of the cancellation; otherwise two copies would run.
             let mut closed_at = None;
             if let Some(task) = task {
                 let posting = !task.is_finished();
@@ -384,7 +391,8 @@
                 let _ = task.await;
                 closed_at = posting.then(Instant::now);
                 if posting && gate.is_some_and(|gate| !gate.may_have_written()) {
-                    // Not a byte of it went out, and none will: there is nobody to tell, and it surely never ran.
+                    // Nothing was sent and nothing will be: there is nothing to cancel, and the job certainly
+                    // never ran.
                     return this.end_forward(&forward.job.reference, forward.id, Outcome::Moot, None, None);
                 }
             }
@@ -406,7 +414,7 @@
                         }
                     }
                 };
-                // A probe that this machine could not make has no result.
+                // A probe that failed for a local reason says nothing about the worker; it is retried.
                 let Err(CallError::Local(_)) = call else { break call };
                 tokio::time::sleep(PROBE_RETRY_DELAY).await;
             };
@@ -420,7 +428,7 @@
                 Err(_) => Outcome::Cut,
             };
             if outcome != Outcome::Served {
-                debug!(target = %addr, outcome = ?outcome, "a probe failed");
+                debug!(target = %addr, outcome = ?outcome, "probe failed");
             }
             this.flows.probe_ended(target, outcome, load);
         });
--- a/dispatcher/src/targets/load.rs
+++ b/dispatcher/src/targets/load.rs
@@ -1,13 +1,13 @@
-//! Workers' accounts of their load, as the platform's protocol carries them: an object in a call, or a line of
-//! `name=value` pairs in an answer's `X-Load-Report` or in the body of a probe's answer.
+//! Load reports of workers in the platform's protocol: an object in a call, or `name=value` pairs in the
+//! `X-Load-Report` header of an answer or in the body of a probe's answer.
 
 use crate::facade::Load;
 
-/// The header of an answer that carries one.
+/// The response header that carries a load report.
 pub const LOAD_HEADER: &str = "x-load-report";
 
-/// Takes a figure by its name, the protocol's or the settings'. PeerLoad are skipped, and so is what is no amount:
-/// a worker's nonsense must not become a decision.
+/// Sets a field by its name in the protocol or in the settings. Unknown names and values that are negative or
+/// not finite are ignored, so that invalid reports do not influence decisions.
 fn set_field(load: &mut Load, name: &str, value: f64) {
     let field = match name {
         "x0" => &mut load.free,
@@ -24,7 +24,7 @@
     (load != Load::default()).then_some(load)
 }
 
-/// From the `load` of a worker's call.
+/// Parses the `load` object of a worker's call.
 pub fn from_object(object: &serde_json::Map<String, serde_json::Value>) -> Option<Load> {
     let mut load = Load::default();
     for (name, value) in object {
@@ -33,7 +33,7 @@
     non_empty(load)
 }
 
-/// From `TEXT inflight=7, queue=2`; whatever stands there that is no pair is skipped.
+/// Parses `TEXT inflight=7, queue=2`; words that are not a pair are ignored.
 pub fn from_line(line: &str) -> Option<Load> {
     let mut load = Load::default();
     for (name, value) in line.split([',', ' ']).filter_map(|word| word.split_once('=')) {
@@ -42,7 +42,7 @@
     non_empty(load)
 }
 
-/// From the body of a probe's answer, in either form.
+/// Parses the body of a probe's answer, in either form.
 pub fn from_body(body: &[u8]) -> Option<Load> {
     match serde_json::from_slice::<serde_json::Value>(body) {
         Ok(serde_json::Value::Object(object)) => match object.get("load") {
--- a/dispatcher/src/targets/mod.rs
+++ b/dispatcher/src/targets/mod.rs
@@ -1,4 +1,4 @@
-//! The workers' side, a module for each protocol that workers speak.
+//! Worker side of the dispatcher, with one module for each protocol that workers speak.
 
 pub mod beanstalkd;
 pub mod client;
--- a/dispatcher/src/targets/upstream.rs
+++ b/dispatcher/src/targets/upstream.rs
@@ -1,6 +1,6 @@
-//! Workers that answer plain HTTP/1.1 on the connection. A connection carries one attempt at a time; what it
-//! says of whether the attempt ran is judged in `lineroute_stream`. awc can't do this work: it writes a
-//! request to its end before it looks for an answer, and holds what a slow peer has not taken.
+//! Workers that answer plain HTTP/1.1 requests on the same connection. A connection carries one attempt at a
+//! time; `lineroute_stream` judges from its end whether the attempt ran. awc is not used here: it writes a
+//! whole request before it reads the answer, and it buffers what a slow peer has not read.
 
 use crate::body::{Attempt, Body, Ended, Reader, Writer};
 use crate::config::HttpWorkers;
@@ -26,23 +26,23 @@
 use tokio::task::JoinHandle;
 use tracing::warn;
 
-/// What is read in one go.
+/// Bytes that are read at a time.
 const READ_CHUNK: usize = 16 << 10;
-/// The longest answer for a front that takes only whole ones.
+/// The longest answer for a listener that only takes complete ones.
 const MAX_BUFFERED_ANSWER: usize = 64 << 10;
-/// Idle connections that are kept to one address.
 const MAX_IDLE_PER_ADDRESS: usize = 16;
-/// Ours end before the upstream ends them: a request written to one it has closed may have run.
+/// Idle connections are closed before the upstream closes them: a request written to a connection that the
+/// upstream has closed may have run.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.85;
 
-/// What an HTTP front brings along: the request as it came, and where its answer is to pass.
+/// Data that an HTTP listener provides: the original request, and where to stream its answer.
 pub struct RequestContext {
     pub head: RequestHead,
     pub client: Option<IpAddr>,
-    /// The stated length of a body that streams.
+    /// The declared length of a streamed body.
     pub length: Option<u64>,
     pub pace: PaceLimits,
-    /// Taken by the attempt whose answer passes.
+    /// Taken by the attempt whose answer is streamed.
     pub answer: RefCell<Option<(Writer, Reader)>>,
 }
 
@@ -63,16 +63,15 @@
     started: Instant,
 }
 
-/// The forwards that are out at such workers of one kind.
+/// The forwards in flight at workers of one kind.
 #[derive(Clone)]
 pub struct Upstreams(Rc<Inner>);
 
-/// How an attempt ended.
 struct AttemptEnd {
     verdict: Verdict,
-    /// The fault is not the worker's: the client went or was too slow, or this machine lacked something.
+    /// The worker is not at fault: the client left or was too slow, or a local resource was lacking.
     external_cause: bool,
-    /// A whole answer, for a front that takes only these.
+    /// A complete answer, for a listener that only takes complete ones.
     result: Option<Bytes>,
     reusable: bool,
 }
@@ -85,17 +84,17 @@
 
 /// Why there is no connection.
 enum ConnectFailure {
-    /// None came up in time, or it was refused.
+    /// The connection timed out or was refused.
     Unreachable,
-    /// This machine could not make one.
+    /// A local error prevented the connection.
     Local,
 }
 
-/// Why an upload came to no end.
+/// Why an upload was not completed.
 enum UploadError {
-    /// The client went, broke its body, or was too slow.
+    /// The client left, sent an invalid body, or was too slow.
     Client,
-    /// The upstream takes no more: its answer may still come.
+    /// The upstream no longer reads the request; its answer may still arrive.
     UpstreamClosed,
     UpstreamSlow,
 }
@@ -109,8 +108,8 @@
 }
 
 impl Upstreams {
-    /// Carries forwards to workers of that kind, `most` at a time. `keepalive`: how long the workers keep idle
-    /// connections.
+    /// Handles forwards to workers of one kind, at most `max_calls` at a time. `keepalive`: how long the
+    /// workers keep idle connections.
     pub fn new(
         flows: Flows,
         workers: &HttpWorkers,
@@ -135,12 +134,12 @@
         self.0.started.elapsed()
     }
 
-    /// A connection that is still of use, or a new one.
+    /// Reuses an idle connection, or opens a new one.
     async fn connect(&self, addr: SocketAddr) -> Result<TcpStream, ConnectFailure> {
         loop {
             let kept = self.0.idle.borrow_mut().get_mut(&addr).and_then(Vec::pop);
             let Some((since, stream)) = kept else { break };
-            // One that says anything now, or has ended, is of no use.
+            // A connection that has unsolicited input or is closed cannot be reused.
             let is_quiet =
                 matches!(stream.try_read(&mut [0]), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
             if is_quiet && since.elapsed() < self.0.keepalive {
@@ -163,7 +162,7 @@
             kept.retain(|(since, _)| since.elapsed() < self.0.keepalive);
             !kept.is_empty()
         });
-        // Descriptors are kept for calls: idle ones have what those leave, and no more.
+        // Descriptors are reserved for calls; idle connections only use those that calls leave free.
         let total_idle: usize = idle.values().map(Vec::len).sum();
         let kept = idle.entry(addr).or_default();
         if kept.len() < MAX_IDLE_PER_ADDRESS && total_idle + self.0.calls.get() < self.0.max_calls {
@@ -182,18 +181,19 @@
             Ok(stream) => stream,
             Err(ConnectFailure::Unreachable) => return never_ran(),
             Err(ConnectFailure::Local) => {
-                // Dropped here, nothing was sent.
+                // If this task is dropped here, nothing was sent.
                 tokio::time::sleep(TRY_AGAIN_AFTER).await;
                 return AttemptEnd { external_cause: true, ..never_ran() };
             }
         };
-        // What the kernel knows by now of a client that left is heard before the look. Dropped here, nothing was sent.
+        // Lets the event loop handle a client that has already left before the permit is requested. If this
+        // task is dropped here, nothing was sent.
         tokio::task::yield_now().await;
         if stream.writable().await.is_err() {
             return never_ran();
         }
-        // The worker may have begun to drain, or the client have left, since this was decided. Nothing is awaited between
-        // the permit and the write.
+        // The worker may have begun to drain, or the client may have left, since the decision. Nothing may be
+        // awaited between the permit and the write.
         let permit = self.0.flows.send_permit(forward, None);
         if permit.and_then(|permit| permit.is_current(Instant::now())).is_err() {
             return AttemptEnd { external_cause: true, ..never_ran() };
@@ -225,7 +225,8 @@
         let mut end = {
             tokio::pin!(upload, answer);
             loop {
-                // Both are kept over the loop: nothing that one has taken is lost when the other is ready.
+                // Neither future is dropped between iterations, so nothing that one has read is lost when the
+                // other is ready.
                 tokio::select! {
                     done = &mut upload, if !upload_done => {
                         upload_done = true;
@@ -257,7 +258,8 @@
         end
     }
 
-    /// What is sent: of an HTTP front what it brought, of another a `POST` of the body.
+    /// Builds the request: the original request of an HTTP listener, or a `POST` of the body for other
+    /// listeners.
     fn request(
         &self,
         forward: &Forward,
@@ -274,7 +276,7 @@
         };
         let client = context.and_then(|a| a.client);
         forward_headers(&mut head.headers, &self.0.forwarding, client, &forward.addr.to_string());
-        // The front has answered it already.
+        // The listener has already answered it.
         head.headers.remove("expect");
         let (framing, source) = match &job.body {
             Body::Whole(bytes) if bytes.is_empty() => (Framing::None, BodySource::Whole(None)),
@@ -332,8 +334,7 @@
         write.write_all(&framed).await.map_err(|_| UploadError::UpstreamClosed)
     }
 
-    /// Resolves when a peer that is waited for has been too slow. It must have moved nothing since this was
-    /// called.
+    /// Resolves when a peer that is waited for has been too slow. Only valid while that peer transfers nothing.
     async fn too_slow(&self, pace: &Pace) {
         loop {
             let Some(due) = pace.due() else { return std::future::pending().await };
@@ -359,7 +360,7 @@
         let mut writer: Option<Writer> = None;
         let (mut buffered, mut status) = (BytesMut::new(), 0);
         let broken = |fault: Fault, stage: Stage| {
-            warn!(target = %forward.target_name, error = %fault, "upstream: not an answer");
+            warn!(target = %forward.target_name, error = %fault, "upstream: invalid HTTP response");
             AttemptEnd::of(judge(stage, End::Broken))
         };
         loop {
@@ -370,7 +371,7 @@
                     Err(fault) => return broken(fault, stage.get()),
                 };
                 match event {
-                    // The server towards clients can't send trailers: they end here.
+                    // The client-facing server cannot send trailers, so they are dropped.
                     Event::Interim(_) | Event::Trailers(_) => {}
                     Event::Head(head) => {
                         status = head.status.as_u16();
@@ -408,7 +409,7 @@
                 let free_room = tokio::select! {
                     room = writer.room() => room,
                     () = self.too_slow(&client_pace) => {
-                        warn!(flow = forward.id.flow.0, "client too slow: its answer is cut short");
+                        warn!(flow = forward.id.flow.0, "client too slow: answer truncated");
                         None
                     }
                 };
@@ -430,13 +431,13 @@
                     None => std::future::pending().await,
                 }
             };
-            // Before the head it is the flow's deadline that ends this.
+            // Before the head, the deadline of the flow is the time limit.
             let is_streaming = stage.get() == Stage::Answering;
             let read_result = tokio::select! {
                 read = limited.read_buf(&mut input) => read,
                 () = client_gone => return AttemptEnd { external_cause: true, ..AttemptEnd::of(judge(stage.get(), End::GivenUp)) },
                 () = self.too_slow(&upstream_pace), if is_streaming => {
-                    warn!(target = %forward.target_name, "upstream too slow: its answer is cut short");
+                    warn!(target = %forward.target_name, "upstream too slow: answer truncated");
                     return AttemptEnd::of(judge(stage.get(), End::Late));
                 }
             };
@@ -455,7 +456,7 @@
         }
     }
 
-    /// From here on the answer passes; where its body goes.
+    /// Starts to stream the answer, and returns the writer of its body.
     fn start_streaming(
         &self,
         forward: &Forward,
@@ -478,7 +479,7 @@
             writer.end(Ended::Whole);
             return AttemptEnd { reusable, ..AttemptEnd::of(Verdict::Served) };
         }
-        // A front of another wire knows only what was done and what was not.
+        // A listener of another protocol only distinguishes success and failure.
         let verdict = if (200..300).contains(&status) { Verdict::Served } else { Verdict::Failed };
         AttemptEnd { result: Some(buffered.freeze()), reusable, ..AttemptEnd::of(verdict) }
     }
@@ -501,7 +502,7 @@
     }
 }
 
-/// Where the body of an attempt comes from.
+/// The source of an attempt's request body.
 enum BodySource {
     Whole(Option<Bytes>),
     Stream(Attempt),
@@ -531,8 +532,8 @@
         let Some(out) = self.0.in_flight.borrow_mut().remove(&forward.id) else { return };
         let this = self.clone();
         actix_rt::spawn(async move {
-            // The end of the connection gives the attempt up: an upstream sees a broken request, never a whole
-            // one that nobody waits for.
+            // Closing the connection cancels the attempt: the upstream sees a truncated request instead of a
+            // complete one that nobody waits for.
             out.task.abort();
             let _ = out.task.await;
             let verdict = judge(out.stage.get(), End::GivenUp);
@@ -547,7 +548,7 @@
                 let connect = TcpStream::connect(addr);
                 match tokio::time::timeout(this.0.connect_timeout, connect).await {
                     Ok(Ok(_)) => break Outcome::Served,
-                    // A probe that this machine could not make has no result.
+                    // A probe that failed for a local reason says nothing about the worker; it is retried.
                     Ok(Err(e)) if is_local(&e) => tokio::time::sleep(TRY_AGAIN_AFTER * 2).await,
                     Ok(Err(_)) | Err(_) => break Outcome::NoRoute,
                 }
