--- a/dispatcher/src/flow/core.rs
+++ b/dispatcher/src/flow/core.rs
@@ -226,8 +226,8 @@
         // slow.
         let (number, spent) =
             (forward_id.number, flow.head_latency.unwrap_or_else(|| in_flight.sent.elapsed()));
-        debug!(flow = forward_id.flow.0, forward = number, target = %in_flight.forward.target_name, class = flow.job.class,
-            outcome = ?outcome, spent_ms = spent.as_millis() as u64, "forward ended");
+        debug!(flow = forward_id.flow.0, forward = number, target = %in_flight.forward.target_name,
+            class = flow.job.class, outcome = ?outcome, spent_ms = spent.as_millis() as u64, "forward ended");
         if flow.head_latency.is_some() && outcome != Outcome::Served {
             self.cut_short += 1;
             warn!(flow = forward_id.flow.0, target = %in_flight.forward.target_name, class = flow.job.class,
--- a/dispatcher/src/list/monitor.rs
+++ b/dispatcher/src/list/monitor.rs
@@ -1,5 +1,5 @@
-//! Monitors the state of the worker list. Each transition is logged with its reason and counted, and operators
-//! can read the state from the admin listener.
+//! Monitors the state of the worker list: each transition is logged with its reason, and first bytes that are
+//! sent on an invalid list are counted (`flow::PermitStatsReport`). Operators see both through the admin listener.
 
 use crate::arrival::ArrivalClock;
 use crate::flow::Flows;
@@ -14,7 +14,7 @@
 /// Check interval when no expiry is due.
 const CHECK_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Maximum time between a permit and the audit after the write, in milliseconds.
+/// Time allowed between a permit and the audit after the write, in milliseconds.
 const PERMIT_TO_AUDIT_MS: u64 = 20;
 
 /// Events that may change the state of the list.
--- a/dispatcher/src/peers/mod.rs
+++ b/dispatcher/src/peers/mod.rs
@@ -141,7 +141,7 @@
             let (size, from) = match self.handle.socket.try_recv_from(&mut bytes) {
                 Ok(received) => received,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                // An earlier datagram of ours was rejected elsewhere, because a peer is down.
+                // The error of an earlier outgoing datagram whose peer is down.
                 Err(_) => continue,
             };
             let datagram = &bytes[..size];
--- a/dispatcher/src/targets/http.rs
+++ b/dispatcher/src/targets/http.rs
@@ -28,8 +28,8 @@
 const PROBE_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Time limit for the answer to a cancellation, in addition to the connect time-out.
 const CANCEL_ANSWER_TIMEOUT: Duration = Duration::from_millis(150);
-/// Cancellations that may time out before the worker is given up: one connection may have failed silently, but
-/// two are unlikely to.
+/// After this many cancellations without an answer, the worker is no longer asked: one connection may have
+/// failed silently, but not two.
 const MAX_CANCEL_TIMEOUTS: u32 = 2;
 
 /// A job status update sent by a worker.
--- a/dispatcher/src/targets/upstream.rs
+++ b/dispatcher/src/targets/upstream.rs
@@ -435,7 +435,10 @@
             let is_streaming = stage.get() == Stage::Answering;
             let read_result = tokio::select! {
                 read = limited.read_buf(&mut input) => read,
-                () = client_gone => return AttemptEnd { external_cause: true, ..AttemptEnd::of(judge(stage.get(), End::GivenUp)) },
+                () = client_gone => return AttemptEnd {
+                    external_cause: true,
+                    ..AttemptEnd::of(judge(stage.get(), End::GivenUp))
+                },
                 () = self.too_slow(&upstream_pace), if is_streaming => {
                     warn!(target = %forward.target_name, "upstream too slow: answer truncated");
                     return AttemptEnd::of(judge(stage.get(), End::Late));
