--- a/dispatcher/src/flow/contract.rs
+++ b/dispatcher/src/flow/contract.rs
@@ -110,7 +110,7 @@
 pub trait ForwardObserver {
     /// The number of forwards in flight at a target has changed. `None`: the target has just refused a forward
     /// or could not be reached.
-    fn in_flight_changed(&self, name: &str, zone: &str, out: Option<usize>);
+    fn in_flight_changed(&self, name: &str, zone: &str, in_flight: Option<usize>);
     /// The list contains this target.
     fn target_listed(&self, target: TargetId, name: &str, zone: &str);
     /// A flow was opened. Returns true if it has to wait for the load that peers report; `Flows::dispatch` then
--- a/dispatcher/src/list/calls.rs
+++ b/dispatcher/src/list/calls.rs
@@ -55,7 +55,7 @@
 }
 
 /// Requests the changes since a version, or the whole list, and lets discovery wait for changes up to `wait`.
-/// The answer may take up to `within`.
+/// The answer may take up to `time_limit`.
 pub(super) async fn call(
     client: &HttpClient,
     at: SocketAddr,
--- a/dispatcher/src/peers/load_gossip.rs
+++ b/dispatcher/src/peers/load_gossip.rs
@@ -123,11 +123,11 @@
 }
 
 impl ForwardObserver for LoadGossip {
-    fn in_flight_changed(&self, name: &str, zone: &str, out: Option<usize>) {
+    fn in_flight_changed(&self, name: &str, zone: &str, in_flight: Option<usize>) {
         let (tag, zone) = (Tag::of(name), Tag::of(zone));
         {
             let state = &mut *self.state.borrow_mut();
-            match out {
+            match in_flight {
                 None => drop(state.refused.insert(tag)),
                 Some(0) => drop(state.in_flight.remove(&tag)),
                 Some(out) => drop(state.in_flight.insert(tag, (zone, out.min(usize::from(u8::MAX)) as u8))),
--- a/dispatcher/src/targets/beanstalkd.rs
+++ b/dispatcher/src/targets/beanstalkd.rs
@@ -190,7 +190,7 @@
     async fn run_commands(self, server: Rc<Server>, mut receiver: mpsc::UnboundedReceiver<Command>) {
         let mut connection: Option<Connection> = None;
         while let Some(command) = receiver.recv().await {
-            if connection.as_mut().is_some_and(|l| !l.is_idle()) {
+            if connection.as_mut().is_some_and(|connection| !connection.is_idle()) {
                 connection = None;
             }
             let broken = match command {
--- a/dispatcher/src/targets/upstream.rs
+++ b/dispatcher/src/targets/upstream.rs
@@ -205,9 +205,9 @@
         };
         let pace = context.map_or(
             PaceLimits { idle: Duration::from_secs(3600), least: 0, over: Duration::from_secs(5) },
-            |a| a.pace,
+            |context| context.pace,
         );
-        let method = context.map_or(Method::POST, |a| a.head.method.clone());
+        let method = context.map_or(Method::POST, |context| context.head.method.clone());
         stage.set(Stage::Head);
         let (mut read, mut write) = stream.into_split();
         let Ok(bytes) = head.write(framing) else {
@@ -274,7 +274,7 @@
                 RequestHead { method: Method::POST, target: job.path.clone(), headers }
             }
         };
-        let client = context.and_then(|a| a.client);
+        let client = context.and_then(|context| context.client);
         forward_headers(&mut head.headers, &self.0.forwarding, client, &forward.addr.to_string());
         // The listener has already answered it.
         head.headers.remove("expect");
@@ -284,7 +284,8 @@
                 (Framing::Length(bytes.len() as u64), BodySource::Whole(Some(bytes.clone())))
             }
             Body::Stream(upload) => {
-                let framing = context.and_then(|a| a.length).map_or(Framing::Chunked, Framing::Length);
+                let framing =
+                    context.and_then(|context| context.length).map_or(Framing::Chunked, Framing::Length);
                 (framing, BodySource::Stream(upload.attempt()?))
             }
         };
@@ -313,8 +314,8 @@
             };
             client_pace.moved(self.now(), chunk.len());
             framed.clear();
-            let trailer = encoder.data(chunk.len(), &mut framed).map_err(|_| UploadError::Client)?;
-            for mut part in [&framed[..], &chunk[..], trailer] {
+            let suffix = encoder.data(chunk.len(), &mut framed).map_err(|_| UploadError::Client)?;
+            for mut part in [&framed[..], &chunk[..], suffix] {
                 while !part.is_empty() {
                     upstream_pace.wait(self.now());
                     let written = tokio::select! {
