--- a/dispatcher/src/beanstalkd.rs
+++ b/dispatcher/src/beanstalkd.rs
@@ -88,7 +88,7 @@
         Answer::Served(result) => ("served", Duration::ZERO, &result[..]),
         Answer::Refused(after) => ("refused", *after, &b""[..]),
         // Only a front that brought an HTTP head gets an answer that passes.
-        Answer::Streamed(_) | Answer::Failed => ("failed", Duration::ZERO, &b""[..]),
+        Answer::Passing(_) | Answer::Failed => ("failed", Duration::ZERO, &b""[..]),
     };
     let mut body = format!("{id} {word} {:.3}\n", after.as_secs_f64()).into_bytes();
     body.extend_from_slice(result);
--- a/dispatcher/src/flow/contract.rs
+++ b/dispatcher/src/flow/contract.rs
@@ -41,7 +41,7 @@
 
 impl fmt::Debug for StreamedAnswer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("StreamedAnswer")
+        f.write_str("Passing")
     }
 }
 
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub enum Answer {
     /// A target's answer, streamed as it arrives.
-    Streamed(StreamedAnswer),
+    Passing(StreamedAnswer),
     /// A target's complete result.
     Served(Bytes),
     /// Not executed; the client may safely retry after this time.
--- a/dispatcher/src/flow/mod.rs
+++ b/dispatcher/src/flow/mod.rs
@@ -212,7 +212,7 @@
             let Some(flow) = core.flows.get_mut(&forward_id.flow) else { return false };
             let Some(listener) = flow.listener.take() else { return false };
             flow.head_latency = flow.in_flight.as_ref().map(|in_flight| in_flight.sent.elapsed());
-            let mut effects = vec![Effect::Answer(listener, Answer::Streamed(streamed))];
+            let mut effects = vec![Effect::Answer(listener, Answer::Passing(streamed))];
             let decisions = core.facade.report(News::Passes(forward_id.flow, forward_id.number));
             effects.extend(core.effects(decisions, &self.watch_requested));
             effects
--- a/dispatcher/src/listeners/pass.rs
+++ b/dispatcher/src/listeners/pass.rs
@@ -118,7 +118,7 @@
         match self.take(job, budget, permit).await {
             Err(OpenError::Full) => refused(BUSY_RETRY).map_into_boxed_body(),
             Err(OpenError::Duplicate) => text(StatusCode::CONFLICT, "this id is in work\n"),
-            Ok(Some(Answer::Streamed(passed))) => match passed.head.downcast::<ResponseHead>() {
+            Ok(Some(Answer::Passing(passed))) => match passed.head.downcast::<ResponseHead>() {
                 Ok(head) => passed_on(*head, passed.body, &method, slot),
                 Err(_) => text(StatusCode::BAD_GATEWAY, "the answer can't be passed on\n"),
             },
