--- a/dispatcher/src/flow/core.rs
+++ b/dispatcher/src/flow/core.rs
@@ -1,9 +1,9 @@
-//! The state behind [`super::Flows`]: open flows, their deadlines and what is out. Every change comes here, and what it
-//! makes necessary outside goes back as effects.
+//! The state behind [`super::Flows`]: open flows, their deadlines and the forwards in flight. Every state
+//! change happens here and returns the effects that have to be carried out.
 
-use super::contract::{Answer, Bounds, Forward, Job, Listener, Place, Ticket};
-use super::ledger::Ledger;
-use super::OVERDUE;
+use super::contract::{Answer, Bounds, Endpoint, Forward, ForwardId, Job, Listener};
+use super::permit_stats::PermitStats;
+use super::DEADLINE_FALLBACK_DELAY;
 use crate::facade::{Ask, Decision, Facade, FlowId, Load, News, Outcome, Stage, TargetId};
 use crate::list::monitor::ListMonitor;
 use bytes::Bytes;
@@ -18,49 +18,47 @@
 pub(super) struct Flow {
     pub(super) job: Rc<Job>,
     pub(super) listener: Option<Box<dyn Listener>>,
-    /// It has not been placed yet.
+    /// The request for a decision, until it has been made.
     pub(super) ask: Option<Ask>,
-    pub(super) until: Instant,
-    pub(super) out: Option<Out>,
-    /// See `Forward::start_by`.
+    pub(super) deadline: Instant,
+    pub(super) in_flight: Option<InFlight>,
     pub(super) start_by: Option<Instant>,
-    /// Where forwards of it have ended, and whether one of them may have run.
-    pub(super) before: Vec<TargetId>,
+    /// Targets at which forwards of this flow have ended, and whether any of those forwards may have run.
+    pub(super) tried_targets: Vec<TargetId>,
     pub(super) may_have_run: bool,
-    /// When its client left.
-    pub(super) left_at: Option<Instant>,
-    /// The answer passes: the flow is bound to the forward that is out. How long its head took.
-    pub(super) bound: Option<Duration>,
+    pub(super) client_left_at: Option<Instant>,
+    /// Set once the answer is being streamed, which ties the flow to the forward in flight: the time until its
+    /// head arrived.
+    pub(super) head_latency: Option<Duration>,
 }
 
-pub(super) struct Out {
+pub(super) struct InFlight {
     pub(super) forward: Forward,
     pub(super) sent: Instant,
     pub(super) cancelling: bool,
-    /// Its first byte was written.
-    pub(super) written: bool,
+    pub(super) first_byte_written: bool,
 }
 
 #[derive(Clone)]
-pub(super) struct Known {
+pub(super) struct KnownTarget {
     pub(super) name: Rc<str>,
-    pub(super) place: Place,
+    pub(super) endpoint: Endpoint,
     pub(super) stage: Stage,
-    /// Since when the list says that it drains or is gone.
+    /// Since when the list marks the worker as draining or gone.
     pub(super) unready_since: Option<Instant>,
     pub(super) zone: Rc<str>,
     pub(super) kind: Rc<str>,
 }
 
-/// Done after the borrow of the core has ended.
+/// Carried out after the borrow of the core has ended.
 pub(super) enum Effect {
     Answer(Box<dyn Listener>, Answer),
     Forward(RetryPermit, Forward),
     Cancel(Forward),
     Probe(TargetId),
-    Closed(TargetId, usize),
-    /// A forward that can't be made, or must not be.
-    NotMade(Ticket, Outcome),
+    TargetClosed(TargetId, usize),
+    /// A forward that could not be sent or was not permitted.
+    ForwardNotSent(ForwardId, Outcome),
     ProbeFailed(TargetId),
 }
 
@@ -69,36 +67,37 @@
     pub(super) flows: FxHashMap<FlowId, Flow>,
     pub(super) references: FxHashSet<String>,
     pub(super) deadlines: BTreeSet<(Instant, FlowId)>,
-    pub(super) targets: FxHashMap<TargetId, Known>,
-    /// Forwards that are out at each target, and what the observer is to be told of them.
-    pub(super) out: FxHashMap<TargetId, usize>,
-    pub(super) changed: Vec<(TargetId, Option<usize>)>,
-    pub(super) next: u64,
-    pub(super) bytes: usize,
-    /// Answers that broke off after their head had gone to the client.
+    pub(super) targets: FxHashMap<TargetId, KnownTarget>,
+    /// The number of forwards in flight at each target, and the changes that the observer has not been notified
+    /// of yet.
+    pub(super) in_flight_counts: FxHashMap<TargetId, usize>,
+    pub(super) in_flight_changes: Vec<(TargetId, Option<usize>)>,
+    pub(super) last_flow_id: u64,
+    pub(super) body_bytes: usize,
+    /// Answers that were truncated after their head had been sent to the client.
     pub(super) cut_short: u64,
     pub(super) bounds: Bounds,
     pub(super) list: Rc<ListMonitor>,
-    /// Whether the module takes the list for valid.
-    pub(super) list_heeded: bool,
-    pub(super) ledger: Ledger,
-    /// Workers that operators have taken out, and since when this process knows.
+    /// The list validity that the decision module was last told.
+    pub(super) list_valid_reported: bool,
+    pub(super) permit_stats: PermitStats,
+    /// Workers that operators have taken out of service, and since when this process knows it.
     pub(super) out_of_service: FxHashMap<TargetId, Instant>,
 }
 
 impl Core {
-    pub(super) fn is_out(&self, ticket: Ticket) -> bool {
-        let out = self.flows.get(&ticket.flow).and_then(|f| f.out.as_ref());
-        out.is_some_and(|o| o.forward.ticket == ticket)
+    pub(super) fn is_in_flight(&self, forward_id: ForwardId) -> bool {
+        let in_flight = self.flows.get(&forward_id.flow).and_then(|f| f.in_flight.as_ref());
+        in_flight.is_some_and(|o| o.forward.id == forward_id)
     }
 
-    /// Turns decisions into effects, and keeps the table of flows in step.
+    /// Converts decisions into effects and updates the table of flows accordingly.
     pub(super) fn effects(&mut self, decisions: Vec<Decision>, watch: &Notify) -> Vec<Effect> {
         let mut effects = Vec::new();
         for decision in decisions {
             match decision {
                 Decision::Forward { flow, number, target } => {
-                    effects.extend(self.forward(Ticket { flow, number }, target));
+                    effects.extend(self.start_forward(ForwardId { flow, number }, target));
                 }
                 Decision::Wait(_) => {}
                 Decision::FixedResponse { flow: id, retry_after } => {
@@ -106,12 +105,12 @@
                     if let Some(listener) = self.flows.get_mut(&id).and_then(|f| f.listener.take()) {
                         effects.push(Effect::Answer(listener, answer));
                     }
-                    // An attempt that outlives its flow serves nobody.
+                    // Nobody needs the result of a forward once its flow has been answered.
                     effects.extend(self.cancel(id));
-                    self.drop_if_over(id);
+                    self.remove_if_finished(id);
                 }
                 Decision::Cancel { flow, number } => {
-                    if self.is_out(Ticket { flow, number }) {
+                    if self.is_in_flight(ForwardId { flow, number }) {
                         effects.extend(self.cancel(flow));
                     }
                 }
@@ -125,10 +124,10 @@
         effects
     }
 
-    pub(super) fn forward(&mut self, ticket: Ticket, target: TargetId) -> Option<Effect> {
+    pub(super) fn start_forward(&mut self, forward_id: ForwardId, target: TargetId) -> Option<Effect> {
         let known = self.targets.get(&target).cloned();
-        let flow = self.flows.get_mut(&ticket.flow)?;
-        // Whatever was decided.
+        let flow = self.flows.get_mut(&forward_id.flow)?;
+        // Checked independently of what the decision module decided.
         let facts = RetryFacts {
             now: Instant::now(),
             effect: self.facade.side_effect(flow.job.class),
@@ -136,76 +135,80 @@
                 true => EarlierAttempts::MayHaveRun { repeat_until: flow.start_by },
                 false => EarlierAttempts::NeverRan,
             },
-            has_attempt_in_flight: flow.out.is_some(),
+            has_attempt_in_flight: flow.in_flight.is_some(),
         };
-        let permit = self.ledger.retry(ticket, facts.permit());
-        if flow.out.is_some() {
+        let permit = self.permit_stats.record_retry(forward_id, facts.permit());
+        if flow.in_flight.is_some() {
             return None;
         }
         let is_known = known.is_some();
-        let known = known.unwrap_or_else(|| Known {
+        let known = known.unwrap_or_else(|| KnownTarget {
             name: "?".into(),
-            place: Place { addr: ([127, 0, 0, 1], 0).into(), carrier: 0 },
+            endpoint: Endpoint { addr: ([127, 0, 0, 1], 0).into(), transport: 0 },
             stage: Stage::Gone,
             unready_since: None,
             zone: "".into(),
             kind: "".into(),
         });
         let forward = Forward {
-            ticket,
+            id: forward_id,
             target,
-            name: known.name,
-            addr: known.place.addr,
-            carrier: known.place.carrier,
+            target_name: known.name,
+            addr: known.endpoint.addr,
+            transport: known.endpoint.transport,
             stage: known.stage,
             job: flow.job.clone(),
-            until: flow.until,
+            deadline: flow.deadline,
             start_by: flow.start_by,
-            again: flow.before.contains(&target),
+            repeats_target: flow.tried_targets.contains(&target),
         };
-        flow.out =
-            Some(Out { forward: forward.clone(), sent: Instant::now(), cancelling: false, written: false });
-        let out = self.out.entry(target).or_default();
-        *out += 1;
-        self.changed.push((target, Some(*out)));
+        flow.in_flight = Some(InFlight {
+            forward: forward.clone(),
+            sent: Instant::now(),
+            cancelling: false,
+            first_byte_written: false,
+        });
+        let count = self.in_flight_counts.entry(target).or_default();
+        *count += 1;
+        self.in_flight_changes.push((target, Some(*count)));
         Some(match permit {
             Ok(permit) if is_known => Effect::Forward(permit, forward),
-            Ok(_) => Effect::NotMade(ticket, Outcome::NoRoute),
-            Err(_) => Effect::NotMade(ticket, Outcome::Moot),
+            Ok(_) => Effect::ForwardNotSent(forward_id, Outcome::NoRoute),
+            Err(_) => Effect::ForwardNotSent(forward_id, Outcome::Moot),
         })
     }
 
     pub(super) fn cancel(&mut self, id: FlowId) -> Option<Effect> {
-        let out = self.flows.get_mut(&id)?.out.as_mut().filter(|o| !o.cancelling)?;
-        out.cancelling = true;
-        Some(Effect::Cancel(out.forward.clone()))
+        let in_flight = self.flows.get_mut(&id)?.in_flight.as_mut().filter(|o| !o.cancelling)?;
+        in_flight.cancelling = true;
+        Some(Effect::Cancel(in_flight.forward.clone()))
     }
 
-    pub(super) fn ended(
+    pub(super) fn forward_ended(
         &mut self,
-        ticket: Ticket,
+        forward_id: ForwardId,
         outcome: Outcome,
         result: Option<Bytes>,
         load: Option<Load>,
         watch: &Notify,
     ) -> Vec<Effect> {
-        if !self.is_out(ticket) {
+        if !self.is_in_flight(forward_id) {
             return Vec::new();
         }
-        let Some(flow) = self.flows.get_mut(&ticket.flow) else { return Vec::new() };
-        let Some(out) = flow.out.take() else { return Vec::new() };
-        flow.before.push(out.forward.target);
+        let Some(flow) = self.flows.get_mut(&forward_id.flow) else { return Vec::new() };
+        let Some(in_flight) = flow.in_flight.take() else { return Vec::new() };
+        flow.tried_targets.push(in_flight.forward.target);
         flow.may_have_run |= !self.facade.never_ran(outcome);
-        let again_until = self.facade.again_until(flow.job.class, out.sent, outcome);
+        let again_until = self.facade.again_until(flow.job.class, in_flight.sent, outcome);
         flow.start_by = flow.start_by.or(again_until);
-        let left = self.out.entry(out.forward.target).or_default();
-        *left = left.saturating_sub(1);
-        self.changed.push((out.forward.target, Some(*left)));
-        if *left == 0 {
-            self.out.remove(&out.forward.target);
+        let count = self.in_flight_counts.entry(in_flight.forward.target).or_default();
+        *count = count.saturating_sub(1);
+        self.in_flight_changes.push((in_flight.forward.target, Some(*count)));
+        if *count == 0 {
+            self.in_flight_counts.remove(&in_flight.forward.target);
         }
         if matches!(outcome, Outcome::NoRoom | Outcome::NoRoute | Outcome::Fault) {
-            self.changed.push((out.forward.target, None));
+            self.in_flight_changes.push((in_flight.forward.target, None));
         }
         let mut effects = Vec::new();
         let repeatable = flow.job.body.can_repeat();
@@ -213,82 +216,92 @@
             effects.push(Effect::Answer(listener, Answer::Served(result.unwrap_or_default())));
         }
         let over = flow.listener.is_none();
-        // A body whose beginning is gone can't be sent again: the flow ends here, whatever its class.
+        // A body whose beginning has been discarded cannot be sent again, so the flow ends here whatever its
+        // class.
         if let Some(listener) = flow.listener.take_if(|_| !repeatable) {
             effects.push(Effect::Answer(listener, Answer::Failed));
         }
         let over = over || flow.listener.is_none();
-        // A slow client must not make its target look slow.
-        let (number, spent) = (ticket.number, flow.bound.unwrap_or_else(|| out.sent.elapsed()));
-        debug!(flow = ticket.flow.0, forward = number, target = %out.forward.name, class = flow.job.class,
-            outcome = ?outcome, spent_ms = spent.as_millis() as u64, "forward ended");
-        if flow.bound.is_some() && outcome != Outcome::Served {
+        // For a streamed answer only the time to its head counts: a slow client must not make its target look
+        // slow.
+        let (number, spent) =
+            (forward_id.number, flow.head_latency.unwrap_or_else(|| in_flight.sent.elapsed()));
+        debug!(flow = forward_id.flow.0, forward = number, target = %in_flight.forward.target_name,
+            class = flow.job.class, outcome = ?outcome, spent_ms = spent.as_millis() as u64, "forward ended");
+        if flow.head_latency.is_some() && outcome != Outcome::Served {
             self.cut_short += 1;
-            warn!(flow = ticket.flow.0, target = %out.forward.name, class = flow.job.class,
-                outcome = ?outcome, "an answer was cut short");
+            warn!(flow = forward_id.flow.0, target = %in_flight.forward.target_name, class = flow.job.class,
+                outcome = ?outcome, "answer truncated after its head was sent");
         }
-        let news = News::Ended { flow: ticket.flow, number, outcome, over, spent, load };
+        let news = News::Ended { flow: forward_id.flow, number, outcome, over, spent, load };
         let decisions = self.facade.report(news);
         effects.extend(self.effects(decisions, watch));
-        self.drop_if_over(ticket.flow);
+        self.remove_if_finished(forward_id.flow);
         effects
     }
 
-    /// The deadline of a flow has come: its forward timed out, and then the module answers it. What it left
-    /// unanswered is answered here: the client must not wait for a decision that does not come.
-    pub(super) fn overdue(&mut self, id: FlowId, now: Instant, watch: &Notify) -> Vec<Effect> {
+    /// Handles the deadline of a flow: the forward in flight times out, and the decision module then answers
+    /// the flow. A flow that it leaves unanswered is answered here, so that the client does not wait for a
+    /// missing decision.
+    pub(super) fn deadline_reached(&mut self, id: FlowId, now: Instant, watch: &Notify) -> Vec<Effect> {
         let Some(flow) = self.flows.get(&id) else { return Vec::new() };
-        // The deadline is one for the head of an answer. What passes after it has limits of its own.
-        if flow.bound.is_some() {
+        // The deadline applies to the head of an answer. A streamed body has its own time limits.
+        if flow.head_latency.is_some() {
             return Vec::new();
         }
         let mut effects = Vec::new();
-        // One that still waits for a picture, since its time was short: its answer is decided like any other's.
+        // The flow still waits for load reports from peers because little time was left. It is decided like any
+        // other flow.
         if let Some(ask) = self.flows.get_mut(&id).and_then(|f| f.ask.take()) {
             let decisions = self.facade.pick(id, ask);
             effects.extend(self.effects(decisions, watch));
         }
         let Some(flow) = self.flows.get(&id) else { return effects };
-        if let Some(out) = &flow.out {
-            let ticket = out.forward.ticket;
+        if let Some(in_flight) = &flow.in_flight {
+            let forward_id = in_flight.forward.id;
             effects.extend(self.cancel(id));
-            effects.extend(self.ended(ticket, Outcome::TimedOut, None, None, watch));
+            effects.extend(self.forward_ended(forward_id, Outcome::TimedOut, None, None, watch));
         }
         let Some(flow) = self.flows.get_mut(&id) else { return effects };
-        if now < flow.until + OVERDUE {
-            self.deadlines.insert((flow.until + OVERDUE, id));
+        if now < flow.deadline + DEADLINE_FALLBACK_DELAY {
+            self.deadlines.insert((flow.deadline + DEADLINE_FALLBACK_DELAY, id));
         } else if let Some(listener) = flow.listener.take() {
-            error!(flow = id.0, class = flow.job.class, "unanswered at its deadline");
+            error!(
+                flow = id.0,
+                class = flow.job.class,
+                "flow not answered by the decision module at its deadline"
+            );
             effects.push(Effect::Answer(listener, Answer::Failed));
             let decisions = self.facade.report(News::Left(id));
             effects.extend(self.effects(decisions, watch));
-            self.drop_if_over(id);
+            self.remove_if_finished(id);
         }
         effects
     }
 
-    /// Answers a flow that this process can wait for no longer: as refused where nothing of it was ever sent, else as failed.
-    /// What is out for it is given up.
-    pub(super) fn give_up(&mut self, id: FlowId, retry_after: Duration, watch: &Notify) -> Vec<Effect> {
+    /// Answers a flow that this process can no longer wait for: as refused if none of its forwards was sent, as
+    /// failed otherwise. Cancels the forward in flight.
+    pub(super) fn abort_flow(&mut self, id: FlowId, retry_after: Duration, watch: &Notify) -> Vec<Effect> {
         let Some(flow) = self.flows.get_mut(&id) else { return Vec::new() };
         let Some(listener) = flow.listener.take() else { return Vec::new() };
-        let may_have_run = flow.may_have_run || flow.out.as_ref().is_some_and(|out| out.written);
+        let may_have_run = flow.may_have_run
+            || flow.in_flight.as_ref().is_some_and(|in_flight| in_flight.first_byte_written);
         let answer = if may_have_run { Answer::Failed } else { Answer::Refused(retry_after) };
         let mut effects = vec![Effect::Answer(listener, answer)];
         let decisions = self.facade.report(News::Left(id));
         effects.extend(self.effects(decisions, watch));
         effects.extend(self.cancel(id));
-        self.drop_if_over(id);
+        self.remove_if_finished(id);
         effects
     }
 
-    pub(super) fn drop_if_over(&mut self, id: FlowId) {
-        let over = self.flows.get(&id).is_some_and(|f| f.listener.is_none() && f.out.is_none());
+    pub(super) fn remove_if_finished(&mut self, id: FlowId) {
+        let over = self.flows.get(&id).is_some_and(|f| f.listener.is_none() && f.in_flight.is_none());
         if let Some(flow) = over.then(|| self.flows.remove(&id)).flatten() {
             self.references.remove(&flow.job.reference);
-            self.bytes -= flow.job.body.len();
-            self.deadlines.remove(&(flow.until, id));
-            self.deadlines.remove(&(flow.until + OVERDUE, id));
+            self.body_bytes -= flow.job.body.len();
+            self.deadlines.remove(&(flow.deadline, id));
+            self.deadlines.remove(&(flow.deadline + DEADLINE_FALLBACK_DELAY, id));
             self.facade.forget(id);
         }
     }
--- a/dispatcher/src/flow/ledger.rs
+++ b/dispatcher/src/flow/permit_stats.rs
@@ -1,6 +1,6 @@
-//! Permits that were refused, and rules that were broken all the same, by reason. Each is logged with its ids.
+//! Counts refused permits and violated rules by reason, and logs each one with its identifiers.
 
-use super::contract::Ticket;
+use super::contract::ForwardId;
 use enum_map::EnumMap;
 use lineroute_permit::{
     ClosePermit, CloseRefusal, RetryPermit, RetryRefusal, SendPermit, SendRefusal, StartPermit, StartRefusal,
@@ -9,9 +9,9 @@
 use std::collections::BTreeMap;
 use tracing::{debug, error, warn};
 
-/// Counts since the start.
+/// Counters since the start of the process.
 #[derive(Clone, Default)]
-pub struct Ledger {
+pub struct PermitStats {
     sent: u64,
     sent_on_invalid_list: u64,
     send: EnumMap<SendRefusal, u64>,
@@ -21,55 +21,59 @@
     violations: EnumMap<Violation, u64>,
 }
 
-/// The ledger as operators see it.
+/// The counters, as reported to operators.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct LedgerReport {
+pub struct PermitStatsReport {
     /// First bytes that were written.
     pub sent: u64,
-    /// Those of them by a list that was not confirmed, or too long ago.
+    /// Of these, first bytes that were written while the list was unconfirmed or expired.
     pub sent_on_invalid_list: u64,
-    /// Permits that were refused, by act and reason.
+    /// Refused permits, by operation and reason.
     pub refused: BTreeMap<String, u64>,
-    /// Rules that were broken.
+    /// Violated rules.
     pub violations: BTreeMap<String, u64>,
 }
 
-impl Ledger {
-    /// Takes note of what became of the permit for a first byte.
-    pub fn send(
+impl PermitStats {
+    /// Counts the result of a permit request for a first byte.
+    pub fn record_send(
         &mut self,
-        ticket: Ticket,
+        forward_id: ForwardId,
         target: &str,
         permit: Result<SendPermit, SendRefusal>,
     ) -> Result<SendPermit, SendRefusal> {
         permit.inspect_err(|reason| {
             self.send[*reason] += 1;
-            debug!(flow = ticket.flow.0, forward = ticket.number, target, %reason, "forward not sent");
+            debug!(flow = forward_id.flow.0, forward = forward_id.number, target, %reason, "forward not sent");
         })
     }
 
-    /// The same of one for an attempt. The decisions should not have asked for it.
-    pub fn retry(
+    /// Counts the result of a permit request for an attempt. A refusal means that the decision module should
+    /// not have asked.
+    pub fn record_retry(
         &mut self,
-        ticket: Ticket,
+        forward_id: ForwardId,
         permit: Result<RetryPermit, RetryRefusal>,
     ) -> Result<RetryPermit, RetryRefusal> {
         permit.inspect_err(|reason| {
             self.retry[*reason] += 1;
-            warn!(flow = ticket.flow.0, forward = ticket.number, %reason, "forward not made");
+            warn!(flow = forward_id.flow.0, forward = forward_id.number, %reason, "forward not made");
         })
     }
 
-    /// The same of one for the end of a connection.
-    pub fn close(&mut self, permit: Result<ClosePermit, CloseRefusal>) -> Result<ClosePermit, CloseRefusal> {
+    /// Counts the result of a permit request for closing a connection.
+    pub fn record_close(
+        &mut self,
+        permit: Result<ClosePermit, CloseRefusal>,
+    ) -> Result<ClosePermit, CloseRefusal> {
         permit.inspect_err(|reason| {
             self.close[*reason] += 1;
             warn!(%reason, "connection not closed");
         })
     }
 
-    /// The same of one for the start of a request.
-    pub fn start(
+    /// Counts the result of a permit request for accepting a job.
+    pub fn record_start(
         &mut self,
         reference: &str,
         permit: Result<StartPermit, StartRefusal>,
@@ -80,37 +84,47 @@
         })
     }
 
-    /// A first byte was written.
-    pub fn was_sent(&mut self, list_is_valid: bool) {
+    /// Counts a first byte that was written.
+    pub fn record_sent(&mut self, list_is_valid: bool) {
         self.sent += 1;
         self.sent_on_invalid_list += u64::from(!list_is_valid);
     }
 
-    /// A rule was broken: a fault of this program.
+    /// Counts a violated rule, which is a bug in this program.
     ///
     /// # Panics
-    /// In builds with debug assertions, so that no test passes over it.
-    pub fn violation(&mut self, ticket: Option<Ticket>, target: Option<&str>, violation: Violation) {
+    /// In builds with debug assertions, so that tests fail on a violation.
+    pub fn record_violation(
+        &mut self,
+        forward_id: Option<ForwardId>,
+        target: Option<&str>,
+        violation: Violation,
+    ) {
         self.violations[violation] += 1;
-        let (flow, forward) = (ticket.map(|t| t.flow.0), ticket.map(|t| t.number));
+        let (flow, forward) = (forward_id.map(|t| t.flow.0), forward_id.map(|t| t.number));
         error!(?violation, flow, forward, target, "rule broken");
         debug_assert!(false, "rule broken: {violation:?}, flow {flow:?}, target {target:?}");
     }
 
-    /// What operators are shown: reasons that came up.
-    pub fn report(&self) -> LedgerReport {
+    /// The counters for operators; reasons that never occurred are omitted.
+    pub fn report(&self) -> PermitStatsReport {
         let mut refused = BTreeMap::new();
-        let mut add = |act: &str, reason: String, count: u64| {
+        let mut add = |operation: &str, reason: String, count: u64| {
             if count > 0 {
-                refused.insert(format!("{act}.{reason}"), count);
+                refused.insert(format!("{operation}.{reason}"), count);
             }
         };
         self.send.iter().for_each(|(reason, count)| add("send", format!("{reason:?}"), *count));
         self.retry.iter().for_each(|(reason, count)| add("retry", format!("{reason:?}"), *count));
         self.close.iter().for_each(|(reason, count)| add("close", format!("{reason:?}"), *count));
         self.start.iter().for_each(|(reason, count)| add("start", format!("{reason:?}"), *count));
-        let broken = self.violations.iter().filter(|(_, count)| **count > 0);
-        let violations = broken.map(|(rule, count)| (format!("{rule:?}"), *count)).collect();
-        LedgerReport { sent: self.sent, sent_on_invalid_list: self.sent_on_invalid_list, refused, violations }
+        let violated = self.violations.iter().filter(|(_, count)| **count > 0);
+        let violations = violated.map(|(rule, count)| (format!("{rule:?}"), *count)).collect();
+        PermitStatsReport {
+            sent: self.sent,
+            sent_on_invalid_list: self.sent_on_invalid_list,
+            refused,
+            violations,
+        }
     }
 }
--- a/dispatcher/src/flow/permits.rs
+++ b/dispatcher/src/flow/permits.rs
@@ -1,9 +1,9 @@
-//! Where the core takes its facts together for the permits, and for the audit behind each first byte. What may be done is
-//! decided in `lineroute_permit` alone.
+//! Collects the facts for permits, and for the audit after each first byte. `lineroute_permit` alone decides
+//! what is permitted.
 
-use super::contract::{Forward, Ticket};
+use super::contract::{Forward, ForwardId};
 use super::core::Core;
-use super::ledger::LedgerReport;
+use super::permit_stats::PermitStatsReport;
 use super::Flows;
 use crate::facade::{News, Stage};
 use crate::list::monitor::ListReport;
@@ -36,10 +36,10 @@
 
 impl Core {
     fn send_facts(&self, forward: &Forward, passed_on: Option<Duration>, now: Instant) -> SendFacts {
-        let flow = self.flows.get(&forward.ticket.flow);
-        let out = flow.and_then(|f| f.out.as_ref());
-        let is_out = out.is_some_and(|o| o.forward.ticket == forward.ticket && !o.cancelling);
-        let waits = flow.is_some_and(|f| f.listener.is_some());
+        let flow = self.flows.get(&forward.id.flow);
+        let in_flight = flow.and_then(|f| f.in_flight.as_ref());
+        let is_in_flight = in_flight.is_some_and(|o| o.forward.id == forward.id && !o.cancelling);
+        let client_waits = flow.is_some_and(|f| f.listener.is_some());
         let stage = self.targets.get(&forward.target).map(|known| worker_stage(known.stage));
         SendFacts {
             now,
@@ -52,108 +52,111 @@
                     false => OperatorState::InService,
                 },
             },
-            attempt: if is_out { AttemptState::InFlight } else { AttemptState::Ended },
-            client: if waits { ClientState::Waiting } else { ClientState::Gone },
-            deadline: forward.until,
+            attempt: if is_in_flight { AttemptState::InFlight } else { AttemptState::Ended },
+            client: if client_waits { ClientState::Waiting } else { ClientState::Gone },
+            deadline: forward.deadline,
             repeat_until: forward.start_by,
             passed_on,
         }
     }
 
     fn audit(&self, forward: &Forward, passed_on: Option<Duration>, now: Instant) -> SendAudit {
-        let flow = self.flows.get(&forward.ticket.flow);
+        let flow = self.flows.get(&forward.id.flow);
         let unready = self.targets.get(&forward.target).and_then(|known| known.unready_since);
         SendAudit {
             now,
-            list_valid: self.list.was_valid_lately(),
+            list_valid: self.list.was_recently_valid(),
             not_ready_since: unready.zip(self.bounds.drain_grace),
             out_of_service: self.out_of_service.get(&forward.target).copied(),
-            client_gone: flow.and_then(|f| f.left_at),
-            deadline: forward.until,
+            client_gone: flow.and_then(|f| f.client_left_at),
+            deadline: forward.deadline,
             repeat_until: forward.start_by,
             passed_on,
-            attempts_in_flight: usize::from(flow.is_some_and(|f| f.out.is_some())),
+            attempts_in_flight: usize::from(flow.is_some_and(|f| f.in_flight.is_some())),
         }
     }
 }
 
 impl Flows {
-    /// The permit for a forward's first byte, by what is known in this moment. To be asked for in the step that writes.
-    /// `passed_on`: the time that the bytes tell the worker is left.
+    /// Requests the permit for a forward's first byte, based on the current state. Must be called in the same
+    /// step as the write. `passed_on` is the remaining time that the request states to the worker.
     pub fn send_permit(
         &self,
         forward: &Forward,
         passed_on: Option<Duration>,
     ) -> Result<SendPermit, SendRefusal> {
-        // What operators have told another process of this dispatcher is a fact as well.
+        // Overrides that operators sent to another process of this dispatcher apply here too.
         self.refresh_operator_state();
         let permit = {
             let core = &mut *self.core.borrow_mut();
             let permit = core.send_facts(forward, passed_on, Instant::now()).permit();
-            core.ledger.send(forward.ticket, &forward.name, permit)
+            core.permit_stats.record_send(forward.id, &forward.target_name, permit)
         };
         if matches!(permit, Err(SendRefusal::ListUnconfirmed | SendRefusal::ListExpired)) {
-            // Before the refusal becomes an outcome, and the module decides anew.
-            self.heed_list();
+            // The decision module has to learn that the list is invalid before it handles this refusal as an
+            // outcome.
+            self.update_list_validity();
         }
         permit
     }
 
-    /// Tells the module whether the list is valid, if that has changed. While it is not, nothing is sent and requests wait.
-    pub fn heed_list(&self) {
+    /// Tells the decision module whether the list is valid, if that has changed. While it is not, nothing is
+    /// sent and requests wait.
+    pub fn update_list_validity(&self) {
         let effects = {
             let core = &mut *self.core.borrow_mut();
             let valid = core.list.state().is_valid();
-            if std::mem::replace(&mut core.list_heeded, valid) == valid {
+            if std::mem::replace(&mut core.list_valid_reported, valid) == valid {
                 return;
             }
             let decisions = core.facade.report(News::ListValid(valid));
-            core.effects(decisions, &self.watch)
+            core.effects(decisions, &self.watch_requested)
         };
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
-    /// The first byte of a forward was written: whether that was right is looked at anew.
+    /// The first byte of a forward was written: audits whether that was permitted.
     pub fn first_byte_written(&self, forward: &Forward, passed_on: Option<Duration>) {
         let core = &mut *self.core.borrow_mut();
-        core.ledger.was_sent(core.list.was_valid_lately());
-        let out = core.flows.get_mut(&forward.ticket.flow).and_then(|flow| flow.out.as_mut());
-        if let Some(out) = out.filter(|out| out.forward.ticket == forward.ticket) {
-            out.written = true;
+        core.permit_stats.record_sent(core.list.was_recently_valid());
+        let in_flight = core.flows.get_mut(&forward.id.flow).and_then(|flow| flow.in_flight.as_mut());
+        if let Some(in_flight) = in_flight.filter(|in_flight| in_flight.forward.id == forward.id) {
+            in_flight.first_byte_written = true;
         }
-        let Ticket { flow, number } = forward.ticket;
+        let ForwardId { flow, number } = forward.id;
         let list = core.list.report();
-        debug!(flow = flow.0, forward = number, target = %forward.name, list = %list.state,
+        debug!(flow = flow.0, forward = number, target = %forward.target_name, list = %list.state,
             version = list.version, confirmed_ms_ago = list.confirmed_ago.map(|ago| ago.as_millis() as u64),
             "forward sent");
-        let broken: Vec<Violation> = core.audit(forward, passed_on, Instant::now()).violations().collect();
-        for violation in broken {
-            core.ledger.violation(Some(forward.ticket), Some(&forward.name), violation);
+        let violations: Vec<Violation> =
+            core.audit(forward, passed_on, Instant::now()).violations().collect();
+        for violation in violations {
+            core.permit_stats.record_violation(Some(forward.id), Some(&forward.target_name), violation);
         }
     }
 
-    /// The permit to take a request.
+    /// Requests the permit to accept a job.
     pub fn start_permit(&self, reference: &str, facts: StartFacts) -> Result<StartPermit, StartRefusal> {
-        self.core.borrow_mut().ledger.start(reference, facts.permit())
+        self.core.borrow_mut().permit_stats.record_start(reference, facts.permit())
     }
 
-    /// The permit to end a client's connection; `None`: it has to stay.
+    /// Requests the permit to close a client's connection. `None`: it has to stay open.
     pub fn close_permit(&self, facts: CloseFacts) -> Option<ClosePermit> {
-        self.core.borrow_mut().ledger.close(facts.permit()).ok()
+        self.core.borrow_mut().permit_stats.record_close(facts.permit()).ok()
     }
 
-    /// A connection that owed its client an answer has ended.
-    pub fn closed_owing(&self) {
-        self.core.borrow_mut().ledger.violation(None, None, Violation::AnswerOwed);
+    /// A connection was closed although its client had not been answered.
+    pub fn closed_with_answer_pending(&self) {
+        self.core.borrow_mut().permit_stats.record_violation(None, None, Violation::AnswerOwed);
     }
 
-    /// The worker list, for operators.
+    /// The state of the worker list, for operators.
     pub fn list_report(&self) -> ListReport {
         self.core.borrow().list.report()
     }
 
-    /// Permits refused and rules broken, for operators.
-    pub fn ledger(&self) -> LedgerReport {
-        self.core.borrow().ledger.report()
+    /// Refused permits and violated rules, for operators.
+    pub fn permit_stats(&self) -> PermitStatsReport {
+        self.core.borrow().permit_stats.report()
     }
 }
--- a/dispatcher/src/flow/targets.rs
+++ b/dispatcher/src/flow/targets.rs
@@ -1,7 +1,7 @@
-//! What the core knows of targets: the list, what peers and operators say of them, and who probes them.
+//! Target state kept by the core: the worker list, load reports from peers, operator overrides and probes.
 
-use super::core::{Effect, Known};
-use super::{Entry, Flows, Forward, ListKind, OperatorStateSource, Others, Seen};
+use super::core::{Effect, KnownTarget};
+use super::{Flows, Forward, ListEntry, ListKind, OperatorStateSource, PeerLoad, TargetStatus};
 use crate::facade::{Load, News, Outcome, Stage, Steer, TargetId};
 use crate::fleet::prober::Probing;
 use crate::fleet::FencedOperation;
@@ -9,96 +9,96 @@
 use std::rc::Rc;
 use std::time::Instant;
 impl Flows {
-    /// Has another see to probes.
-    pub fn probing(&self, probing: Rc<dyn Probing>) {
-        *self.probing.borrow_mut() = Some(probing);
+    /// Delegates probes to `prober`.
+    pub fn set_prober(&self, prober: Rc<dyn Probing>) {
+        *self.prober.borrow_mut() = Some(prober);
     }
 
-    /// Makes a probe; `probed` is called.
+    /// Sends a probe; `probe_ended` is called with its result.
     pub fn probe(&self, target: TargetId, operation: Option<FencedOperation>) {
-        let place = self.core.borrow().targets.get(&target).map(|known| known.place);
-        match place {
-            Some(place) => {
-                let carrier = self.targets.borrow()[place.carrier].clone();
-                carrier.probe(target, place.addr, operation);
+        let endpoint = self.core.borrow().targets.get(&target).map(|known| known.endpoint);
+        match endpoint {
+            Some(endpoint) => {
+                let transport = self.targets.borrow()[endpoint.transport].clone();
+                transport.probe(target, endpoint.addr, operation);
             }
-            None => self.probed(target, Outcome::NoRoute, None),
+            None => self.probe_ended(target, Outcome::NoRoute, None),
         }
     }
 
-    /// A probe was to be made for the fleet, and this process may not act for it any longer: nothing was sent.
-    pub fn lapsed(&self, target: TargetId) {
-        let probing = self.probing.borrow().clone();
+    /// A probe on behalf of the fleet was not sent because this process may no longer act for the fleet.
+    pub fn probe_not_permitted(&self, target: TargetId) {
+        let prober = self.prober.borrow().clone();
         let known = self.core.borrow().targets.get(&target).map(|k| k.name.clone());
-        if let (Some(probing), Some(name)) = (probing, known) {
-            probing.lapsed(&name);
+        if let (Some(prober), Some(name)) = (prober, known) {
+            prober.lapsed(&name);
         }
-        self.see_to_probe(target);
+        self.request_probe(target);
     }
 
-    /// Has a probe made, by this process or by who sees to probes.
-    pub(super) fn see_to_probe(&self, target: TargetId) {
-        let probing = self.probing.borrow().clone();
+    /// Requests a probe, either from the configured prober or from this process.
+    pub(super) fn request_probe(&self, target: TargetId) {
+        let prober = self.prober.borrow().clone();
         let known = self.core.borrow().targets.get(&target).map(|k| (k.name.clone(), k.zone.clone()));
-        let seen_to = match (probing, known) {
-            (Some(probing), Some((name, zone))) => probing.takes(target, &name, &zone),
+        let taken_over = match (prober, known) {
+            (Some(prober), Some((name, zone))) => prober.takes(target, &name, &zone),
             _ => Err(None),
         };
-        if let Err(operation) = seen_to {
+        if let Err(operation) = taken_over {
             self.probe(target, operation);
         }
     }
 
-    /// The target of a name, as it is listed.
-    pub fn find(&self, name: &str) -> Option<TargetId> {
+    /// Looks up a target in the list by its name.
+    pub fn find_target(&self, name: &str) -> Option<TargetId> {
         let core = self.core.borrow();
         core.targets.iter().find(|(_, known)| *known.name == *name).map(|(id, _)| *id)
     }
 
-    /// Peers tell of targets.
-    pub fn others(&self, news: &[Others]) {
+    /// Applies load reports from peers.
+    pub fn report_peer_load(&self, news: &[PeerLoad]) {
         let effects = {
             let core = &mut *self.core.borrow_mut();
             let mut effects = Vec::new();
-            for Others { target, out, refused } in news {
-                let decisions = core.facade.report(News::Others(*target, *out, *refused));
-                effects.extend(core.effects(decisions, &self.watch));
+            for PeerLoad { target, in_flight, refused } in news {
+                let decisions = core.facade.report(News::Others(*target, *in_flight, *refused));
+                effects.extend(core.effects(decisions, &self.watch_requested));
             }
             effects
         };
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
     /// A probe has ended.
-    pub fn probed(&self, target: TargetId, outcome: Outcome, load: Option<Load>) {
+    pub fn probe_ended(&self, target: TargetId, outcome: Outcome, load: Option<Load>) {
         if !matches!(outcome, Outcome::Served | Outcome::Moot) {
-            self.core.borrow_mut().changed.push((target, None));
+            self.core.borrow_mut().in_flight_changes.push((target, None));
         }
-        let probing = self.probing.borrow().clone();
-        if let Some(probing) = probing {
+        let prober = self.prober.borrow().clone();
+        if let Some(prober) = prober {
             let known = self.core.borrow().targets.get(&target).map(|k| (k.name.clone(), k.zone.clone()));
-            known.iter().for_each(|(name, zone)| probing.ended(name, zone, outcome, load));
+            known.iter().for_each(|(name, zone)| prober.ended(name, zone, outcome, load));
         }
-        self.probed_by_another(target, outcome, load);
+        self.shared_probe_ended(target, outcome, load);
     }
 
-    /// A probe that another made for this process has ended.
-    pub fn probed_by_another(&self, target: TargetId, outcome: Outcome, load: Option<Load>) {
+    /// A probe that another process sent on behalf of this one has ended.
+    pub fn shared_probe_ended(&self, target: TargetId, outcome: Outcome, load: Option<Load>) {
         self.report(News::Probed(target, outcome, load));
     }
 
-    /// The list could not be had, or the watch broke.
+    /// The list could not be fetched, or the watch was interrupted.
     pub fn list_failed(&self) {
         self.report(News::ListFailed);
     }
 
-    /// The number of a target, by its name.
-    pub fn target(&self, name: &str) -> TargetId {
+    /// The identifier of a target, by its name.
+    pub fn target_id(&self, name: &str) -> TargetId {
         self.core.borrow_mut().facade.target(name)
     }
 
-    /// What operators have set, all of it.
-    pub fn steer(&self, steer: Steer) {
+    /// Replaces all operator overrides.
+    pub fn apply_overrides(&self, steer: Steer) {
         {
             let core = &mut *self.core.borrow_mut();
             let now = Instant::now();
@@ -108,12 +108,12 @@
         self.report(News::Steer(steer));
     }
 
-    /// Has what operators set brought up to date by this source before each first byte.
-    pub fn heed_operators(&self, source: Rc<dyn OperatorStateSource>) {
+    /// Sets the source from which the overrides are refreshed before each first byte.
+    pub fn set_operator_state_source(&self, source: Rc<dyn OperatorStateSource>) {
         *self.operator_state.borrow_mut() = Some(source);
     }
 
-    /// Brings what operators have set up to date.
+    /// Refreshes the overrides from their source.
     pub fn refresh_operator_state(&self) {
         let source = self.operator_state.borrow().clone();
         if let Some(source) = source {
@@ -121,78 +121,79 @@
         }
     }
 
-    /// Whether the list names a target that has not left.
+    /// Whether the list contains this target and it is not gone.
     pub fn is_listed(&self, name: &str) -> bool {
         let core = self.core.borrow();
         core.targets.values().any(|t| &*t.name == name && t.stage != Stage::Gone)
     }
 
-    /// Whether a list ever named it, here or in a cached list.
+    /// Whether any list has contained this target, cached lists included.
     pub fn was_listed(&self, name: &str) -> bool {
         self.core.borrow().targets.values().any(|t| &*t.name == name)
     }
 
-    /// The targets that have not left, by name.
-    pub fn targets(&self) -> Vec<Seen> {
+    /// The targets that are not gone, sorted by name.
+    pub fn listed_targets(&self) -> Vec<TargetStatus> {
         let core = self.core.borrow();
-        let mut out: FxHashMap<TargetId, usize> = FxHashMap::default();
-        for forward in core.flows.values().filter_map(|f| f.out.as_ref()) {
-            *out.entry(forward.forward.target).or_default() += 1;
+        let mut counts: FxHashMap<TargetId, usize> = FxHashMap::default();
+        for in_flight in core.flows.values().filter_map(|f| f.in_flight.as_ref()) {
+            *counts.entry(in_flight.forward.target).or_default() += 1;
         }
         let listed = core.targets.iter().filter(|(_, t)| t.stage != Stage::Gone);
-        let mut seen: Vec<Seen> = listed
-            .map(|(id, Known { name, place, stage, zone, kind, .. })| Seen {
+        let mut statuses: Vec<TargetStatus> = listed
+            .map(|(id, KnownTarget { name, endpoint, stage, zone, kind, .. })| TargetStatus {
                 name: name.clone(),
-                addr: place.addr,
+                addr: endpoint.addr,
                 stage: *stage,
                 zone: zone.clone(),
                 kind: kind.clone(),
-                out: out.get(id).copied().unwrap_or(0),
+                in_flight: counts.get(id).copied().unwrap_or(0),
             })
             .collect();
-        seen.sort_by(|a, b| a.name.cmp(&b.name));
-        seen
+        statuses.sort_by(|a, b| a.name.cmp(&b.name));
+        statuses
     }
 
-    /// News of the targets, with their addresses.
-    pub fn list(&self, kind: ListKind, entries: Vec<Entry>) {
+    /// Applies a worker list, including the addresses of the workers.
+    pub fn update_list(&self, kind: ListKind, entries: Vec<ListEntry>) {
         let effects = {
             let core = &mut *self.core.borrow_mut();
             let (mut effects, now) = (Vec::new(), Instant::now());
             if kind != ListKind::Delta {
-                let named: FxHashSet<TargetId> = entries.iter().map(|e| e.listed.target).collect();
-                for (id, known) in core.targets.iter_mut().filter(|(id, _)| !named.contains(id)) {
+                let listed_ids: FxHashSet<TargetId> = entries.iter().map(|e| e.listed.target).collect();
+                for (id, known) in core.targets.iter_mut().filter(|(id, _)| !listed_ids.contains(id)) {
                     known.stage = Stage::Gone;
                     known.unready_since.get_or_insert(now);
-                    effects.push(Effect::Closed(*id, known.place.carrier));
+                    effects.push(Effect::TargetClosed(*id, known.endpoint.transport));
                 }
             }
-            for Entry { listed, place, zone, kind } in &entries {
+            for ListEntry { listed, endpoint, zone, kind } in &entries {
                 let (name, stage) = (core.facade.name(listed.target).into(), listed.stage);
                 let before = core.targets.get(&listed.target).and_then(|known| known.unready_since);
                 let unready_since = (stage != Stage::Ready).then(|| before.unwrap_or(now));
                 let (zone, kind) = (zone.clone(), kind.clone());
-                let known = Known { name, place: *place, stage, unready_since, zone, kind };
+                let known = KnownTarget { name, endpoint: *endpoint, stage, unready_since, zone, kind };
                 core.targets.insert(listed.target, known);
                 if listed.stage != Stage::Ready {
-                    effects.push(Effect::Closed(listed.target, place.carrier));
+                    effects.push(Effect::TargetClosed(listed.target, endpoint.transport));
                 }
             }
             if let Some(observer) = self.observer.borrow().as_ref() {
                 entries.iter().for_each(|e| {
-                    observer.listed(e.listed.target, core.facade.name(e.listed.target), &e.zone)
+                    observer.target_listed(e.listed.target, core.facade.name(e.listed.target), &e.zone)
                 });
             }
             let listed = entries.into_iter().map(|e| e.listed).collect();
             let decisions = core.facade.report(News::List(kind, listed));
-            effects.extend(core.effects(decisions, &self.watch));
+            effects.extend(core.effects(decisions, &self.watch_requested));
             effects
         };
-        self.carry_out(effects);
+        self.apply_effects(effects);
     }
 
-    /// Whether the list still says of the target what it said when the forward was decided, and it may still go out.
-    pub fn stands(&self, forward: &Forward) -> bool {
+    /// Whether the list still gives the target the stage it had when the forward was decided, and the forward
+    /// may still be sent.
+    pub fn is_still_valid(&self, forward: &Forward) -> bool {
         if forward.start_by.is_some_and(|by| Instant::now() >= by) {
             return false;
         }
--- a/dispatcher/src/peers/load_gossip.rs
+++ b/dispatcher/src/peers/load_gossip.rs
@@ -1,10 +1,10 @@
-//! Load gossip with the other dispatchers of a large tier: how many forwards of each are out at which target. What the
-//! reports say and who aggregates them is `lineroute_control::load_gossip`; here is the socket. A report that can't be
-//! sent is one that is lost.
+//! Load gossip with the other dispatchers of a large tier: how many forwards each of them has in flight at
+//! which target. `lineroute_control::load_gossip` defines the reports and who aggregates them; this module
+//! handles the socket. A report that cannot be sent is lost.
 
 use crate::config::LoadGossipPeers;
 use crate::facade::{FlowId, TargetId};
-use crate::flow::{Flows, ForwardObserver, Others};
+use crate::flow::{Flows, ForwardObserver, PeerLoad};
 use crate::local_faults::open_patiently;
 use crate::peers::discovery_reports::{DiscoveryReports, ReportSender};
 use lineroute_control::discovery_report::DiscoveryReport;
@@ -19,63 +19,64 @@
 use tokio::net::UdpSocket;
 use tracing::{debug, info};
 
-/// After an error of the socket.
-const PAUSE: Duration = Duration::from_millis(20);
-/// Datagrams that are taken in before others on this thread get their turn.
+/// Delay after a socket error.
+const SOCKET_ERROR_DELAY: Duration = Duration::from_millis(20);
+/// Limit on the datagrams that are handled before other tasks of this thread run.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
-/// Between two questions while flows are held, about.
-const QUERY_EVERY: Duration = Duration::from_millis(100);
-/// What is out long is sent reports again.
-const REPORT_EVERY: Duration = Duration::from_millis(REPORT_TTL / 2);
+/// Average time between two queries while flows are held back.
+const QUERY_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which forwards that stay in flight are reported again.
+const REPORT_INTERVAL: Duration = Duration::from_millis(REPORT_TTL / 2);
 
-/// The gossip of this process: it learns of forwards from the core, and reports those of peers to the core.
+/// The load gossip of this process: it observes the forwards of the core, and passes the reports of peers to
+/// the core.
 struct LoadGossip {
-    me: Weak<LoadGossip>,
+    weak_self: Weak<LoadGossip>,
     socket: UdpSocket,
     flows: Flows,
     own: u32,
-    home: Option<Tag>,
+    home_zone: Option<Tag>,
     peers: Vec<SocketAddr>,
-    /// One address for all of them, where there is one.
+    /// A common address of all peers, if there is one.
     all_peers: Option<SocketAddr>,
     reports: Rc<DiscoveryReports>,
-    numbers: FxHashMap<SocketAddr, u32>,
-    began: Instant,
+    peer_numbers: FxHashMap<SocketAddr, u32>,
+    started: Instant,
     state: RefCell<State>,
 }
 
-/// A question that is out.
+/// A query that has not been answered yet.
 struct Query {
     turn: u8,
     zone: Tag,
     aggregator: u32,
-    asked: Instant,
-    /// Flows that wait for its answer.
+    sent_at: Instant,
+    /// Flows that wait for the answer.
     flows: Vec<FlowId>,
 }
 
 struct State {
-    /// What this dispatcher keeps for others, and who keeps what.
+    /// What this dispatcher aggregates for others, and who aggregates which zone.
     reported: ReportedLoad,
     aggregators: ZoneAggregators,
-    /// The targets that a tag may mean, and their zone.
+    /// The targets that a tag may stand for, and their zone.
     targets: FxHashMap<Tag, (Tag, FxHashSet<TargetId>)>,
     zones: Vec<Tag>,
     next_zone: usize,
-    /// What is out, with its zone, and what has just refused one.
-    out: FxHashMap<Tag, (Tag, u8)>,
+    /// Forwards in flight, with their zone, and targets that have just refused one.
+    in_flight: FxHashMap<Tag, (Tag, u8)>,
     refused: FxHashSet<Tag>,
     turn: u8,
     reported_at: Instant,
     queries: Vec<Query>,
-    /// What the core was told of each target last.
-    said: FxHashMap<TargetId, u8>,
+    /// What the core was last told of each target.
+    last_reported: FxHashMap<TargetId, u8>,
 }
 
-/// Binds the socket and begins to report and to receive.
+/// Binds the socket and starts to send and receive reports.
 ///
 /// # Errors
-/// The address can't be bound.
+/// The address cannot be bound.
 pub async fn start(
     config: LoadGossipPeers,
     flows: Flows,
@@ -85,57 +86,57 @@
     let socket = open_patiently(|| UdpSocket::bind(listen))
         .await
         .map_err(|e| format!("peer_listen: {listen}: {e}"))?;
-    info!(peers = peers.len(), own, "load gossip: reports forwards to peers");
-    let numbers = peers.iter().zip(0..).map(|(at, number)| (*at, number)).collect();
+    info!(peers = peers.len(), own, "load gossip: started");
+    let peer_numbers = peers.iter().zip(0..).map(|(at, number)| (*at, number)).collect();
     let state = State {
         reported: ReportedLoad::default(),
         aggregators: ZoneAggregators::new(peers.len() as u32),
         targets: FxHashMap::default(),
         zones: Vec::new(),
         next_zone: 0,
-        out: FxHashMap::default(),
+        in_flight: FxHashMap::default(),
         refused: FxHashSet::default(),
         turn: 0,
         reported_at: Instant::now(),
         queries: Vec::new(),
-        said: FxHashMap::default(),
+        last_reported: FxHashMap::default(),
     };
-    let gossip = Rc::new_cyclic(|me| LoadGossip {
-        me: me.clone(),
+    let gossip = Rc::new_cyclic(|weak_self| LoadGossip {
+        weak_self: weak_self.clone(),
         socket,
         flows: flows.clone(),
         own,
-        home: zone_name.as_deref().map(Tag::of),
+        home_zone: zone_name.as_deref().map(Tag::of),
         peers,
         all_peers,
         reports: reports.clone(),
-        numbers,
-        began: Instant::now(),
+        peer_numbers,
+        started: Instant::now(),
         state: RefCell::new(state),
     });
     flows.observe_forwards(gossip.clone());
-    reports.send_by(gossip.clone());
-    actix_rt::spawn(gossip.clone().hear());
-    actix_rt::spawn(gossip.clone().repeat());
+    reports.set_sender(gossip.clone());
+    actix_rt::spawn(gossip.clone().receive_loop());
+    actix_rt::spawn(gossip.clone().repeat_reports());
     actix_rt::spawn(gossip.query_while_held());
     Ok(())
 }
 
 impl ForwardObserver for LoadGossip {
-    fn out(&self, name: &str, zone: &str, out: Option<usize>) {
+    fn in_flight_changed(&self, name: &str, zone: &str, in_flight: Option<usize>) {
         let (tag, zone) = (Tag::of(name), Tag::of(zone));
         {
             let state = &mut *self.state.borrow_mut();
-            match out {
+            match in_flight {
                 None => drop(state.refused.insert(tag)),
-                Some(0) => drop(state.out.remove(&tag)),
-                Some(out) => drop(state.out.insert(tag, (zone, out.min(usize::from(u8::MAX)) as u8))),
+                Some(0) => drop(state.in_flight.remove(&tag)),
+                Some(out) => drop(state.in_flight.insert(tag, (zone, out.min(usize::from(u8::MAX)) as u8))),
             }
         }
         self.report(zone);
     }
 
-    fn listed(&self, target: TargetId, name: &str, zone: &str) {
+    fn target_listed(&self, target: TargetId, name: &str, zone: &str) {
         let state = &mut *self.state.borrow_mut();
         let zone = Tag::of(zone);
         let entry = state.targets.entry(Tag::of(name)).or_default();
@@ -146,13 +147,14 @@
         }
     }
 
-    fn ask(&self, flow: FlowId) -> bool {
+    fn flow_opened(&self, flow: FlowId) -> bool {
         let (home, other) = {
             let state = &mut *self.state.borrow_mut();
             state.next_zone = state.next_zone.wrapping_add(1);
-            let others: Vec<Tag> = state.zones.iter().copied().filter(|z| Some(*z) != self.home).collect();
+            let others: Vec<Tag> =
+                state.zones.iter().copied().filter(|z| Some(*z) != self.home_zone).collect();
             let next = others.get(state.next_zone % others.len().max(1)).copied();
-            match self.home {
+            match self.home_zone {
                 Some(home) => (Some(home), next),
                 None => (next, None),
             }
@@ -180,7 +182,7 @@
 
 impl LoadGossip {
     fn now(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started.elapsed().as_millis() as u64
     }
 
     fn send(&self, report: &LoadReport, to: u32) {
@@ -189,18 +191,18 @@
         }
     }
 
-    /// What is out here, as a load report.
-    fn own(&self, purpose: Purpose, zone: Tag) -> LoadReport {
+    /// A report of the forwards that this process has in flight.
+    fn own_report(&self, purpose: Purpose, zone: Tag) -> LoadReport {
         let state = &mut *self.state.borrow_mut();
         state.turn = state.turn.wrapping_add(1) & 15;
-        let out = state.out.iter().map(|(tag, (_, out))| (*tag, *out)).collect();
+        let out = state.in_flight.iter().map(|(tag, (_, out))| (*tag, *out)).collect();
         let refused = std::mem::take(&mut state.refused).into_iter().collect();
         LoadReport { purpose, sequence: state.turn, zone, in_flight: out, refused }
     }
 
-    /// Tells the aggregators of a zone what is out.
+    /// Reports the forwards in flight to the aggregators of a zone.
     fn report(&self, zone: Tag) {
-        let report = self.own(Purpose::Report, zone);
+        let report = self.own_report(Purpose::Report, zone);
         let receivers = {
             let state = &mut *self.state.borrow_mut();
             state.reported_at = Instant::now();
@@ -215,7 +217,7 @@
         }
     }
 
-    /// Asks for the picture of a zone; whether the flow has to wait for it.
+    /// Queries the load of a zone. Returns whether the flow has to wait for the answer.
     fn query(&self, zone: Tag, flow: Option<FlowId>) -> bool {
         let now = self.now();
         let aggregator = {
@@ -228,34 +230,34 @@
             aggregator
         };
         if aggregator == self.own {
-            let picture = self.picture(zone, aggregator, 0);
-            self.take_picture(&picture);
+            let summary = self.zone_summary(zone, aggregator, 0);
+            self.apply_zone_summary(&summary);
             return false;
         }
-        let report = self.own(Purpose::Query, zone);
+        let report = self.own_report(Purpose::Query, zone);
         self.send(&report, aggregator);
         let query = Query {
             turn: report.sequence,
             zone,
             aggregator,
-            asked: Instant::now(),
+            sent_at: Instant::now(),
             flows: flow.into_iter().collect(),
         };
         self.state.borrow_mut().queries.push(query);
-        // Guards against aggregators that are dead.
+        // The aggregator may be dead.
         let answer_wait = Duration::from_millis(self.state.borrow().aggregators.answer_timeout());
-        let me = self.me.clone();
+        let weak_self = self.weak_self.clone();
         actix_rt::spawn(async move {
             tokio::time::sleep(answer_wait).await;
-            if let Some(gossip) = me.upgrade() {
-                gossip.is_late(report.sequence, zone);
+            if let Some(gossip) = weak_self.upgrade() {
+                gossip.answer_timed_out(report.sequence, zone);
             }
         });
         true
     }
 
-    /// An answer that has not come by now is waited for no longer.
-    fn is_late(&self, turn: u8, zone: Tag) {
+    /// Stops waiting for an answer that has not arrived in time.
+    fn answer_timed_out(&self, turn: u8, zone: Tag) {
         let query = {
             let state = &mut *self.state.borrow_mut();
             let at = state.queries.iter().position(|q| (q.turn, q.zone) == (turn, zone));
@@ -263,105 +265,116 @@
             state.aggregators.timed_out(query.aggregator, self.now());
             query
         };
-        debug!(aggregator = query.aggregator, flows = query.flows.len(), "an aggregator is silent");
-        query.flows.into_iter().for_each(|flow| self.flows.place(flow));
+        debug!(
+            aggregator = query.aggregator,
+            flows = query.flows.len(),
+            "load gossip: aggregator did not answer in time"
+        );
+        query.flows.into_iter().for_each(|flow| self.flows.dispatch(flow));
     }
 
-    /// What all but the querier have out in a zone.
-    fn picture(&self, zone: Tag, querier: u32, turn: u8) -> LoadReport {
+    /// The forwards that all peers except the querier have in flight in a zone.
+    fn zone_summary(&self, zone: Tag, querier: u32, turn: u8) -> LoadReport {
         let state = self.state.borrow();
-        // A target that the own list does not name is shown to all.
-        let of = |tag: Tag| state.targets.get(&tag).is_none_or(|(z, _)| *z == zone);
-        let (out, refused) = state.reported.snapshot(querier, self.now(), of);
+        // A target that is missing in this process's own list is included in every zone.
+        let is_in_zone = |tag: Tag| state.targets.get(&tag).is_none_or(|(z, _)| *z == zone);
+        let (out, refused) = state.reported.snapshot(querier, self.now(), is_in_zone);
         let out = out.into_iter().map(|(tag, out)| (tag, out.min(u32::from(u8::MAX)) as u8)).collect();
         LoadReport { purpose: Purpose::Snapshot, sequence: turn, zone, in_flight: out, refused }
     }
 
-    /// Tells the core what is new in a picture.
-    fn take_picture(&self, picture: &LoadReport) {
-        let refused: FxHashSet<Tag> = picture.refused.iter().copied().collect();
-        let out: FxHashMap<Tag, u8> = picture.in_flight.iter().copied().collect();
-        let mut news = Vec::new();
+    /// Passes the changes in a zone's load to the core.
+    fn apply_zone_summary(&self, summary: &LoadReport) {
+        let refused: FxHashSet<Tag> = summary.refused.iter().copied().collect();
+        let out: FxHashMap<Tag, u8> = summary.in_flight.iter().copied().collect();
+        let mut changes = Vec::new();
         {
             let state = &mut *self.state.borrow_mut();
-            let of = state.targets.iter().filter(|(_, (zone, _))| *zone == picture.zone);
-            for (tag, (_, targets)) in of {
+            let in_zone = state.targets.iter().filter(|(_, (zone, _))| *zone == summary.zone);
+            for (tag, (_, targets)) in in_zone {
                 let (out, refused) = (out.get(tag).copied().unwrap_or(0), refused.contains(tag));
                 for target in targets {
-                    let before = state.said.insert(*target, out);
-                    // One at least, so that the core knows that peers tell.
-                    if before != Some(out) || refused || news.is_empty() {
-                        news.push(Others { target: *target, out: u32::from(out), refused });
+                    let previous = state.last_reported.insert(*target, out);
+                    // At least one change is passed on, so that the core knows that peers report.
+                    if previous != Some(out) || refused || changes.is_empty() {
+                        changes.push(PeerLoad { target: *target, in_flight: u32::from(out), refused });
                     }
                 }
             }
         }
-        self.flows.others(&news);
+        self.flows.report_peer_load(&changes);
     }
 
-    async fn hear(self: Rc<Self>) {
-        // One more than the longest: a longer one must not look like one that fits.
+    async fn receive_loop(self: Rc<Self>) {
+        // One byte more than the longest datagram, so that a longer one is not mistaken for one that fits.
         let mut bytes = [0; MAX_DATAGRAM + 1];
         loop {
             if self.socket.readable().await.is_err() {
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(SOCKET_ERROR_DELAY).await;
                 continue;
             }
             for _ in 0..MAX_DATAGRAMS_PER_TURN {
                 let Ok((size, from)) = self.socket.try_recv_from(&mut bytes) else { break };
-                // What is no report, or not from a peer, changes nothing.
-                let Some(peer) = self.numbers.get(&from).filter(|peer| **peer != self.own) else { continue };
+                // Datagrams from other senders than peers, and invalid ones, are ignored.
+                let Some(peer) = self.peer_numbers.get(&from).filter(|peer| **peer != self.own) else {
+                    continue;
+                };
                 if let Some(report) = DiscoveryReport::decode(&bytes[..size]) {
-                    self.reports.heard(report);
+                    self.reports.report_received(report);
                 } else if let Some(report) = LoadReport::decode(&bytes[..size]) {
-                    self.take(&report, *peer);
+                    self.handle_report(&report, *peer);
                 }
             }
             tokio::task::yield_now().await;
         }
     }
 
-    fn take(&self, report: &LoadReport, peer: u32) {
+    fn handle_report(&self, report: &LoadReport, peer: u32) {
         if report.purpose != Purpose::Snapshot {
             self.state.borrow_mut().reported.apply(peer, report, self.now());
             if report.purpose == Purpose::Query && !ReportedLoad::is_warming_up(self.now()) {
-                self.send(&self.picture(report.zone, peer, report.sequence), peer);
+                self.send(&self.zone_summary(report.zone, peer, report.sequence), peer);
             }
             return;
         }
         let query = {
             let state = &mut *self.state.borrow_mut();
-            let asked = |q: &Query| (q.turn, q.zone, q.aggregator) == (report.sequence, report.zone, peer);
-            // Not asked for, or too late.
-            let Some(at) = state.queries.iter().position(asked) else { return };
+            let matches_report =
+                |q: &Query| (q.turn, q.zone, q.aggregator) == (report.sequence, report.zone, peer);
+            // Not requested, or too late.
+            let Some(at) = state.queries.iter().position(matches_report) else { return };
             let query = state.queries.swap_remove(at);
-            state.aggregators.answered(peer, query.asked.elapsed().as_millis() as u64);
+            state.aggregators.answered(peer, query.sent_at.elapsed().as_millis() as u64);
             query
         };
-        debug!(aggregator = peer, took_us = query.asked.elapsed().as_micros() as u64, "a picture came");
-        self.take_picture(report);
-        query.flows.into_iter().for_each(|flow| self.flows.place(flow));
+        debug!(
+            aggregator = peer,
+            took_us = query.sent_at.elapsed().as_micros() as u64,
+            "load gossip: zone load received"
+        );
+        self.apply_zone_summary(report);
+        query.flows.into_iter().for_each(|flow| self.flows.dispatch(flow));
     }
 
-    /// Asks on while flows are held. Not in step with peers that hold some too.
+    /// Keeps querying while flows are held back, with jitter so that peers do not query in step.
     async fn query_while_held(self: Rc<Self>) {
         loop {
-            let part = f64::from(getrandom::u32().unwrap_or(0)) / f64::from(u32::MAX);
-            tokio::time::sleep(QUERY_EVERY.mul_f64(0.5 + part)).await;
-            if let Some(home) = self.home.filter(|_| self.flows.holds()) {
+            let jitter = f64::from(getrandom::u32().unwrap_or(0)) / f64::from(u32::MAX);
+            tokio::time::sleep(QUERY_INTERVAL.mul_f64(0.5 + jitter)).await;
+            if let Some(home) = self.home_zone.filter(|_| self.flows.has_held_flows()) {
                 self.query(home, None);
             }
         }
     }
 
-    /// Tells again what is out long.
-    async fn repeat(self: Rc<Self>) {
+    /// Repeats reports of forwards that stay in flight.
+    async fn repeat_reports(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(REPORT_EVERY).await;
+            tokio::time::sleep(REPORT_INTERVAL).await;
             let zones: FxHashSet<Tag> = {
                 let state = self.state.borrow();
-                let due = state.reported_at.elapsed() >= REPORT_EVERY;
-                state.out.values().filter(|_| due).map(|(zone, _)| *zone).collect()
+                let due = state.reported_at.elapsed() >= REPORT_INTERVAL;
+                state.in_flight.values().filter(|_| due).map(|(zone, _)| *zone).collect()
             };
             zones.into_iter().for_each(|zone| self.report(zone));
         }
--- a/dispatcher/src/peers/mod.rs
+++ b/dispatcher/src/peers/mod.rs
@@ -1,5 +1,5 @@
-//! Datagrams to and from the other dispatchers of the tier. What is said is `lineroute_control::peers`; here
-//! are the socket and the rounds.
+//! Datagrams to and from the other dispatchers of the tier. `lineroute_control::peers` defines the messages;
+//! this module handles the socket and the periodic rounds.
 
 pub mod discovery_reports;
 pub mod load_gossip;
@@ -18,14 +18,15 @@
 use tokio::time::{interval, MissedTickBehavior};
 use tracing::{info, warn};
 
-/// Between two rounds.
-const ROUND: Duration = Duration::from_millis(200);
-/// Datagrams that are taken in before others on this thread get their turn: a flood must not hold up clients.
-const IN_ONE_GO: usize = 32;
-/// What can't be believed is told of this often at most.
-const TELL_EVERY: Duration = Duration::from_secs(10);
+/// Interval between two gossip rounds.
+const ROUND_INTERVAL: Duration = Duration::from_millis(200);
+/// Limit on the datagrams that are handled before other tasks of this thread run, so that a flood does not
+/// delay clients.
+const MAX_DATAGRAMS_PER_TURN: usize = 32;
+/// Minimum time between two warnings about rejected datagrams.
+const WARN_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The talk as others see it.
+/// Handle to the gossip with peers, for other parts of the process.
 #[derive(Clone)]
 pub struct Handle {
     gossip: Rc<RefCell<Gossip>>,
@@ -42,26 +43,26 @@
 impl Handle {
     fn send(&self, out: Vec<Outgoing>) {
         for (to, bytes) in out {
-            // One that is not sent is one that is lost.
+            // A datagram that cannot be sent is lost.
             let _ = self.socket.try_send_to(&bytes, to);
         }
     }
 
-    /// Goes over to other keys.
+    /// Replaces the keys.
     pub fn rekey(&self, keys: KeyRing) {
         self.gossip.borrow_mut().rekey(keys);
     }
 
-    /// What has come and gone.
+    /// Counters of datagrams sent and received.
     pub fn counts(&self) -> Counts {
         self.gossip.borrow().counts()
     }
 }
 
-/// Binds the socket and begins to talk.
+/// Binds the socket and starts to communicate with peers.
 ///
 /// # Errors
-/// The address can't be bound, or the system has no random numbers.
+/// The address cannot be bound, or the system provides no random numbers.
 pub async fn start(
     config: Peers,
     overrides: Overrides,
@@ -72,42 +73,42 @@
         .await
         .map_err(|e| format!("peer_listen: {listen}: {e}"))?;
     let mut seed = [0; 32];
-    getrandom::fill(&mut seed).map_err(|e| format!("peers: no random numbers: {e}"))?;
+    getrandom::fill(&mut seed).map_err(|e| format!("peers: no random numbers available: {e}"))?;
     let at = socket.local_addr().map_err(|e| format!("peer_listen: {e}"))?;
     info!(addr = %at, peers = others.len(), "talks with peers");
     let gossip = Rc::new(RefCell::new(Gossip::new(&others, keys, seed)));
     overrides.talk();
     let handle = Handle { gossip, socket: Rc::new(socket) };
-    reports.send_by(Rc::new(handle.clone()));
-    let talk = Talk { handle: handle.clone(), overrides, reports };
-    actix_rt::spawn(talk.run());
+    reports.set_sender(Rc::new(handle.clone()));
+    let task = GossipTask { handle: handle.clone(), overrides, reports };
+    actix_rt::spawn(task.run());
     Ok(handle)
 }
 
-struct Talk {
+struct GossipTask {
     handle: Handle,
     overrides: Overrides,
     reports: Rc<DiscoveryReports>,
 }
 
-impl Talk {
+impl GossipTask {
     async fn run(self) {
-        let mut rounds = interval(ROUND);
+        let mut rounds = interval(ROUND_INTERVAL);
         rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut tell = interval(TELL_EVERY);
-        let mut told = Counts::default();
+        let mut warn_timer = interval(WARN_INTERVAL);
+        let mut reported = Counts::default();
         loop {
-            // Every branch may be dropped at its await: nothing has been taken out of the socket or the
-            // queue by then.
+            // Every branch may be dropped while it waits: nothing has been taken from the socket or the queue
+            // by then.
             tokio::select! {
                 ready = self.handle.socket.readable() => match ready {
                     Ok(()) => {
-                        self.take();
+                        self.receive_datagrams();
                         tokio::task::yield_now().await;
                     }
                     Err(e) => {
-                        warn!(error = %e, "peers: the socket fails");
-                        tokio::time::sleep(ROUND).await;
+                        warn!(error = %e, "peers: reading from the socket failed");
+                        tokio::time::sleep(ROUND_INTERVAL).await;
                     }
                 },
                 _ = rounds.tick() => {
@@ -119,28 +120,28 @@
                         fresh.iter().flat_map(|r| self.handle.gossip.borrow_mut().announce(r)).collect();
                     self.handle.send(out);
                 }
-                _ = tell.tick() => {
+                _ = warn_timer.tick() => {
                     let counts = self.handle.counts();
                     let faults = |c: &Counts| [c.malformed, c.unauthentic, c.strangers, c.refused];
-                    if faults(&counts) != faults(&told) {
+                    if faults(&counts) != faults(&reported) {
                         let Counts { malformed, unauthentic, replayed, strangers, refused, .. } = counts;
-                        warn!(malformed, unauthentic, replayed, strangers, refused, "peers: datagrams not believed");
+                        warn!(malformed, unauthentic, replayed, strangers, refused, "peers: datagrams rejected");
                     }
-                    told = counts;
+                    reported = counts;
                 }
             }
         }
     }
 
-    /// Takes in what has come, up to a bound.
-    fn take(&self) {
-        // One more than the longest: a longer one must not look like one that fits.
+    /// Handles received datagrams, up to a limit.
+    fn receive_datagrams(&self) {
+        // One byte more than the longest datagram, so that a longer one is not mistaken for one that fits.
         let mut bytes = [0; MAX_DATAGRAM + 1];
-        for _ in 0..IN_ONE_GO {
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
             let (size, from) = match self.handle.socket.try_recv_from(&mut bytes) {
-                Ok(came) => came,
+                Ok(received) => received,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                // What a datagram of ours met elsewhere: a peer that is down.
+                // The error of an earlier outgoing datagram whose peer is down.
                 Err(_) => continue,
             };
             let datagram = &bytes[..size];
@@ -148,7 +149,7 @@
             let out = self.overrides.with(|t| gossip.borrow_mut().receive(now(), from, datagram, t));
             self.handle.send(out);
             let reports = gossip.borrow_mut().take_reports();
-            reports.into_iter().for_each(|report| self.reports.heard(report));
+            reports.into_iter().for_each(|report| self.reports.report_received(report));
         }
     }
 }
--- a/dispatcher/src/targets/upstream.rs
+++ b/dispatcher/src/targets/upstream.rs
@@ -1,12 +1,12 @@
-//! Workers that answer plain HTTP/1.1 on the connection. A connection carries one attempt at a time; what it
-//! says of whether the attempt ran is judged in `lineroute_stream`. awc can't do this work: it writes a
-//! request to its end before it looks for an answer, and holds what a slow peer has not taken.
+//! Workers that answer plain HTTP/1.1 requests on the same connection. A connection carries one attempt at a
+//! time; `lineroute_stream` judges from its end whether the attempt ran. awc is not used here: it writes a
+//! whole request before it reads the answer, and it buffers what a slow peer has not read.
 
 use crate::body::{Attempt, Body, Ended, Reader, Writer};
 use crate::config::HttpWorkers;
 use crate::facade::{Outcome, TargetId};
 use crate::fleet::FencedOperation;
-use crate::flow::{Flows, Forward, Job, Passing, Target, Ticket};
+use crate::flow::{Flows, Forward, ForwardId, Job, StreamedAnswer, Target};
 use crate::local_faults::{is_local, TRY_AGAIN_AFTER};
 use bytes::{Bytes, BytesMut};
 use http::{HeaderMap, HeaderValue, Method};
@@ -27,27 +27,27 @@
 use tokio::task::JoinHandle;
 use tracing::warn;
 
-/// What is read in one go.
-const IN_ONE_GO: usize = 16 << 10;
-/// The longest answer for a front that takes only whole ones.
-const MAX_WHOLE: usize = 64 << 10;
-/// Idle connections that are kept to one address.
-const MOST_IDLE: usize = 16;
-/// Ours end before the upstream ends them: a request written to one it has closed may have run.
-const IDLE_PART: f64 = 0.85;
+/// Bytes that are read at a time.
+const READ_CHUNK: usize = 16 << 10;
+/// The longest answer for a listener that only takes complete ones.
+const MAX_BUFFERED_ANSWER: usize = 64 << 10;
+const MAX_IDLE_PER_ADDRESS: usize = 16;
+/// Idle connections are closed before the upstream closes them: a request written to a connection that the
+/// upstream has closed may have run.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.85;
 
-/// What an HTTP front brings along: the request as it came, and where its answer is to pass.
-pub struct Asked {
+/// Data that an HTTP listener provides: the original request, and where to stream its answer.
+pub struct RequestContext {
     pub head: RequestHead,
     pub client: Option<IpAddr>,
-    /// The stated length of a body that streams.
+    /// The declared length of a streamed body.
     pub length: Option<u64>,
     pub pace: ProgressLimits,
-    /// Taken by the attempt whose answer passes.
+    /// Taken by the attempt whose answer is streamed.
     pub answer: RefCell<Option<(Writer, Reader)>>,
 }
 
-struct Out {
+struct InFlight {
     task: JoinHandle<()>,
     stage: Rc<Cell<AttemptStage>>,
 }
@@ -55,232 +55,243 @@
 struct Inner {
     flows: Flows,
     forwarding: Forwarding,
-    connect_within: Duration,
-    keep: Duration,
-    most: usize,
+    connect_timeout: Duration,
+    keepalive: Duration,
+    max_calls: usize,
     calls: Cell<usize>,
     idle: RefCell<FxHashMap<SocketAddr, Vec<(Instant, TcpStream)>>>,
-    out: RefCell<FxHashMap<Ticket, Out>>,
-    began: Instant,
+    in_flight: RefCell<FxHashMap<ForwardId, InFlight>>,
+    started: Instant,
 }
 
-/// The forwards that are out at such workers of one kind.
+/// The forwards in flight at workers of one kind.
 #[derive(Clone)]
 pub struct Upstreams(Rc<Inner>);
 
-/// How an attempt ended.
-struct Ending {
+struct ForwardEnd {
     verdict: AttemptResult,
-    /// The fault is not the worker's: the client went or was too slow, or this machine lacked something.
-    blameless: bool,
-    /// A whole answer, for a front that takes only these.
+    /// The worker is not at fault: the client left or was too slow, or a local resource was lacking.
+    external_cause: bool,
+    /// A complete answer, for a listener that only takes complete ones.
     result: Option<Bytes>,
     reusable: bool,
 }
 
-impl Ending {
-    fn of(verdict: AttemptResult) -> Ending {
-        Ending { verdict, blameless: false, result: None, reusable: false }
+impl ForwardEnd {
+    fn of(verdict: AttemptResult) -> ForwardEnd {
+        ForwardEnd { verdict, external_cause: false, result: None, reusable: false }
     }
 }
 
 /// Why there is no connection.
-enum NoStream {
-    /// None came up in time, or it was refused.
-    Unreached,
-    /// This machine could not make one.
+enum ConnectFailure {
+    /// The connection timed out or was refused.
+    Unreachable,
+    /// A local error prevented the connection.
     Local,
 }
 
-/// Why an upload came to no end.
-enum Stuck {
-    /// The client went, broke its body, or was too slow.
+/// Why an upload was not completed.
+enum UploadError {
+    /// The client left, sent an invalid body, or was too slow.
     Client,
-    /// The upstream takes no more: its answer may still come.
-    Upstream,
+    /// The upstream no longer reads the request; its answer may still arrive.
+    UpstreamClosed,
     UpstreamSlow,
 }
 
-struct Call<'a>(&'a Cell<usize>);
+struct CallGuard<'a>(&'a Cell<usize>);
 
-impl Drop for Call<'_> {
+impl Drop for CallGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 impl Upstreams {
-    /// Carries forwards to workers of that kind, `most` at a time. `keepalive`: how long the workers keep idle
-    /// connections.
+    /// Handles forwards to workers of one kind, at most `max_calls` at a time. `keepalive`: how long the
+    /// workers keep idle connections.
     pub fn new(
         flows: Flows,
         workers: &HttpWorkers,
-        connect_within: Duration,
+        connect_timeout: Duration,
         keepalive: Duration,
-        most: usize,
+        max_calls: usize,
     ) -> Self {
         Upstreams(Rc::new(Inner {
             flows,
             forwarding: workers.forwarding.clone(),
-            connect_within,
-            keep: keepalive.mul_f64(IDLE_PART),
-            most,
+            connect_timeout,
+            keepalive: keepalive.mul_f64(IDLE_TIMEOUT_FRACTION),
+            max_calls,
             calls: Cell::new(0),
             idle: RefCell::default(),
-            out: RefCell::default(),
-            began: Instant::now(),
+            in_flight: RefCell::default(),
+            started: Instant::now(),
         }))
     }
 
     fn now(&self) -> Duration {
-        self.0.began.elapsed()
+        self.0.started.elapsed()
     }
 
-    /// A connection that is still of use, or a new one.
-    async fn connect(&self, addr: SocketAddr) -> Result<TcpStream, NoStream> {
+    /// Reuses an idle connection, or opens a new one.
+    async fn connect(&self, addr: SocketAddr) -> Result<TcpStream, ConnectFailure> {
         loop {
             let kept = self.0.idle.borrow_mut().get_mut(&addr).and_then(Vec::pop);
             let Some((since, stream)) = kept else { break };
-            // One that says anything now, or has ended, is of no use.
-            let quiet =
+            // A connection that has unsolicited input or is closed cannot be reused.
+            let is_quiet =
                 matches!(stream.try_read(&mut [0]), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
-            if quiet && since.elapsed() < self.0.keep {
+            if is_quiet && since.elapsed() < self.0.keepalive {
                 return Ok(stream);
             }
         }
-        match tokio::time::timeout(self.0.connect_within, TcpStream::connect(addr)).await {
+        match tokio::time::timeout(self.0.connect_timeout, TcpStream::connect(addr)).await {
             Ok(Ok(stream)) => {
                 let _ = stream.set_nodelay(true);
                 Ok(stream)
             }
-            Ok(Err(e)) if is_local(&e) => Err(NoStream::Local),
-            Ok(Err(_)) | Err(_) => Err(NoStream::Unreached),
+            Ok(Err(e)) if is_local(&e) => Err(ConnectFailure::Local),
+            Ok(Err(_)) | Err(_) => Err(ConnectFailure::Unreachable),
         }
     }
 
-    fn keep(&self, addr: SocketAddr, stream: TcpStream) {
+    fn keep_idle(&self, addr: SocketAddr, stream: TcpStream) {
         let mut idle = self.0.idle.borrow_mut();
         idle.retain(|_, kept| {
-            kept.retain(|(since, _)| since.elapsed() < self.0.keep);
+            kept.retain(|(since, _)| since.elapsed() < self.0.keepalive);
             !kept.is_empty()
         });
-        // Descriptors are kept for calls: idle ones have what those leave, and no more.
-        let all: usize = idle.values().map(Vec::len).sum();
+        // Descriptors are reserved for calls; idle connections only use those that calls leave free.
+        let total_idle: usize = idle.values().map(Vec::len).sum();
         let kept = idle.entry(addr).or_default();
-        if kept.len() < MOST_IDLE && all + self.0.calls.get() < self.0.most {
+        if kept.len() < MAX_IDLE_PER_ADDRESS && total_idle + self.0.calls.get() < self.0.max_calls {
             kept.push((Instant::now(), stream));
         }
     }
 
-    async fn attempt(&self, forward: &Forward, stage: &Cell<AttemptStage>) -> Ending {
-        let never = || Ending::of(AttemptResult::NotExecuted);
-        if self.0.calls.get() >= self.0.most {
-            return Ending { blameless: true, ..never() };
+    async fn attempt(&self, forward: &Forward, stage: &Cell<AttemptStage>) -> ForwardEnd {
+        let never_ran = || ForwardEnd::of(AttemptResult::NotExecuted);
+        if self.0.calls.get() >= self.0.max_calls {
+            return ForwardEnd { external_cause: true, ..never_ran() };
         }
         self.0.calls.set(self.0.calls.get() + 1);
-        let _call = Call(&self.0.calls);
+        let _call = CallGuard(&self.0.calls);
         let stream = match self.connect(forward.addr).await {
             Ok(stream) => stream,
-            Err(NoStream::Unreached) => return never(),
-            Err(NoStream::Local) => {
-                // Dropped here, nothing was sent.
+            Err(ConnectFailure::Unreachable) => return never_ran(),
+            Err(ConnectFailure::Local) => {
+                // If this task is dropped here, nothing was sent.
                 tokio::time::sleep(TRY_AGAIN_AFTER).await;
-                return Ending { blameless: true, ..never() };
+                return ForwardEnd { external_cause: true, ..never_ran() };
             }
         };
-        // What the kernel knows by now of a client that left is heard before the look. Dropped here, nothing was sent.
+        // Lets the event loop handle a client that has already left before the permit is requested. If this
+        // task is dropped here, nothing was sent.
         tokio::task::yield_now().await;
         if stream.writable().await.is_err() {
-            return never();
+            return never_ran();
         }
-        // The worker may have begun to drain, or the client have left, since this was decided. Nothing is awaited between
-        // the permit and the write.
+        // The worker may have begun to drain, or the client may have left, since the decision. Nothing may be
+        // awaited between the permit and the write.
         let permit = self.0.flows.send_permit(forward, None);
         if permit.and_then(|permit| permit.check_age(Instant::now())).is_err() {
-            return Ending { blameless: true, ..never() };
+            return ForwardEnd { external_cause: true, ..never_ran() };
         }
-        let asked = forward.job.detail.as_ref().and_then(|d| d.downcast_ref::<Asked>());
-        let (head, framing, body) = match self.request(forward, asked) {
+        let context = forward.job.protocol_data.as_ref().and_then(|d| d.downcast_ref::<RequestContext>());
+        let (head, framing, body) = match self.request(forward, context) {
             Some(request) => request,
-            None => return Ending { blameless: true, ..never() },
+            None => return ForwardEnd { external_cause: true, ..never_ran() },
         };
-        let pace = asked.map_or(
+        let pace = context.map_or(
             ProgressLimits {
                 idle_timeout: Duration::from_secs(3600),
                 min_bytes_per_second: 0,
                 window: Duration::from_secs(5),
             },
-            |a| a.pace,
+            |context| context.pace,
         );
-        let method = asked.map_or(Method::POST, |a| a.head.method.clone());
+        let method = context.map_or(Method::POST, |context| context.head.method.clone());
         stage.set(AttemptStage::SendingHead);
         let (mut read, mut write) = stream.into_split();
-        let Ok(bytes) = head.encode(framing) else { return Ending { blameless: true, ..never() } };
+        let Ok(bytes) = head.encode(framing) else {
+            return ForwardEnd { external_cause: true, ..never_ran() };
+        };
         let written = write.write_all(&bytes).await;
         self.0.flows.first_byte_written(forward, None);
         if written.is_err() {
-            return Ending::of(classify(stage.get(), AttemptEnd::Broken));
+            return ForwardEnd::of(classify(stage.get(), AttemptEnd::Broken));
         }
         stage.set(AttemptStage::SendingBody);
         let upload = self.upload(body, &mut write, BodyEncoder::new(framing), pace);
-        let answer = self.answer(forward, asked, &mut read, ResponseDecoder::new(method), stage, pace);
-        let (mut uploaded, mut sent) = (false, false);
-        let mut ending = {
+        let answer = self.answer(forward, context, &mut read, ResponseDecoder::new(method), stage, pace);
+        let (mut upload_done, mut fully_sent) = (false, false);
+        let mut end = {
             tokio::pin!(upload, answer);
             loop {
-                // Both are kept over the loop: nothing that one has taken is lost when the other is ready.
+                // Neither future is dropped between iterations, so nothing that one has read is lost when the
+                // other is ready.
                 tokio::select! {
-                    done = &mut upload, if !uploaded => {
-                        uploaded = true;
+                    done = &mut upload, if !upload_done => {
+                        upload_done = true;
                         match done {
                             Ok(()) => {
-                                sent = true;
+                                fully_sent = true;
                                 if stage.get() == AttemptStage::SendingBody {
                                     stage.set(AttemptStage::AwaitingResponse);
                                 }
                             }
-                            Err(Stuck::Upstream) => {}
-                            Err(Stuck::Client) => {
+                            Err(UploadError::UpstreamClosed) => {}
+                            Err(UploadError::Client) => {
                                 let verdict = classify(stage.get(), AttemptEnd::GivenUp);
-                                break Ending { blameless: true, ..Ending::of(verdict) };
+                                break ForwardEnd { external_cause: true, ..ForwardEnd::of(verdict) };
                             }
-                            Err(Stuck::UpstreamSlow) => break Ending::of(classify(stage.get(), AttemptEnd::TimedOut)),
+                            Err(UploadError::UpstreamSlow) => break ForwardEnd::of(classify(stage.get(), AttemptEnd::TimedOut)),
                         }
                     }
-                    ending = &mut answer => break ending,
+                    end = &mut answer => break end,
                 }
             }
         };
-        ending.reusable &= sent;
-        if ending.reusable {
+        end.reusable &= fully_sent;
+        if end.reusable {
             if let Ok(stream) = read.reunite(write) {
-                self.keep(forward.addr, stream);
+                self.keep_idle(forward.addr, stream);
             }
         }
-        ending
+        end
     }
 
-    /// What is sent: of an HTTP front what it brought, of another a `POST` of the body.
-    fn request(&self, forward: &Forward, asked: Option<&Asked>) -> Option<(RequestHead, Framing, Source)> {
+    /// Builds the request: the original request of an HTTP listener, or a `POST` of the body for other
+    /// listeners.
+    fn request(
+        &self,
+        forward: &Forward,
+        context: Option<&RequestContext>,
+    ) -> Option<(RequestHead, Framing, BodySource)> {
         let job: &Job = &forward.job;
-        let mut head = match asked {
-            Some(asked) => asked.head.clone(),
+        let mut head = match context {
+            Some(context) => context.head.clone(),
             None => {
                 let mut headers = HeaderMap::new();
                 headers.insert("x-call-id", HeaderValue::from_str(&job.reference).ok()?);
                 RequestHead { method: Method::POST, target: job.path.clone(), headers }
             }
         };
-        let client = asked.and_then(|a| a.client);
+        let client = context.and_then(|context| context.client);
         forward_headers(&mut head.headers, &self.0.forwarding, client, &forward.addr.to_string());
-        // The front has answered it already.
+        // The listener has already answered it.
         head.headers.remove("expect");
         let (framing, source) = match &job.body {
-            Body::Whole(bytes) if bytes.is_empty() => (Framing::None, Source::Whole(None)),
-            Body::Whole(bytes) => (Framing::Length(bytes.len() as u64), Source::Whole(Some(bytes.clone()))),
+            Body::Whole(bytes) if bytes.is_empty() => (Framing::None, BodySource::Whole(None)),
+            Body::Whole(bytes) => {
+                (Framing::Length(bytes.len() as u64), BodySource::Whole(Some(bytes.clone())))
+            }
             Body::Stream(upload) => {
-                let framing = asked.and_then(|a| a.length).map_or(Framing::Chunked, Framing::Length);
-                (framing, Source::Stream(upload.attempt()?))
+                let framing =
+                    context.and_then(|context| context.length).map_or(Framing::Chunked, Framing::Length);
+                (framing, BodySource::Stream(upload.attempt()?))
             }
         };
         Some((head, framing, source))
@@ -288,49 +299,49 @@
 
     async fn upload(
         &self,
-        mut body: Source,
+        mut body: BodySource,
         write: &mut OwnedWriteHalf,
         mut encoder: BodyEncoder,
         limits: ProgressLimits,
-    ) -> Result<(), Stuck> {
-        let (mut client, mut upstream) = (ProgressMonitor::new(limits), ProgressMonitor::new(limits));
+    ) -> Result<(), UploadError> {
+        let (mut client_pace, mut upstream_pace) =
+            (ProgressMonitor::new(limits), ProgressMonitor::new(limits));
         let mut framed = Vec::new();
         loop {
-            client.start_waiting(self.now());
+            client_pace.start_waiting(self.now());
             let next = tokio::select! {
                 next = body.next() => next,
-                () = self.too_slow(&client) => return Err(Stuck::Client),
+                () = self.too_slow(&client_pace) => return Err(UploadError::Client),
             };
             let chunk = match next {
                 Ok(chunk) => chunk,
-                Err(Ended::Broken) => return Err(Stuck::Client),
+                Err(Ended::Broken) => return Err(UploadError::Client),
                 Err(Ended::Whole) => break,
             };
-            client.record_progress(self.now(), chunk.len());
+            client_pace.record_progress(self.now(), chunk.len());
             framed.clear();
-            let behind = encoder.data(chunk.len(), &mut framed).map_err(|_| Stuck::Client)?;
-            for mut part in [&framed[..], &chunk[..], behind] {
+            let suffix = encoder.data(chunk.len(), &mut framed).map_err(|_| UploadError::Client)?;
+            for mut part in [&framed[..], &chunk[..], suffix] {
                 while !part.is_empty() {
-                    upstream.start_waiting(self.now());
+                    upstream_pace.start_waiting(self.now());
                     let written = tokio::select! {
                         written = write.write(part) => written,
-                        () = self.too_slow(&upstream) => return Err(Stuck::UpstreamSlow),
+                        () = self.too_slow(&upstream_pace) => return Err(UploadError::UpstreamSlow),
                     };
                     match written {
                         Ok(count) if count > 0 => part = &part[count..],
-                        _ => return Err(Stuck::Upstream),
+                        _ => return Err(UploadError::UpstreamClosed),
                     }
-                    upstream.record_progress(self.now(), written.unwrap_or(0));
+                    upstream_pace.record_progress(self.now(), written.unwrap_or(0));
                 }
             }
         }
         framed.clear();
-        encoder.end(None, &mut framed).map_err(|_| Stuck::Client)?;
-        write.write_all(&framed).await.map_err(|_| Stuck::Upstream)
+        encoder.end(None, &mut framed).map_err(|_| UploadError::Client)?;
+        write.write_all(&framed).await.map_err(|_| UploadError::UpstreamClosed)
     }
 
-    /// Resolves when a peer that is waited for has been too slow. It must have moved nothing since this was
-    /// called.
+    /// Resolves when a peer that is waited for has been too slow. Only valid while that peer transfers nothing.
     async fn too_slow(&self, pace: &ProgressMonitor) {
         loop {
             let Some(due) = pace.next_check() else { return std::future::pending().await };
@@ -345,19 +356,20 @@
     async fn answer(
         &self,
         forward: &Forward,
-        asked: Option<&Asked>,
+        context: Option<&RequestContext>,
         read: &mut OwnedReadHalf,
         mut incoming: ResponseDecoder,
         stage: &Cell<AttemptStage>,
         limits: ProgressLimits,
-    ) -> Ending {
-        let (mut client, mut upstream) = (ProgressMonitor::new(limits), ProgressMonitor::new(limits));
+    ) -> ForwardEnd {
+        let (mut client_pace, mut upstream_pace) =
+            (ProgressMonitor::new(limits), ProgressMonitor::new(limits));
         let mut input = BytesMut::new();
         let mut writer: Option<Writer> = None;
-        let (mut whole, mut status) = (BytesMut::new(), 0);
+        let (mut buffered, mut status) = (BytesMut::new(), 0);
         let broken = |fault: ParseError, stage: AttemptStage| {
-            warn!(target = %forward.name, error = %fault, "upstream: not an answer");
-            Ending::of(classify(stage, AttemptEnd::Broken))
+            warn!(target = %forward.target_name, error = %fault, "upstream: invalid HTTP response");
+            ForwardEnd::of(classify(stage, AttemptEnd::Broken))
         };
         loop {
             loop {
@@ -367,20 +379,23 @@
                     Err(fault) => return broken(fault, stage.get()),
                 };
                 match event {
-                    // The server towards clients can't send trailers: they end here.
+                    // The client-facing server cannot send trailers, so they are dropped.
                     ResponseEvent::Interim(_) | ResponseEvent::Trailers(_) => {}
                     ResponseEvent::Head(head) => {
                         status = head.status.as_u16();
                         let rejected = head.headers.get("x-rejected").is_some_and(|v| v.as_bytes() == b"1");
                         let verdict = classify(stage.get(), AttemptEnd::Status(status, rejected));
                         if verdict != AttemptResult::Committed {
-                            return Ending::of(verdict);
+                            return ForwardEnd::of(verdict);
                         }
-                        if let Some(asked) = asked {
-                            match self.pass(forward, asked, head) {
-                                Some(passing) => writer = Some(passing),
+                        if let Some(context) = context {
+                            match self.start_streaming(forward, context, head) {
+                                Some(stream) => writer = Some(stream),
                                 None => {
-                                    return Ending { blameless: true, ..Ending::of(AttemptResult::GivenUp) }
+                                    return ForwardEnd {
+                                        external_cause: true,
+                                        ..ForwardEnd::of(AttemptResult::GivenUp)
+                                    }
                                 }
                             }
                             stage.set(AttemptStage::ReceivingResponse);
@@ -388,88 +403,108 @@
                     }
                     ResponseEvent::Data(data) => match &writer {
                         Some(writer) => writer.push(data),
-                        None if whole.len() + data.len() > MAX_WHOLE => {
-                            return Ending::of(AttemptResult::Failed)
+                        None if buffered.len() + data.len() > MAX_BUFFERED_ANSWER => {
+                            return ForwardEnd::of(AttemptResult::Failed)
                         }
-                        None => whole.extend_from_slice(&data),
+                        None => buffered.extend_from_slice(&data),
                     },
-                    ResponseEvent::End { reusable } => return self.whole(writer, whole, status, reusable),
+                    ResponseEvent::End { reusable } => {
+                        return self.finish_answer(writer, buffered, status, reusable)
+                    }
                 }
             }
-            let mut room = IN_ONE_GO;
+            let mut room = READ_CHUNK;
             if let Some(writer) = &writer {
-                client.start_waiting(self.now());
-                let held = tokio::select! {
+                client_pace.start_waiting(self.now());
+                let free_room = tokio::select! {
                     room = writer.room() => room,
-                    () = self.too_slow(&client) => {
-                        warn!(flow = forward.ticket.flow.0, "client too slow: its answer is cut short");
+                    () = self.too_slow(&client_pace) => {
+                        warn!(flow = forward.id.flow.0, "client too slow: answer truncated");
                         None
                     }
                 };
-                let Some(free) = held else {
-                    return Ending {
-                        blameless: true,
-                        ..Ending::of(classify(stage.get(), AttemptEnd::GivenUp))
+                let Some(free) = free_room else {
+                    return ForwardEnd {
+                        external_cause: true,
+                        ..ForwardEnd::of(classify(stage.get(), AttemptEnd::GivenUp))
                     };
                 };
-                client.record_progress(self.now(), free);
-                room = free.min(IN_ONE_GO);
+                client_pace.record_progress(self.now(), free);
+                room = free.min(READ_CHUNK);
             }
-            upstream.start_waiting(self.now());
+            upstream_pace.start_waiting(self.now());
             input.reserve(room);
             let mut limited = (&mut *read).take(room as u64);
-            let gone = async {
+            let client_gone = async {
                 match &writer {
                     Some(writer) => writer.gone().await,
                     None => std::future::pending().await,
                 }
             };
-            // Before the head it is the flow's deadline that ends this.
-            let passing = stage.get() == AttemptStage::ReceivingResponse;
-            let came = tokio::select! {
-                came = limited.read_buf(&mut input) => came,
-                () = gone => return Ending { blameless: true, ..Ending::of(classify(stage.get(), AttemptEnd::GivenUp)) },
-                () = self.too_slow(&upstream), if passing => {
-                    warn!(target = %forward.name, "upstream too slow: its answer is cut short");
-                    return Ending::of(classify(stage.get(), AttemptEnd::TimedOut));
+            // Before the head, the deadline of the flow is the time limit.
+            let is_streaming = stage.get() == AttemptStage::ReceivingResponse;
+            let read_result = tokio::select! {
+                read = limited.read_buf(&mut input) => read,
+                () = client_gone => return ForwardEnd {
+                    external_cause: true,
+                    ..ForwardEnd::of(classify(stage.get(), AttemptEnd::GivenUp))
+                },
+                () = self.too_slow(&upstream_pace), if is_streaming => {
+                    warn!(target = %forward.target_name, "upstream too slow: answer truncated");
+                    return ForwardEnd::of(classify(stage.get(), AttemptEnd::TimedOut));
                 }
             };
-            match came {
+            match read_result {
                 Ok(0) => {
                     return match incoming.eof() {
-                        Ok(Some(ResponseEvent::End { .. })) => self.whole(writer, whole, status, false),
-                        Ok(_) => Ending::of(classify(stage.get(), AttemptEnd::Broken)),
-                        Err(ParseError::Truncated) => Ending::of(classify(stage.get(), AttemptEnd::Broken)),
+                        Ok(Some(ResponseEvent::End { .. })) => {
+                            self.finish_answer(writer, buffered, status, false)
+                        }
+                        Ok(_) => ForwardEnd::of(classify(stage.get(), AttemptEnd::Broken)),
+                        Err(ParseError::Truncated) => {
+                            ForwardEnd::of(classify(stage.get(), AttemptEnd::Broken))
+                        }
                         Err(fault) => broken(fault, stage.get()),
                     }
                 }
-                Ok(count) => upstream.record_progress(self.now(), count),
-                Err(_) => return Ending::of(classify(stage.get(), AttemptEnd::Broken)),
+                Ok(count) => upstream_pace.record_progress(self.now(), count),
+                Err(_) => return ForwardEnd::of(classify(stage.get(), AttemptEnd::Broken)),
             }
         }
     }
 
-    /// From here on the answer passes; where its body goes.
-    fn pass(&self, forward: &Forward, asked: &Asked, head: ResponseHead) -> Option<Writer> {
-        let (writer, body) = asked.answer.borrow_mut().take()?;
-        let passing = Passing { head: Box::new(head), body };
-        self.0.flows.passes(forward.ticket, passing).then_some(writer)
+    /// Starts to stream the answer, and returns the writer of its body.
+    fn start_streaming(
+        &self,
+        forward: &Forward,
+        context: &RequestContext,
+        head: ResponseHead,
+    ) -> Option<Writer> {
+        let (writer, body) = context.answer.borrow_mut().take()?;
+        let streamed = StreamedAnswer { head: Box::new(head), body };
+        self.0.flows.stream_answer(forward.id, streamed).then_some(writer)
     }
 
-    fn whole(&self, writer: Option<Writer>, whole: BytesMut, status: u16, reusable: bool) -> Ending {
+    fn finish_answer(
+        &self,
+        writer: Option<Writer>,
+        buffered: BytesMut,
+        status: u16,
+        reusable: bool,
+    ) -> ForwardEnd {
         if let Some(writer) = writer {
             writer.end(Ended::Whole);
-            return Ending { reusable, ..Ending::of(AttemptResult::Completed) };
+            return ForwardEnd { reusable, ..ForwardEnd::of(AttemptResult::Completed) };
         }
-        // A front of another wire knows only what was done and what was not.
+        // A listener of another protocol only distinguishes success and failure.
         let verdict =
             if (200..300).contains(&status) { AttemptResult::Completed } else { AttemptResult::Failed };
-        Ending { result: Some(whole.freeze()), reusable, ..Ending::of(verdict) }
+        ForwardEnd { result: Some(buffered.freeze()), reusable, ..ForwardEnd::of(verdict) }
     }
 
-    fn end(&self, ticket: Ticket, ending: Ending) {
-        self.0.out.borrow_mut().remove(&ticket);
-        let outcome = match (ending.verdict, ending.blameless) {
+    fn end_forward(&self, forward_id: ForwardId, end: ForwardEnd) {
+        self.0.in_flight.borrow_mut().remove(&forward_id);
+        let outcome = match (end.verdict, end.external_cause) {
             (AttemptResult::NotExecuted, true) => Outcome::Moot,
             (AttemptResult::NotExecuted, false) => Outcome::NoRoute,
             (AttemptResult::Rejected, _) => Outcome::NoRoom,
@@ -480,21 +515,21 @@
             (AttemptResult::TimedOut, _) => Outcome::TimedOut,
             (AttemptResult::Completed | AttemptResult::Committed, _) => Outcome::Served,
         };
-        self.0.flows.ended(ticket, outcome, ending.result);
+        self.0.flows.forward_ended(forward_id, outcome, end.result);
     }
 }
 
-/// Where the body of an attempt comes from.
-enum Source {
+/// The source of an attempt's request body.
+enum BodySource {
     Whole(Option<Bytes>),
     Stream(Attempt),
 }
 
-impl Source {
+impl BodySource {
     async fn next(&mut self) -> Result<Bytes, Ended> {
         match self {
-            Source::Whole(bytes) => bytes.take().ok_or(Ended::Whole),
-            Source::Stream(attempt) => attempt.next().await,
+            BodySource::Whole(bytes) => bytes.take().ok_or(Ended::Whole),
+            BodySource::Stream(attempt) => attempt.next().await,
         }
     }
 }
@@ -502,24 +537,24 @@
 impl Target for Upstreams {
     fn forward(&self, _permit: RetryPermit, forward: Forward) {
         let (this, stage) = (self.clone(), Rc::new(Cell::new(AttemptStage::Connecting)));
-        let (ticket, at) = (forward.ticket, stage.clone());
+        let (forward_id, at) = (forward.id, stage.clone());
         let task = actix_rt::spawn(async move {
-            let ending = this.attempt(&forward, &at).await;
-            this.end(ticket, ending);
+            let end = this.attempt(&forward, &at).await;
+            this.end_forward(forward_id, end);
         });
-        self.0.out.borrow_mut().insert(ticket, Out { task, stage });
+        self.0.in_flight.borrow_mut().insert(forward_id, InFlight { task, stage });
     }
 
     fn cancel(&self, forward: Forward) {
-        let Some(out) = self.0.out.borrow_mut().remove(&forward.ticket) else { return };
+        let Some(out) = self.0.in_flight.borrow_mut().remove(&forward.id) else { return };
         let this = self.clone();
         actix_rt::spawn(async move {
-            // The end of the connection gives the attempt up: an upstream sees a broken request, never a whole
-            // one that nobody waits for.
+            // Closing the connection cancels the attempt: the upstream sees a truncated request instead of a
+            // complete one that nobody waits for.
             out.task.abort();
             let _ = out.task.await;
             let verdict = classify(out.stage.get(), AttemptEnd::GivenUp);
-            this.end(forward.ticket, Ending { blameless: true, ..Ending::of(verdict) });
+            this.end_forward(forward.id, ForwardEnd { external_cause: true, ..ForwardEnd::of(verdict) });
         });
     }
 
@@ -528,14 +563,14 @@
         actix_rt::spawn(async move {
             let outcome = loop {
                 let connect = TcpStream::connect(addr);
-                match tokio::time::timeout(this.0.connect_within, connect).await {
+                match tokio::time::timeout(this.0.connect_timeout, connect).await {
                     Ok(Ok(_)) => break Outcome::Served,
-                    // A probe that this machine could not make has no result.
+                    // A probe that failed for a local reason says nothing about the worker; it is retried.
                     Ok(Err(e)) if is_local(&e) => tokio::time::sleep(TRY_AGAIN_AFTER * 2).await,
                     Ok(Err(_)) | Err(_) => break Outcome::NoRoute,
                 }
             };
-            this.0.flows.probed(target, outcome, None);
+            this.0.flows.probe_ended(target, outcome, None);
         });
     }
 }
