--- a/fleet/src/consensus.rs
+++ b/fleet/src/consensus.rs
@@ -256,10 +256,10 @@
         step: ConfigurationStep,
     ) -> Result<(), String> {
         if !self.leads() {
-            return Err("this replica is not the leader".into());
+            return Err("this voter does not lead".into());
         }
         if self.node.raft.has_pending_conf() {
-            return Err("another configuration change is in progress".into());
+            return Err("another change of the voters is under way".into());
         }
         let mut change = ConfChange { node_id: replica_id, ..ConfChange::default() };
         change.set_change_type(match step {
