--- a/simhost/src/main.rs
+++ b/simhost/src/main.rs
@@ -1,5 +1,5 @@
-//! The adapter between the simulator's wire and the decision module. It turns lines into events and
-//! actions into lines, keeps the instances apart, and decides nothing.
+//! Adapter between the simulator's line protocol and the decision module. It translates lines into events and
+//! actions into lines for any number of independent instances, and makes no decisions of its own.
 
 mod wire;
 
@@ -18,10 +18,10 @@
     has_tenants: bool,
 }
 
-/// A worker list that is still being read.
+/// A worker list whose rows have not all been read.
 struct OpenList {
     id: u8,
-    missing: usize,
+    remaining: usize,
     entries: Vec<WorkerEntry>,
 }
 
@@ -38,15 +38,15 @@
 }
 
 impl Host {
-    /// Takes one line; true if it closed a batch, so that the reply is complete.
-    fn line(&mut self, line: &str) -> Result<bool, String> {
+    /// Processes one line. Returns true if it ends a batch; the reply is then complete.
+    fn process_line(&mut self, line: &str) -> Result<bool, String> {
         let mut f = Fields::new(line);
         let name = f.text("name")?;
         if self.open_list.is_some() && name != "M" {
-            return Err("the list before it has fewer entries than it said".into());
+            return Err("the open INVENTORY has fewer rows than rows_in states".into());
         }
         if self.now.is_none() && name != "TICK" {
-            return Err(format!("{name:?} stands outside a batch"));
+            return Err(format!("{name:?} received outside a batch"));
         }
         let event = match name {
             "TICK" => {
@@ -83,16 +83,16 @@
                 None
             }
             "INVENTORY" => {
-                let (id, missing) = (f.int("roster_id")?, f.int("rows_in")?);
-                self.open_list = Some(OpenList { id, missing, entries: Vec::new() });
-                self.close_list();
+                let (id, remaining) = (f.int("roster_id")?, f.int("rows_in")?);
+                self.open_list = Some(OpenList { id, remaining, entries: Vec::new() });
+                self.finish_list();
                 None
             }
             "M" => {
                 let list = self.open_list.as_mut().ok_or("no list is open")?;
-                list.entries.push(entry(&mut f)?);
-                list.missing -= 1;
-                self.close_list();
+                list.entries.push(worker_entry(&mut f)?);
+                list.remaining -= 1;
+                self.finish_list();
                 None
             }
             "BACKENDS_CHANGED" => {
@@ -109,12 +109,12 @@
                     None => Event::ListFailed,
                     Some(kind) => {
                         let id = id.ok_or("field roster_id is missing")?;
-                        let list = self.lists.get(&id).ok_or(format!("list {id} was never given"))?;
+                        let list = self.lists.get(&id).ok_or(format!("list {id} was never received"))?;
                         Event::WorkerList(kind, list.clone())
                     }
                 })
             }
-            "INGRESS" => Some(self.request(&mut f)?),
+            "INGRESS" => Some(self.request_event(&mut f)?),
             "ABORTED" => Some(Event::Aborted(request_id(&mut f)?)),
             "STARTED" => {
                 let id = request_id(&mut f)?;
@@ -150,7 +150,7 @@
             }
             "REMINDER" => Some(Event::Timer(f.int("ref")?)),
             "DATAGRAM" => {
-                // Other instances have nothing to say: no decision rests on a message.
+                // Messages from other instances are ignored: no decision depends on them.
                 let _: u32 = f.int("origin_peer")?;
                 f.text("data")?;
                 None
@@ -164,13 +164,13 @@
         Ok(false)
     }
 
-    fn close_list(&mut self) {
-        if let Some(list) = self.open_list.take_if(|l| l.missing == 0) {
+    fn finish_list(&mut self) {
+        if let Some(list) = self.open_list.take_if(|l| l.remaining == 0) {
             self.lists.insert(list.id, list.entries.into());
         }
     }
 
-    fn request(&self, f: &mut Fields<'_>) -> Result<Event, String> {
+    fn request_event(&self, f: &mut Fields<'_>) -> Result<Event, String> {
         let i = self.selected.ok_or("no instance is selected")?;
         let instance = self.instances.get(&i).ok_or(format!("instance {i} has not started"))?;
         let id = request_id(f)?;
@@ -213,7 +213,7 @@
     Ok(WorkerId(f.int("worker")?))
 }
 
-fn entry(f: &mut Fields<'_>) -> Result<WorkerEntry, String> {
+fn worker_entry(f: &mut Fields<'_>) -> Result<WorkerEntry, String> {
     let worker = worker(f)?;
     let zone = ZoneId(f.int("rack_zone")?);
     let kind = KindId(f.int("hw")?);
@@ -271,7 +271,7 @@
         if text.is_empty() && host.now.is_none() {
             continue;
         }
-        if host.line(text).map_err(|e| format!("line {number}: {e}"))? {
+        if host.process_line(text).map_err(|e| format!("line {number}: {e}"))? {
             output.write_all(&host.reply).and_then(|()| output.flush()).map_err(|e| e.to_string())?;
         }
     }
--- a/simhost/src/wire.rs
+++ b/simhost/src/wire.rs
@@ -1,4 +1,4 @@
-//! One line of the wire, cut into fields, and the values in them.
+//! Parser for the tab-separated fields of one protocol line and their values.
 
 use lineroute::{Micros, Outcome, Report};
 
@@ -12,7 +12,7 @@
         Fields { rest: Some(line) }
     }
 
-    /// The next field as it stands.
+    /// The next field, unparsed.
     pub fn text(&mut self, name: &str) -> Result<&'a str, String> {
         let rest = self.rest.ok_or_else(|| format!("field {name} is missing"))?;
         match rest.split_once('\t') {
@@ -27,12 +27,12 @@
         }
     }
 
-    /// All that is left of the line.
+    /// The remainder of the line.
     pub fn remainder(&mut self, name: &str) -> Result<&'a str, String> {
         self.rest.take().ok_or_else(|| format!("field {name} is missing"))
     }
 
-    /// The next field, or nothing where it is `-`.
+    /// The next field, or `None` if it is `-`.
     pub fn optional(&mut self, name: &str) -> Result<Option<&'a str>, String> {
         Ok(Some(self.text(name)?).filter(|t| *t != "-"))
     }
@@ -43,7 +43,7 @@
         text.parse().map_err(|_| format!("field {name}: {text:?} is not a whole number in range"))
     }
 
-    /// A whole number, or nothing.
+    /// A whole number, or `None` if the field is `-`.
     pub fn int_opt<T: std::str::FromStr>(&mut self, name: &str) -> Result<Option<T>, String> {
         match self.optional(name)? {
             None => Ok(None),
@@ -54,22 +54,22 @@
         }
     }
 
-    /// A number, or nothing.
+    /// A number, or `None` if the field is `-`.
     pub fn number_opt(&mut self, name: &str) -> Result<Option<f64>, String> {
         self.optional(name)?.map(|text| number(name, text)).transpose()
     }
 
-    /// Milliseconds, as microseconds.
+    /// A time in milliseconds, converted to microseconds.
     pub fn time(&mut self, name: &str) -> Result<Micros, String> {
         self.time_opt(name)?.ok_or_else(|| format!("field {name} is missing"))
     }
 
-    /// Milliseconds, as microseconds, or nothing.
+    /// A time in milliseconds, converted to microseconds, or `None` if the field is `-`.
     pub fn time_opt(&mut self, name: &str) -> Result<Option<Micros>, String> {
         Ok(self.number_opt(name)?.map(|ms| (ms.max(0.0) * 1000.0).round() as Micros))
     }
 
-    /// A flag; absent counts as not set.
+    /// A flag, `0` or `1`; `-` counts as not set.
     pub fn flag(&mut self, name: &str) -> Result<bool, String> {
         match self.optional(name)? {
             None | Some("0") => Ok(false),
@@ -93,7 +93,7 @@
         })
     }
 
-    /// A load report, if there is one. Values with unknown names are skipped.
+    /// A load report, if present. Values with unknown names are ignored.
     pub fn report(&mut self, name: &str) -> Result<Option<Report>, String> {
         let Some(text) = self.optional(name)?.filter(|t| !t.is_empty()) else { return Ok(None) };
         let mut report = Report::default();
@@ -112,11 +112,11 @@
         Ok(Some(report))
     }
 
-    /// Nothing may follow.
+    /// Fails if any fields are left.
     pub fn end(&mut self) -> Result<(), String> {
         match self.rest {
             None => Ok(()),
-            Some(rest) => Err(format!("{rest:?} follows the last field")),
+            Some(rest) => Err(format!("unexpected {rest:?} after the last field")),
         }
     }
 }
