--- a/tests/cold_ramp.rs
+++ b/tests/cold_ramp.rs
@@ -585,20 +585,20 @@
 /// learnt from the jobs that run at the same time.
 #[test]
 fn workers_that_report_nothing_are_used_while_cold_and_within_their_budget() {
-    let reporting = simulate_each(0..SMALL_DRAWS, |seed| small_tier(seed, ReportSource::Responses));
-    let silent = simulate_each(0..SMALL_DRAWS, |seed| small_tier(seed, ReportSource::None));
-    print_sums(&reporting);
-    print_sums(&silent);
+    let with_reports = simulate_each(0..SMALL_DRAWS, |seed| small_tier(seed, ReportSource::Responses));
+    let without_reports = simulate_each(0..SMALL_DRAWS, |seed| small_tier(seed, ReportSource::None));
+    print_sums(&with_reports);
+    print_sums(&without_reports);
     let used = |results: &[(u64, Scenario, RunResult)]| {
         results.iter().map(|(_, _, result)| (result.used / result.capacity).min(1.0)).sum::<f64>()
     };
-    for (seed, scenario, result) in &silent {
+    for (seed, scenario, result) in &without_reports {
         assert!(result.worst <= 1.0, "seed {seed}: {result:?} in {scenario:?}");
     }
-    let (of_silent, of_reporting) = (used(&silent), used(&reporting));
+    let (used_without_reports, used_with_reports) = (used(&without_reports), used(&with_reports));
     assert!(
-        of_silent >= of_reporting / 2.0,
-        "cold capacity used: {of_silent:.2} without load reports, {of_reporting:.2} with them"
+        used_without_reports >= used_with_reports / 2.0,
+        "cold capacity used: {used_without_reports:.2} without load reports, {used_with_reports:.2} with them"
     );
 }
 
