--- a/dispatcher/src/admin/api.rs
+++ b/dispatcher/src/admin/api.rs
@@ -7,7 +7,7 @@
 
 /// A worker and what is in force for it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct WorkerLine {
+pub struct WorkerStatus {
     pub worker: String,
     pub addr: String,
     pub zone: String,
@@ -26,12 +26,12 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Workers {
     pub dispatcher: String,
-    pub workers: Vec<WorkerLine>,
+    pub workers: Vec<WorkerStatus>,
 }
 
 /// An override and how it stands. Times are Unix time in milliseconds.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct OverrideLine {
+pub struct OverrideStatus {
     pub id: String,
     pub worker: String,
     /// `weight`, `out-of-service` or `pinned`.
@@ -52,20 +52,20 @@
     /// `in force`, `no such worker`, `worker out of service` or `beaten`.
     pub standing: String,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub beaten: Option<Beaten>,
+    pub beaten: Option<SupersededBy>,
 }
 
 /// What has beaten an override.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Beaten {
+pub struct SupersededBy {
     pub id: String,
     pub by: String,
     pub at_ms: u64,
 }
 
-impl OverrideLine {
+impl OverrideStatus {
     /// A line of the table, as seen at that moment.
-    pub fn of(line: &OverrideEntry, now: u64) -> OverrideLine {
+    pub fn from_entry(line: &OverrideEntry, now: u64) -> OverrideStatus {
         let record = &line.record;
         let (class, tenant) = match &record.slot.scope {
             Scope::Pinned { class, tenant } => {
@@ -78,10 +78,10 @@
             Standing::UnknownWorker => ("no such worker", None),
             Standing::WorkerOutOfService => ("worker out of service", None),
             Standing::Superseded { id, by, at } => {
-                ("beaten", Some(Beaten { id: id.clone(), by: by.to_string(), at_ms: *at }))
+                ("beaten", Some(SupersededBy { id: id.clone(), by: by.to_string(), at_ms: *at }))
             }
         };
-        OverrideLine {
+        OverrideStatus {
             id: record.stamp.to_string(),
             worker: record.slot.worker.to_string(),
             kind: record.slot.scope.word().into(),
@@ -105,9 +105,9 @@
 
 /// `GET /overrides`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Overridden {
+pub struct OverrideList {
     pub dispatcher: String,
-    pub overrides: Vec<OverrideLine>,
+    pub overrides: Vec<OverrideStatus>,
 }
 
 /// `POST /overrides`: one of `weight`, `out_of_service` and `pin`.
@@ -149,7 +149,7 @@
     pub saved: Option<bool>,
     /// How what was set stands.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub set: Option<OverrideLine>,
+    pub set: Option<OverrideStatus>,
 }
 
 /// `GET /flows`.
@@ -170,7 +170,7 @@
     /// Open flows by class.
     pub classes: BTreeMap<String, usize>,
     /// How far the worker list can be relied on.
-    pub list: ListLine,
+    pub list: WorkerListStatus,
     /// What may be done, and what was done all the same.
     pub permits: PermitCounts,
     /// Job status updates of the platform's workers.
@@ -183,7 +183,7 @@
 
 /// The state of the worker list.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct ListLine {
+pub struct WorkerListStatus {
     /// `unconfirmed`, `confirmed`, `watched`, `unreachable`, `turned_away` or `expired`.
     pub state: String,
     /// The version in use.
--- a/dispatcher/src/admin/auth.rs
+++ b/dispatcher/src/admin/auth.rs
@@ -38,7 +38,7 @@
 
     /// Whether this is a key. Takes as long for a wrong one as for a right one: hashes are compared, in
     /// constant time, and all of them.
-    pub fn admits(&self, key: &str) -> bool {
+    pub fn accepts(&self, key: &str) -> bool {
         let given = blake3::hash(key.as_bytes());
         self.0.iter().fold(false, |admitted, own| admitted | (*own == given))
     }
@@ -61,9 +61,9 @@
     #[test]
     fn one_key_or_two_are_admitted_and_nothing_else() {
         let keys = AdminKeys::parse("# old\nabcdefghijklmnop\n\nponmlkjihgfedcba\n").expect("keys");
-        assert!(keys.admits("abcdefghijklmnop") && keys.admits("ponmlkjihgfedcba"));
+        assert!(keys.accepts("abcdefghijklmnop") && keys.accepts("ponmlkjihgfedcba"));
         for wrong in ["", "abcdefghijklmno", "abcdefghijklmnopq", "# old"] {
-            assert!(!keys.admits(wrong), "{wrong}");
+            assert!(!keys.accepts(wrong), "{wrong}");
         }
         assert_eq!(
             first_key("#\n abcdefghijklmnop\nx"),
--- a/dispatcher/src/admin/calls.rs
+++ b/dispatcher/src/admin/calls.rs
@@ -1,14 +1,14 @@
 //! What each call on the admin listener does.
 
 use super::api::{
-    ClearOrder, Done, Fault, FlowCounts, ListLine, Overridden, OverrideLine, PeerCounts, PermitCounts,
-    SetOrder, WorkerLine, Workers,
+    ClearOrder, Done, Fault, FlowCounts, OverrideList, OverrideStatus, PeerCounts, PermitCounts, SetOrder,
+    WorkerListStatus, WorkerStatus, Workers,
 };
 use crate::body::Budgets;
 use crate::facade::Stage;
 use crate::fleet::api::ReplaceOrder;
 use crate::flow::{Flows, PermitStatsReport};
-use crate::listeners::http::Phase;
+use crate::listeners::http::ListenerLifecycle;
 use crate::overrides::{now, Overrides};
 use crate::siblings::Siblings;
 use crate::targets::http::HttpTargets;
@@ -33,7 +33,7 @@
 const CONSOLE_AUTHOR: &str = "door";
 
 /// All that calls may look at or change.
-pub struct Calls {
+pub struct AdminService {
     pub dispatcher: String,
     pub classes: Vec<String>,
     pub flows: Flows,
@@ -45,9 +45,9 @@
     pub fleet: Option<fleet::Handle>,
     /// The other processes of this dispatcher, where there may be some.
     pub siblings: Option<Rc<Siblings>>,
-    pub phase: Rc<Phase>,
+    pub lifecycle: Rc<ListenerLifecycle>,
     /// The longest that an override may last, in milliseconds: a cordon lasts so long unless it is lifted.
-    pub longest: u64,
+    pub max_override_ms: u64,
 }
 
 /// A status and a JSON body.
@@ -82,8 +82,8 @@
     Ok(value)
 }
 
-impl Calls {
-    pub async fn answer(&self, method: &Method, path: &str, body: &[u8]) -> Reply {
+impl AdminService {
+    pub async fn handle(&self, method: &Method, path: &str, body: &[u8]) -> Reply {
         self.flows.refresh_operator_state();
         let id = path.strip_prefix("/overrides/").map(unescape);
         match (path, method, id) {
@@ -123,7 +123,7 @@
         let workers = self.flows.listed_targets().into_iter().map(|seen| {
             let weight = forces.weights.iter().find(|w| *w.0 == *seen.name).map_or(1.0, |w| w.1);
             let pins = forces.pins.iter().filter(|p| *p.worker == *seen.name);
-            WorkerLine {
+            WorkerStatus {
                 addr: seen.addr.to_string(),
                 zone: seen.zone.to_string(),
                 kind: seen.kind.to_string(),
@@ -140,11 +140,11 @@
         Workers { dispatcher: self.dispatcher.clone(), workers: workers.collect() }
     }
 
-    fn listed(&self) -> Overridden {
+    fn listed(&self) -> OverrideList {
         let now = now();
         let lines = self.overrides.lines();
-        let overrides = lines.iter().map(|line| OverrideLine::of(line, now)).collect();
-        Overridden { dispatcher: self.dispatcher.clone(), overrides }
+        let overrides = lines.iter().map(|line| OverrideStatus::from_entry(line, now)).collect();
+        OverrideList { dispatcher: self.dispatcher.clone(), overrides }
     }
 
     fn counts(&self) -> FlowCounts {
@@ -171,9 +171,9 @@
         }
     }
 
-    fn list(&self) -> ListLine {
+    fn list(&self) -> WorkerListStatus {
         let list = self.flows.list_report();
-        ListLine {
+        WorkerListStatus {
             state: list.state.to_string(),
             version: list.version,
             confirmed_ms_ago: list.confirmed_ago.map(|ago| ago.as_millis() as u64),
@@ -212,7 +212,7 @@
         let record = self.overrides.set(order).map_err(refused)?;
         let saved = self.saved().await;
         let lines = self.overrides.lines();
-        let set = lines.iter().find(|l| l.record == record).map(|l| OverrideLine::of(l, now()));
+        let set = lines.iter().find(|l| l.record == record).map(|l| OverrideStatus::from_entry(l, now()));
         Ok(json(StatusCode::CREATED, &Done { id: record.stamp.to_string(), saved, set }))
     }
 
@@ -233,7 +233,7 @@
         Ok(json(StatusCode::OK, &Done { id: id.into(), saved: self.saved().await, set: None }))
     }
 
-    /// Takes a worker out until [`Calls::uncordon`]: an out-of-service override for as long as any may last,
+    /// Takes a worker out until [`AdminService::uncordon`]: an out-of-service override for as long as any may last,
     /// the same that `/overrides` sets. A worker that is out already stays so, untouched.
     ///
     /// # Errors
@@ -248,7 +248,7 @@
             if !self.flows.was_listed(worker) {
                 return Err(format!("no worker {worker} was ever listed"));
             }
-            let until = now() + self.longest;
+            let until = now() + self.max_override_ms;
             let order = OverrideRequest {
                 slot: slot.clone(),
                 weight: None,
@@ -293,7 +293,7 @@
         let (revision, record) = self.overrides.with(|table| (table.revision(), table.latest(slot)));
         let share = async {
             match (&self.siblings, &record) {
-                (Some(siblings), Some(record)) => siblings.share(record).await,
+                (Some(siblings), Some(record)) => siblings.replicate_override(record).await,
                 _ => false,
             }
         };
--- a/dispatcher/src/admin/console.rs
+++ b/dispatcher/src/admin/console.rs
@@ -1,11 +1,11 @@
 //! The line-protocol admin console at `admin_addr`: one command a connection, `health`, `cordon ID`, `uncordon ID`,
 //! answered with a line that begins with `OK` or `ERR`. Cordons are out-of-service overrides, set and lifted
-//! through the same [`Calls`] as the JSON listener: one core of commands.
+//! through the same [`AdminService`] as the JSON listener: one core of commands.
 //!
 //! Protected against: callers that never finish their line (closed 3 s after they came), floods of connections
 //! (a bound; those beyond it hear `ERR` at once), lines that are long or not text (`ERR` and a reason).
 
-use super::Calls;
+use super::AdminService;
 use crate::accept::AcceptRetry;
 use crate::local_faults::open_patiently;
 use crate::siblings::protocol::{MAX_CALL, PREFIX};
@@ -38,7 +38,7 @@
 }
 
 /// Serves the console on this thread. Never ends; dropped, calls that were accepted go on.
-pub async fn serve(socket: TcpListener, calls: Rc<Calls>) {
+pub async fn serve(socket: TcpListener, calls: Rc<AdminService>) {
     let open = Rc::new(Cell::new(0usize));
     let mut retry = AcceptRetry::new("admin console");
     loop {
@@ -62,7 +62,7 @@
     }
 }
 
-async fn serve_call(mut stream: TcpStream, calls: &Calls, full: bool) {
+async fn serve_call(mut stream: TcpStream, calls: &AdminService, full: bool) {
     let answer = match full {
         true => "ERR busy: too many calls at once, come again in 1 s".to_owned(),
         false => match tokio::time::timeout(LINE_WITHIN, line(&mut stream)).await {
@@ -111,10 +111,13 @@
     }
 }
 
-fn answer_sibling(call: &str, calls: &Calls) -> String {
+fn answer_sibling(call: &str, calls: &AdminService) -> String {
     let Some(siblings) = &calls.siblings else { return "ERR no siblings are known here".into() };
-    let parts =
-        ProcessParts { overrides: &calls.overrides, targets: &calls.targets, is_up: calls.phase.is_up() };
+    let parts = ProcessParts {
+        overrides: &calls.overrides,
+        targets: &calls.targets,
+        is_up: calls.lifecycle.is_ready(),
+    };
     let answered = siblings
         .answer(call, &parts)
         .and_then(|answer| serde_json::to_string(&answer).map_err(|e| e.to_string()));
@@ -124,7 +127,7 @@
     }
 }
 
-async fn answer(command: Command, calls: &Calls) -> String {
+async fn answer(command: Command, calls: &AdminService) -> String {
     let since = Instant::now();
     let done = match &command {
         Command::Health => Ok("serving"),
--- a/dispatcher/src/admin/mod.rs
+++ b/dispatcher/src/admin/mod.rs
@@ -8,7 +8,7 @@
 pub mod console;
 mod refusals;
 
-pub use calls::Calls;
+pub use calls::AdminService;
 
 use crate::accept::AcceptRetry;
 use crate::config::{Admin, AdminAddr};
@@ -45,7 +45,7 @@
 
 impl Handle {
     /// Goes over to other keys.
-    pub fn rekey(&self, keys: Option<AdminKeys>) {
+    pub fn set_keys(&self, keys: Option<AdminKeys>) {
         *self.0.borrow_mut() = keys;
     }
 }
@@ -108,7 +108,7 @@
 ///
 /// # Errors
 /// The address can't be bound.
-pub async fn start(config: Admin, calls: Rc<Calls>) -> Result<Handle, String> {
+pub async fn start(config: Admin, calls: Rc<AdminService>) -> Result<Handle, String> {
     let socket = Socket::bind(&config.listen).await?;
     info!(addr = %socket.addr(&config.listen), "admin listens");
     let keys = Rc::new(RefCell::new(config.keys));
@@ -119,7 +119,7 @@
 
 struct Front {
     keys: Rc<RefCell<Option<AdminKeys>>>,
-    calls: Rc<Calls>,
+    calls: Rc<AdminService>,
     open: Cell<usize>,
 }
 
@@ -181,7 +181,7 @@
     async fn reply(&self, mut request: Request) -> Reply {
         let given = request.headers().get(header::AUTHORIZATION).and_then(|v| v.to_str().ok());
         let given = given.and_then(|v| v.strip_prefix("Bearer ")).unwrap_or_default();
-        let admitted = self.keys.borrow().as_ref().is_none_or(|keys| keys.admits(given));
+        let admitted = self.keys.borrow().as_ref().is_none_or(|keys| keys.accepts(given));
         if !admitted {
             warn!("admin: a call without the key");
             return fault(
@@ -210,7 +210,7 @@
         let by = request_start + WHOLE_WITHIN;
         let late = || Err(fault(StatusCode::REQUEST_TIMEOUT, None, "the body did not come in time"));
         match tokio::time::timeout_at(by.into(), read).await.unwrap_or_else(|_| late()) {
-            Ok(body) => self.calls.answer(&method, &path, &body).await,
+            Ok(body) => self.calls.handle(&method, &path, &body).await,
             Err(reply) => reply,
         }
     }
--- a/dispatcher/src/cli/overrides.rs
+++ b/dispatcher/src/cli/overrides.rs
@@ -4,7 +4,7 @@
 use super::span::{after, left, moment, until};
 use super::workers::{lines, table};
 use super::{print, print_json, Failure};
-use crate::admin::api::{ClearOrder, Done, Overridden, OverrideLine, SetOrder};
+use crate::admin::api::{ClearOrder, Done, OverrideList, OverrideStatus, SetOrder};
 use awc::http::Method;
 use chrono::{DateTime, Local};
 use clap::{ArgGroup, Subcommand};
@@ -88,7 +88,7 @@
 }
 
 fn list(admin: &Admin, json: bool) -> Result<(), Failure> {
-    let answer: Overridden = admin.call(Method::GET, "/overrides", None::<&()>)?;
+    let answer: OverrideList = admin.call(Method::GET, "/overrides", None::<&()>)?;
     if json {
         return print_json(&answer);
     }
@@ -117,7 +117,7 @@
     print(&lines(&table))
 }
 
-fn what(line: &OverrideLine) -> String {
+fn what(line: &OverrideStatus) -> String {
     match (line.weight, &line.class, &line.tenant) {
         (Some(weight), ..) => format!("weight {weight}"),
         (_, Some(class), Some(tenant)) => format!("pinned {class}/{tenant}"),
@@ -126,7 +126,7 @@
     }
 }
 
-fn standing(line: &OverrideLine, now: DateTime<Local>) -> String {
+fn standing(line: &OverrideStatus, now: DateTime<Local>) -> String {
     match (&line.beaten, line.kind.as_str()) {
         (Some(b), _) => format!("beaten by {} ({}, {})", b.id, b.by, moment(b.at_ms, now)),
         (None, "pinned") if line.standing != "in force" => format!("{}: falls back", line.standing),
--- a/dispatcher/src/cli/workers.rs
+++ b/dispatcher/src/cli/workers.rs
@@ -2,7 +2,7 @@
 
 use super::client::Admin;
 use super::{print, print_json, Failure};
-use crate::admin::api::{WorkerLine, Workers};
+use crate::admin::api::{WorkerStatus, Workers};
 use awc::http::Method;
 use comfy_table::{presets, Table};
 
@@ -38,7 +38,7 @@
     }
     let mut table = table(&["WORKER", "ADDRESS", "ZONE", "KIND", "STATE", "FORWARDS", "IN FORCE"]);
     for line in &answer.workers {
-        let WorkerLine { worker, addr, zone, kind, state, forwards, .. } = line;
+        let WorkerStatus { worker, addr, zone, kind, state, forwards, .. } = line;
         let mut force = Vec::new();
         if line.out_of_service {
             force.push("out-of-service".to_owned());
--- a/dispatcher/src/listeners/beanstalkd/mod.rs
+++ b/dispatcher/src/listeners/beanstalkd/mod.rs
@@ -85,7 +85,7 @@
     }
 
     /// Jobs that are open, and answers that nobody has fetched and deleted.
-    pub fn left(&self) -> usize {
+    pub fn unfinished_jobs(&self) -> usize {
         self.tubes.borrow().len()
     }
 
--- a/dispatcher/src/listeners/http.rs
+++ b/dispatcher/src/listeners/http.rs
@@ -52,12 +52,12 @@
     b"HTTP/1.1 431 Request Header Fields Too Large\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
 /// A class or tenant as the settings name it, and a class's own deadline.
-pub struct Vocabulary {
+pub struct WorkloadNames {
     pub classes: Vec<(String, Duration)>,
     pub tenants: Vec<String>,
 }
 
-impl Vocabulary {
+impl WorkloadNames {
     pub fn class(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|c| c.0 == name)
     }
@@ -75,7 +75,7 @@
 const SIBLING_WITHIN: Duration = Duration::from_secs(15);
 
 /// What the front has come to, between start and exit.
-pub struct Phase {
+pub struct ListenerLifecycle {
     /// Others may accept from the socket too, and what stands in its queue is theirs as well.
     shared: bool,
     /// What stands in the queue is left to them.
@@ -94,10 +94,10 @@
     over: Notify,
 }
 
-impl Phase {
+impl ListenerLifecycle {
     /// A front at its start, which waits for this list. `shared`: others may accept from its socket too.
     pub fn new(list: Rc<ListMonitor>, shared: bool) -> Self {
-        Phase {
+        ListenerLifecycle {
             shared,
             leaves_queue: Cell::default(),
             queue_changed: Notify::new(),
@@ -117,12 +117,12 @@
     }
 
     /// Whether others may accept from the socket too.
-    pub fn is_shared(&self) -> bool {
+    pub fn is_socket_shared(&self) -> bool {
         self.shared
     }
 
     /// Leaves what stands in the socket's queue to the others that accept from it, or takes part again.
-    pub fn leave_queue(&self, leaves: bool) {
+    pub fn pause_accepting(&self, leaves: bool) {
         if self.leaves_queue.replace(leaves) != leaves {
             info!(leaves, "new connections are left to another process");
             self.queue_changed.notify_one();
@@ -130,29 +130,29 @@
     }
 
     /// Whether clients may be sent here. Once they may, they may until the stop.
-    pub fn is_up(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         let up = self.up.get() || self.list.state().is_valid() || self.began.elapsed() >= UP_WITHOUT_LIST;
         self.up.set(up);
         up && !self.closing.get()
     }
 
     /// From here on every answer ends its connection.
-    pub fn close(&self) {
+    pub fn start_draining(&self) {
         self.closing.set(true);
     }
 
     /// From here on nothing new is taken, and connections at rest end.
-    pub fn shut(&self) {
+    pub fn start_stopping(&self) {
         self.shut.set(true);
         self.idle.notify_waiters();
     }
 
     /// Nothing is owed any more, and no calls are to come: the listening socket closes.
-    pub fn end(&self) {
+    pub fn close_socket(&self) {
         self.over.notify_one();
     }
 
-    pub fn is_shut(&self) -> bool {
+    pub fn is_stopping(&self) -> bool {
         self.shut.get()
     }
 
@@ -182,17 +182,17 @@
 pub struct HttpListener {
     pub flows: Flows,
     pub targets: HttpTargets,
-    pub words: Rc<Vocabulary>,
+    pub names: Rc<WorkloadNames>,
     pub routes: Vec<Route>,
-    pub phase: Rc<Phase>,
+    pub lifecycle: Rc<ListenerLifecycle>,
     pub slots: Rc<ConnectionSlots>,
     /// The memory that bodies in passage share.
     pub budgets: Budgets,
     /// The other processes of this dispatcher, where there may be some.
     pub siblings: Option<Rc<Siblings>>,
     /// Begins the ids of jobs that came without one; how many have.
-    pub prefix: String,
-    pub made: Cell<u64>,
+    pub id_prefix: String,
+    pub generated_ids: Cell<u64>,
 }
 
 /// Hands the answer to the task that holds the connection.
@@ -221,7 +221,7 @@
 }
 
 impl HttpListener {
-    /// Accepts and serves connections, until the phase has come to its end.
+    /// Accepts and serves connections, until the lifecycle has come to its end.
     pub async fn serve(self: Rc<Self>, socket: TcpListener) {
         let this = self.clone();
         let service = move |request: Request| {
@@ -244,14 +244,14 @@
         let mut retry = AcceptRetry::new("http");
         loop {
             // The end comes first: there may be somebody in the queue for ever.
-            if self.phase.over.notified().now_or_never().is_some() {
+            if self.lifecycle.over.notified().now_or_never().is_some() {
                 break;
             }
-            if self.phase.leaves_queue.get() {
+            if self.lifecycle.leaves_queue.get() {
                 // Nothing is lost with the one that is dropped: a notice that nobody waits for is kept.
                 tokio::select! {
-                    () = self.phase.over.notified() => break,
-                    () = self.phase.queue_changed.notified() => continue,
+                    () = self.lifecycle.over.notified() => break,
+                    () = self.lifecycle.queue_changed.notified() => continue,
                 }
             }
             // One that need not be waited for stood in the queue.
@@ -265,8 +265,8 @@
                     // Both can be dropped here: a connection that is not accepted stands in the queue.
                     let accepted = tokio::select! {
                         accepted = socket.accept() => accepted,
-                        () = self.phase.over.notified() => break,
-                        () = self.phase.queue_changed.notified() => continue,
+                        () = self.lifecycle.over.notified() => break,
+                        () = self.lifecycle.queue_changed.notified() => continue,
                     };
                     // It was empty until this one came: those behind it came no sooner.
                     arrivals.queue_is_empty(arrivals.earliest(Instant::now()));
@@ -289,7 +289,7 @@
         stops::at("stop.over");
         // A socket that closes resets what stands in its queue. The kernel is asked, since the event loop may not have
         // heard; nothing is awaited until it is closed.
-        if self.phase.shared {
+        if self.lifecycle.shared {
             return;
         }
         for (stream, peer) in queued(&socket) {
@@ -311,7 +311,7 @@
         };
         taken.slot.has_unread(since);
         let screened = self.routes.iter().any(|r| r.passing.is_some());
-        let (phase, flows) = (self.phase.clone(), self.flows.clone());
+        let (lifecycle, flows) = (self.lifecycle.clone(), self.flows.clone());
         actix_rt::spawn(async move {
             let guarded = Guarded::new(stream, taken.slot.clone(), screened);
             let mut served = pin!(service.call((guarded.clone(), Some(peer))));
@@ -323,7 +323,7 @@
                     biased;
                     cut = taken.slot.until_cut() => (Some(cut), taken.slot.cut_facts(cut)),
                     () = guarded.watch() => (None, taken.slot.close_facts(CloseReason::ClientClosed)),
-                    () = phase.until_ended(&guarded) => {
+                    () = lifecycle.until_ended(&guarded) => {
                         (None, taken.slot.close_facts(CloseReason::Stopping))
                     }
                     // Errors here are those of the peer: it went, or what it sent was no HTTP.
@@ -345,7 +345,7 @@
                     Some(Cut::Malformed) if !taken.slot.was_answered() => guarded.say(MALFORMED),
                     Some(Cut::Late) if !taken.slot.was_answered() => guarded.say(LATE),
                     Some(Cut::TooLong) if !taken.slot.was_answered() => guarded.say(TOO_LONG),
-                    None if phase.closing.get() => return guarded.close().await,
+                    None if lifecycle.closing.get() => return guarded.close().await,
                     Some(_) | None => {}
                 }
                 guarded.end().await;
@@ -365,7 +365,7 @@
         if let Some(slot) = slot.filter(|_| !passes(&response)) {
             slot.set(Stage::Idle);
         }
-        if self.phase.closing.get() {
+        if self.lifecycle.closing.get() {
             response.head_mut().set_connection_type(ConnectionType::Close);
         }
         response
@@ -384,8 +384,10 @@
         let (get, post) = (request.method() == Method::GET, request.method() == Method::POST);
         let path = request.path().to_owned();
         match path.as_str() {
-            "/up" if get && self.phase.is_up() => plain(StatusCode::OK, "up\n"),
-            "/up" if get && self.phase.closing.get() => plain(StatusCode::SERVICE_UNAVAILABLE, "stopping\n"),
+            "/up" if get && self.lifecycle.is_ready() => plain(StatusCode::OK, "up\n"),
+            "/up" if get && self.lifecycle.closing.get() => {
+                plain(StatusCode::SERVICE_UNAVAILABLE, "stopping\n")
+            }
             "/up" if get => plain(StatusCode::SERVICE_UNAVAILABLE, "waiting for the worker list\n"),
             "/_jobs/news" if post => match body(&mut request, slot).await {
                 Err(status) => plain(status, "no body could be read\n"),
@@ -412,23 +414,23 @@
     async fn job_update(&self, update: JobUpdate, slot: Option<&ConnectionSlot>) -> Response<Bytes> {
         let delivery = if self.targets.has_attempt(&update) {
             self.targets.apply_update(update);
-            Delivery::Taken
+            Delivery::Accepted
         } else {
             let delivery = match &self.siblings {
-                Some(siblings) => siblings.deliver(&update).await,
-                None if self.phase.may_have_sibling() => Delivery::NotNow,
+                Some(siblings) => siblings.forward_update(&update).await,
+                None if self.lifecycle.may_have_sibling() => Delivery::Unavailable,
                 None => Delivery::Unknown,
             };
             self.targets.count_foreign_update(&update, delivery);
             delivery
         };
         match delivery {
-            Delivery::Taken => {
+            Delivery::Accepted => {
                 slot.into_iter().for_each(ConnectionSlot::is_workers);
                 plain(StatusCode::OK, "")
             }
             Delivery::Unknown => plain(StatusCode::OK, ""),
-            Delivery::NotNow => {
+            Delivery::Unavailable => {
                 plain(StatusCode::SERVICE_UNAVAILABLE, "tell it again: its process can't be asked\n")
             }
         }
@@ -466,7 +468,7 @@
         reference: &str,
         slot: Option<&ConnectionSlot>,
     ) -> Result<StartPermit, StartRefusal> {
-        let facts = StartFacts { process: self.phase.state(), client_gone: gone(slot) };
+        let facts = StartFacts { process: self.lifecycle.state(), client_gone: gone(slot) };
         self.flows.start_permit(reference, facts)
     }
 
@@ -495,8 +497,8 @@
             Some(id) => id.to_owned(),
             // An operator's route is open to clients that know nothing of the platform.
             None if route.class.is_some() => {
-                self.made.set(self.made.get() + 1);
-                format!("{}-h{}", self.prefix, self.made.get())
+                self.generated_ids.set(self.generated_ids.get() + 1);
+                format!("{}-h{}", self.id_prefix, self.generated_ids.get())
             }
             None => return Err("X-Call-Id is missing\n"),
         };
@@ -506,14 +508,14 @@
         }
         let class = match (route.class, text(headers, "x-call-class")?) {
             (Some(class), _) => class,
-            (None, Some(name)) => self.words.class(name).ok_or("X-Call-Class is no class\n")?,
+            (None, Some(name)) => self.names.class(name).ok_or("X-Call-Class is no class\n")?,
             (None, None) => return Err("X-Call-Class is missing\n"),
         };
         let tenant = match text(headers, "x-caller")? {
-            Some(name) => Some(self.words.tenant(name).ok_or("X-Caller is no tenant\n")?),
+            Some(name) => Some(self.names.tenant(name).ok_or("X-Caller is no tenant\n")?),
             None => None,
         };
-        let longest = route.budget.unwrap_or(self.words.classes[class].1);
+        let longest = route.budget.unwrap_or(self.names.classes[class].1);
         let budget = match text(headers, "x-budget-ms")? {
             Some(ms) => ms.trim().parse().map_err(|_| "X-Budget-Ms is not a whole number\n")?,
             None => longest.as_millis() as u64,
--- a/dispatcher/src/listeners/pass.rs
+++ b/dispatcher/src/listeners/pass.rs
@@ -80,7 +80,7 @@
         if length.is_some_and(|l| l > passing.max_body) {
             return text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n");
         }
-        if self.phase.is_shut() {
+        if self.lifecycle.is_stopping() {
             return refused(BUSY_RETRY).map_into_boxed_body();
         }
         let Some(answer) = self.budgets.stream() else { return refused(BUSY_RETRY).map_into_boxed_body() };
--- a/dispatcher/src/listeners/socket.rs
+++ b/dispatcher/src/listeners/socket.rs
@@ -15,7 +15,7 @@
 
 /// Where the clients' socket comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Origin {
+pub enum SocketSource {
     /// Bind this address.
     Bind(SocketAddr),
     /// Take the listening socket that this descriptor holds.
@@ -26,12 +26,12 @@
 ///
 /// # Errors
 /// The address can't be bound, or the descriptor holds no listening TCP socket.
-pub async fn open(origin: Origin) -> Result<TcpListener, String> {
+pub async fn open(origin: SocketSource) -> Result<TcpListener, String> {
     match origin {
-        Origin::Bind(addr) => {
+        SocketSource::Bind(addr) => {
             open_patiently(|| TcpListener::bind(addr)).await.map_err(|e| format!("{addr}: {e}"))
         }
-        Origin::Inherited(fd) => inherit(fd),
+        SocketSource::Inherited(fd) => inherit(fd),
     }
 }
 
--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -38,8 +38,8 @@
 use list::{ListSource, NameTable};
 use listeners::beanstalkd::BeanstalkdListener;
 use listeners::connection_slots::ConnectionSlots;
-use listeners::http::{HttpListener, Phase, Vocabulary};
-use listeners::socket::Origin;
+use listeners::http::{HttpListener, ListenerLifecycle, WorkloadNames};
+use listeners::socket::SocketSource;
 use overrides::Overrides;
 use peers::discovery_reports::DiscoveryReports;
 use rustc_hash::FxHashMap;
@@ -123,7 +123,7 @@
                     handle.rekey(peers.keys);
                 }
                 if let (Some(handle), Some(admin)) = (admin, config.admin) {
-                    handle.rekey(admin.keys);
+                    handle.set_keys(admin.keys);
                 }
             }
             Err(faults) => faults.iter().for_each(|fault| warn!(fault, "SIGHUP: the old settings stay")),
@@ -139,7 +139,7 @@
     targets: &HttpTargets,
     budgets: &Budgets,
     reports: &Rc<DiscoveryReports>,
-    phase: &Rc<Phase>,
+    lifecycle: &Rc<ListenerLifecycle>,
 ) -> Result<Started, String> {
     let (classes, tenants) = (config.site.classes.clone(), config.site.tenants.clone());
     let fleet = match config.fleet.take() {
@@ -153,7 +153,7 @@
     let mut table = Table::new(&config.name, config.longest);
     let store = match &config.state_dir {
         Some(StateDir::Named(dir)) => Some(Store::open(dir)?),
-        Some(StateDir::Temporary(dir)) => Some(Store::open_later(dir)),
+        Some(StateDir::Temporary(dir)) => Some(Store::open_lazily(dir)),
         None => None,
     };
     if let Some(store) = &store {
@@ -176,7 +176,7 @@
     };
     let (dispatcher, flows, longest) = (config.name.clone(), flows.clone(), config.longest);
     let (budgets, peer) = (budgets.clone(), peers.clone());
-    let calls = admin::Calls {
+    let calls = admin::AdminService {
         dispatcher,
         classes,
         flows,
@@ -187,8 +187,8 @@
         store,
         fleet: fleet.clone(),
         siblings,
-        phase: phase.clone(),
-        longest,
+        lifecycle: lifecycle.clone(),
+        max_override_ms: longest,
     };
     let calls = Rc::new(calls);
     let admin = match config.admin.take() {
@@ -202,7 +202,7 @@
 #[derive(Default)]
 struct Started {
     reloaded: Reloaded,
-    calls: Option<Rc<admin::Calls>>,
+    calls: Option<Rc<admin::AdminService>>,
 }
 
 async fn run(mut config: Config, sources: Sources) -> Result<(), String> {
@@ -215,7 +215,7 @@
     let site = config.site.clone();
     let deadlines = site.settings.classes.iter().map(|c| Duration::from_micros(c.deadline));
     let longest_deadline = deadlines.clone().max().unwrap_or_default();
-    let words = Vocabulary {
+    let words = WorkloadNames {
         classes: site.classes.iter().cloned().zip(deadlines).collect(),
         tenants: site.tenants.clone(),
     };
@@ -267,15 +267,15 @@
         peers::load_gossip::start(peers, flows.clone(), discovery_reports.clone()).await?;
     }
     let shared = config.inherited.is_some();
-    let phase = Rc::new(Phase::new(monitor.clone(), shared));
+    let lifecycle = Rc::new(ListenerLifecycle::new(monitor.clone(), shared));
     let Started { reloaded: control, calls } =
-        control(&mut config, &flows, &targets, &budgets, &discovery_reports, &phase).await?;
+        control(&mut config, &flows, &targets, &budgets, &discovery_reports, &lifecycle).await?;
     let fleet = control.fleet.clone();
     let _ = reloaded.set(control);
     let Config { routes, known, .. } = config;
     let origin = match config.inherited {
-        Some(fd) => Origin::Inherited(fd),
-        None => Origin::Bind(config.listen),
+        Some(fd) => SocketSource::Inherited(fd),
+        None => SocketSource::Bind(config.listen),
     };
     let slots = ConnectionSlots::new(config.inbound, arrivals.clone());
     stops::at("start.listen");
@@ -319,14 +319,14 @@
     let listener = HttpListener {
         flows: flows.clone(),
         targets,
-        words: Rc::new(words),
+        names: Rc::new(words),
         routes,
-        phase: phase.clone(),
+        lifecycle: lifecycle.clone(),
         slots: slots.clone(),
         budgets,
         siblings: siblings.clone(),
-        prefix,
-        made: Cell::new(0),
+        id_prefix: prefix,
+        generated_ids: Cell::new(0),
     };
     let serving = actix_rt::spawn(Rc::new(listener).serve(socket));
     if let (Some(socket), Some(calls)) = (console, calls) {
@@ -334,7 +334,7 @@
     }
 
     term.recv().await;
-    let running = Running { flows, phase, front, fleet, siblings, serving, slots, longest_deadline };
+    let running = Running { flows, lifecycle, front, fleet, siblings, serving, slots, longest_deadline };
     running.stop().await;
     Ok(())
 }
--- a/dispatcher/src/siblings/mod.rs
+++ b/dispatcher/src/siblings/mod.rs
@@ -41,11 +41,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
     /// A sibling has the job.
-    Taken,
+    Accepted,
     /// No process has it: it is over, or was never there.
     Unknown,
     /// A sibling that may have it can't be asked now: it has to be told again.
-    NotNow,
+    Unavailable,
 }
 
 /// The other processes of this dispatcher, as this one knows them.
@@ -111,7 +111,7 @@
     }
 
     /// Takes this process out of the folder.
-    pub fn leave(&self) {
+    pub fn unregister(&self) {
         self.registry.remove(&self.own);
     }
 
@@ -136,18 +136,18 @@
     }
 
     /// Passes a worker's update on to whoever has the job.
-    pub async fn deliver(&self, update: &JobUpdate) -> Delivery {
-        let Ok(others) = self.others() else { return Delivery::NotNow };
+    pub async fn forward_update(&self, update: &JobUpdate) -> Delivery {
+        let Ok(others) = self.others() else { return Delivery::Unavailable };
         let asked = others.iter().map(|other| self.ask(other, Request::JobUpdate(update.clone())));
         let mut delivery = Delivery::Unknown;
         for (other, answer) in others.iter().zip(join_all(asked).await) {
             match answer {
-                Ok(Answer::Taken) => return Delivery::Taken,
+                Ok(Answer::Taken) => return Delivery::Accepted,
                 Ok(_) | Err(CallError::Gone) => {}
                 Err(e) => {
                     let (reference, state) = (&*update.id, &*update.state);
                     info!(sibling = other.process, reference, state, error = %e, "siblings: an update is refused");
-                    delivery = Delivery::NotNow;
+                    delivery = Delivery::Unavailable;
                 }
             }
         }
@@ -155,7 +155,7 @@
     }
 
     /// Tells the others of an override. True: it is in force in each of them.
-    pub async fn share(&self, record: &Record) -> bool {
+    pub async fn replicate_override(&self, record: &Record) -> bool {
         let Ok(others) = self.others() else { return false };
         let line = log_line(record);
         let told = others.iter().map(|other| self.ask(other, Request::Overrides(vec![line.clone()])));
--- a/dispatcher/src/stop.rs
+++ b/dispatcher/src/stop.rs
@@ -4,7 +4,7 @@
 use crate::flow::Flows;
 use crate::listeners::beanstalkd::BeanstalkdListener;
 use crate::listeners::connection_slots::ConnectionSlots;
-use crate::listeners::http::Phase;
+use crate::listeners::http::ListenerLifecycle;
 use crate::siblings::protocol::State;
 use crate::siblings::Siblings;
 use std::rc::Rc;
@@ -38,7 +38,7 @@
 /// What a stop has to end, in its order.
 pub struct Running {
     pub flows: Flows,
-    pub phase: Rc<Phase>,
+    pub lifecycle: Rc<ListenerLifecycle>,
     pub front: Option<Rc<BeanstalkdListener>>,
     pub fleet: Option<fleet::Handle>,
     /// The other processes of this dispatcher, where there may be some.
@@ -59,18 +59,18 @@
     /// Takes nothing new, answers what was taken before the platform may kill the process, and ends its connections. Dropped, it leaves
     /// off where it was.
     pub async fn stop(self) {
-        let Running { flows, phase, front, fleet, siblings, serving, slots, longest_deadline } = self;
+        let Running { flows, lifecycle, front, fleet, siblings, serving, slots, longest_deadline } = self;
         info!(flows = flows.unanswered_flows(), "SIGTERM: stopping");
         let since = Instant::now();
         let report = actix_rt::spawn(report_stop(flows.clone(), since));
-        phase.close();
+        lifecycle.start_draining();
         siblings.iter().for_each(|siblings| siblings.stop());
-        let queue = siblings.clone().filter(|_| phase.is_shared());
-        let queue = queue.map(|siblings| actix_rt::spawn(leave_queue(siblings, phase.clone())));
+        let queue = siblings.clone().filter(|_| lifecycle.is_socket_shared());
+        let queue = queue.map(|siblings| actix_rt::spawn(leave_queue(siblings, lifecycle.clone())));
         front.iter().for_each(|f| f.stop());
         let last_moment = last_moment(longest_deadline);
         tokio::time::sleep(KEEP_TAKING.min(last_moment)).await;
-        phase.shut();
+        lifecycle.start_stopping();
         info!(flows = flows.unanswered_flows(), "SIGTERM: new requests are refused from here on");
         let settled = async {
             while flows.unanswered_flows() > 0 {
@@ -84,7 +84,7 @@
             while_within(GIVE_UP_WITHIN, || flows.forwards_in_flight() > 0).await;
         }
         info!("SIGTERM: every request has its answer");
-        while_within(KEEP_ANSWERS, || front.as_ref().is_some_and(|f| f.left() > 0)).await;
+        while_within(KEEP_ANSWERS, || front.as_ref().is_some_and(|f| f.unfinished_jobs() > 0)).await;
         while_within(PASS_ON, || flows.streaming_answers() > 0).await;
         if flows.streaming_answers() > 0 {
             warn!(flows = flows.streaming_answers(), "SIGTERM: answers that were passing are cut short");
@@ -95,23 +95,23 @@
         let ledger = flows.permit_stats();
         info!(sent = ledger.sent, refused = ?ledger.refused, violations = ?ledger.violations, "SIGTERM: permits since the start");
         // Whoever still waits in the listener's queue is let in and refused; then there is none.
-        phase.end();
+        lifecycle.close_socket();
         let _ = serving.await;
         while_within(LAST_WORDS, || slots.count() > 0).await;
-        siblings.iter().for_each(|siblings| siblings.leave());
+        siblings.iter().for_each(|siblings| siblings.unregister());
         queue.iter().for_each(JoinHandle::abort);
         report.abort();
     }
 }
 
 /// Leaves new connections to a sibling that serves them, for as long as there is one. Aborted, it leaves things as they are.
-async fn leave_queue(siblings: Rc<Siblings>, phase: Rc<Phase>) {
+async fn leave_queue(siblings: Rc<Siblings>, lifecycle: Rc<ListenerLifecycle>) {
     loop {
         let states = siblings.states().await;
         // Until new requests are refused here, a sibling that has no list yet would serve them later than this process.
         let is_served =
-            states.contains(&State::Serving) || phase.is_shut() && states.contains(&State::Starting);
-        phase.leave_queue(is_served);
+            states.contains(&State::Serving) || lifecycle.is_stopping() && states.contains(&State::Starting);
+        lifecycle.pause_accepting(is_served);
         tokio::time::sleep(ASK_SIBLINGS_EVERY).await;
     }
 }
--- a/dispatcher/src/store/mod.rs
+++ b/dispatcher/src/store/mod.rs
@@ -85,7 +85,7 @@
     /// # Errors
     /// It can't be made or written to.
     pub fn open(dir: &Path) -> Result<Store, String> {
-        let store = Store::open_later(dir);
+        let store = Store::open_lazily(dir);
         let opened = LogFile::open(dir);
         let fault = |e: io::Error| format!("operator's file: state_dir: {}: {e}", dir.display());
         store.0.borrow_mut().log = Some(opened.map_err(fault)?);
@@ -93,7 +93,7 @@
     }
 
     /// The same for a folder that may be full or fail: it is opened when it can be.
-    pub fn open_later(dir: &Path) -> Store {
+    pub fn open_lazily(dir: &Path) -> Store {
         Store(Rc::new(RefCell::new(Inner {
             dir: dir.into(),
             log: None,
--- a/dispatcher/src/targets/http.rs
+++ b/dispatcher/src/targets/http.rs
@@ -108,9 +108,9 @@
         debug!(reference, worker, state, ?delivery, "job status update for no attempt of this process");
         let counts = &mut *self.counts.borrow_mut();
         match delivery {
-            Delivery::Taken => counts.passed_on += 1,
+            Delivery::Accepted => counts.passed_on += 1,
             Delivery::Unknown => counts.unknown += 1,
-            Delivery::NotNow => counts.refused += 1,
+            Delivery::Unavailable => counts.refused += 1,
         }
     }
 
