--- a/dispatcher/src/listeners/http.rs
+++ b/dispatcher/src/listeners/http.rs
@@ -1,5 +1,5 @@
-//! The platform's front: jobs by `POST`, each on a connection that waits for its answer; the workers' calls;
-//! and `/up`. Thin: what a header means is settled here, everything else in the core.
+//! The HTTP listener: jobs submitted by `POST`, each answered on the connection it came on; job status updates
+//! from workers; and the readiness check `/up`. It only parses requests and headers; all decisions are made in the core.
 
 use super::connection_slots::{ConnectionSlot, ConnectionSlots, Cut, Stage, WHOLE_WITHIN};
 use super::guard::{write_now, Guarded};
@@ -32,18 +32,18 @@
 use tokio::sync::{oneshot, Notify};
 use tracing::info;
 
-/// A body holds so much at most.
+/// The largest request body that is accepted.
 pub const MAX_BODY: usize = 64 << 10;
-/// Idle connections of clients are kept so long.
+/// How long an idle client connection is kept open.
 const KEEP_ALIVE: Duration = Duration::from_secs(120);
-/// What a client is told that this dispatcher can't take on: others may have room at once.
+/// `Retry-After` for a client that this dispatcher has no capacity for. Short, because other dispatchers may have capacity now.
 pub(super) const BUSY_RETRY: Duration = Duration::from_millis(250);
 const LONGEST_ID: usize = 128;
-/// The body of a request that is turned away unread is usually on its way: it is let come for so long.
+/// How long to read the body of a request that is rejected by its head: the body is usually in transit already.
 const UNWANTED_WITHIN: Duration = Duration::from_millis(250);
-/// More than a day of work is no guess.
+/// Upper bound for the client's estimate of a job's run time: one day.
 const LONGEST_WORK_US: f64 = 86_400e6;
-/// What is said to those whom the server never came to speak with.
+/// Responses written to the socket directly, for connections that the HTTP server can't answer itself.
 const NO_SLOT: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 0.250\r\n\
     Content-Length: 0\r\n\r\n";
 const LATE: &[u8] = b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
@@ -51,7 +51,7 @@
 const TOO_LONG: &[u8] =
     b"HTTP/1.1 431 Request Header Fields Too Large\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-/// A class or tenant as the settings name it, and a class's own deadline.
+/// Names of the configured classes, each with its default deadline, and of the configured tenants.
 pub struct WorkloadNames {
     pub classes: Vec<(String, Duration)>,
     pub tenants: Vec<String>,
@@ -67,35 +67,37 @@
     }
 }
 
-/// A process says that it is up once its worker list was confirmed, or so long after its start without one: until then it
-/// can't serve what is sent to it, and others can.
+/// How long after its start a process without a confirmed worker list reports that it is ready all the same. Before that it can't
+/// serve what is sent to it, while other dispatchers can.
 const UP_WITHOUT_LIST: Duration = Duration::from_secs(4);
 
-/// A process whose socket was inherited may have a sibling that it knows nothing of for so long: the one that it replaces.
+/// How long after its start a process with an inherited socket assumes that the process it replaces may still run without
+/// being known as a sibling.
 const SIBLING_WITHIN: Duration = Duration::from_secs(15);
 
-/// What the front has come to, between start and exit.
+/// Lifecycle of the HTTP listener: readiness, draining and stopping.
 pub struct ListenerLifecycle {
-    /// Others may accept from the socket too, and what stands in its queue is theirs as well.
+    /// Other processes may accept from the same socket, so connections in its queue are not this process's alone.
     shared: bool,
-    /// What stands in the queue is left to them.
+    /// Queued connections are left to the other processes.
     leaves_queue: Cell<bool>,
     queue_changed: Notify,
-    /// The worker list was valid once, or was waited for long enough.
+    /// The worker list has been valid at least once, or [`READY_WITHOUT_LIST_AFTER`] has passed.
     up: Cell<bool>,
     list: Rc<ListMonitor>,
     began: Instant,
-    /// Answers carry `Connection: close`.
+    /// Responses carry `Connection: close`.
     closing: Cell<bool>,
-    /// New jobs are refused.
+    /// New requests are refused.
     shut: Cell<bool>,
     idle: Notify,
-    /// Nobody is let in.
+    /// The listening socket is to be closed.
     over: Notify,
 }
 
 impl ListenerLifecycle {
-    /// A front at its start, which waits for this list. `shared`: others may accept from its socket too.
+    /// The state at process start. Readiness waits for a valid worker list. `shared`: other processes may accept from the
+    /// same socket.
     pub fn new(list: Rc<ListMonitor>, shared: bool) -> Self {
         ListenerLifecycle {
             shared,
@@ -111,17 +113,17 @@
         }
     }
 
-    /// Whether another process may accept from the same socket that this one has no way to ask.
+    /// Whether a process that is not known as a sibling, and so can't be called, may accept from the same socket.
     fn may_have_sibling(&self) -> bool {
         self.shared && (self.closing.get() || self.began.elapsed() < SIBLING_WITHIN)
     }
 
-    /// Whether others may accept from the socket too.
+    /// Whether other processes may accept from the same socket.
     pub fn is_socket_shared(&self) -> bool {
         self.shared
     }
 
-    /// Leaves what stands in the socket's queue to the others that accept from it, or takes part again.
+    /// Pauses accepting, which leaves queued connections to the other processes on the socket, or resumes it.
     pub fn pause_accepting(&self, leaves: bool) {
         if self.leaves_queue.replace(leaves) != leaves {
             info!(leaves, "new connections are left to another process");
@@ -129,25 +131,25 @@
         }
     }
 
-    /// Whether clients may be sent here. Once they may, they may until the stop.
+    /// Whether clients may be routed here. Once true, it stays true until draining starts.
     pub fn is_ready(&self) -> bool {
         let up = self.up.get() || self.list.state().is_valid() || self.began.elapsed() >= UP_WITHOUT_LIST;
         self.up.set(up);
         up && !self.closing.get()
     }
 
-    /// From here on every answer ends its connection.
+    /// From now on every response closes its connection.
     pub fn start_draining(&self) {
         self.closing.set(true);
     }
 
-    /// From here on nothing new is taken, and connections at rest end.
+    /// From now on new requests are refused, and idle connections are closed.
     pub fn start_stopping(&self) {
         self.shut.set(true);
         self.idle.notify_waiters();
     }
 
-    /// Nothing is owed any more, and no calls are to come: the listening socket closes.
+    /// Closes the listening socket. Called once all requests are answered and no further calls from workers are expected.
     pub fn close_socket(&self) {
         self.over.notify_one();
     }
@@ -156,7 +158,7 @@
         self.shut.get()
     }
 
-    /// What the process is at.
+    /// The state of the process, as the permit rules see it.
     pub fn state(&self) -> ProcessState {
         match (self.shut.get(), self.closing.get()) {
             (true, _) => ProcessState::Stopping,
@@ -165,9 +167,9 @@
         }
     }
 
-    /// For one connection, from its start: resolves when it ends for the stop, at rest. One that has begun a request is
-    /// answered, and its answer ends it. One that comes later is not ended so: workers still have calls to make of the
-    /// flows that are being finished.
+    /// Resolves when the connection has to be closed because the process stops, which happens only while it is idle. A request
+    /// in progress is answered, and its response closes the connection. Connections accepted after the stop has begun are not
+    /// closed here: workers still send updates for the flows that are being finished.
     async fn until_ended(&self, guarded: &Guarded) {
         if !self.shut.get() {
             self.idle.notified().await;
@@ -186,26 +188,26 @@
     pub routes: Vec<Route>,
     pub lifecycle: Rc<ListenerLifecycle>,
     pub slots: Rc<ConnectionSlots>,
-    /// The memory that bodies in passage share.
+    /// Memory shared by all bodies that are being streamed.
     pub budgets: Budgets,
-    /// The other processes of this dispatcher, where there may be some.
+    /// The other processes of this dispatcher; `None` if there can't be any.
     pub siblings: Option<Rc<Siblings>>,
-    /// Begins the ids of jobs that came without one; how many have.
+    /// Prefix of the ids generated for jobs that came without one, and how many were generated.
     pub id_prefix: String,
     pub generated_ids: Cell<u64>,
 }
 
-/// Hands the answer to the task that holds the connection.
+/// Passes the answer to the task that serves the connection.
 struct Waiting(oneshot::Sender<Answer>);
 
 impl Listener for Waiting {
     fn answer(self: Box<Self>, answer: Answer) {
-        // A client that has gone in this very moment has been told of by its connection.
+        // If the receiver is gone, the client has disconnected, and its connection has already reported that.
         let _ = self.0.send(answer);
     }
 }
 
-/// The connection's claim on a flow. When the client goes, the task ends where it waits, and this tells.
+/// Reports to the core that the client has left if the waiting task is dropped before the flow is answered.
 struct Claim {
     flows: Flows,
     id: FlowId,
@@ -221,7 +223,7 @@
 }
 
 impl HttpListener {
-    /// Accepts and serves connections, until the lifecycle has come to its end.
+    /// Accepts and serves connections until the listening socket is to be closed.
     pub async fn serve(self: Rc<Self>, socket: TcpListener) {
         let this = self.clone();
         let service = move |request: Request| {
@@ -230,10 +232,10 @@
         };
         let factory = HttpService::<Guarded, _, _>::build()
             .keep_alive(KeepAlive::Timeout(KEEP_ALIVE))
-            // Both are the slots' and the guard's.
+            // Both time-outs are enforced by the connection slots and the guarded stream.
             .client_request_timeout(Duration::ZERO)
             .client_disconnect_timeout(Duration::ZERO)
-            // What can't be read behind a request in hand must not end that one: the guard sees clients go.
+            // Unreadable data after a request must not abort that request; the guarded stream detects disconnects.
             .h1_allow_half_closed(true)
             .on_connect_ext(|io: &Guarded, data| drop(data.insert(io.slot.clone())))
             .h1(actix_service::fn_service(service).into_factory());
@@ -243,18 +245,18 @@
         let arrivals = &self.slots.arrivals;
         let mut retry = AcceptRetry::new("http");
         loop {
-            // The end comes first: there may be somebody in the queue for ever.
+            // Checked first: the accept queue may never become empty.
             if self.lifecycle.over.notified().now_or_never().is_some() {
                 break;
             }
             if self.lifecycle.leaves_queue.get() {
-                // Nothing is lost with the one that is dropped: a notice that nobody waits for is kept.
+                // Dropping the losing branch loses nothing: `Notify` keeps a permit that nobody waited for.
                 tokio::select! {
                     () = self.lifecycle.over.notified() => break,
                     () = self.lifecycle.queue_changed.notified() => continue,
                 }
             }
-            // One that need not be waited for stood in the queue.
+            // A connection that is accepted without waiting was in the queue.
             let looked = Instant::now();
             let at_once = socket.accept().now_or_never();
             let queued = at_once.is_some();
@@ -262,13 +264,13 @@
                 Some(accepted) => accepted,
                 None => {
                     arrivals.queue_is_empty(looked);
-                    // Both can be dropped here: a connection that is not accepted stands in the queue.
+                    // Cancel-safe: a connection that is not accepted stays in the queue.
                     let accepted = tokio::select! {
                         accepted = socket.accept() => accepted,
                         () = self.lifecycle.over.notified() => break,
                         () = self.lifecycle.queue_changed.notified() => continue,
                     };
-                    // It was empty until this one came: those behind it came no sooner.
+                    // The queue was empty until this connection came, so connections behind it came no earlier.
                     arrivals.queue_is_empty(arrivals.earliest(Instant::now()));
                     accepted
                 }
@@ -283,12 +285,12 @@
                 }
                 Err(e) => retry.failed(&e).await,
             }
-            // One that gave way ends before the next comes: guards the bound on descriptors.
+            // Lets an evicted connection close before the next accept, which keeps to the limit on file descriptors.
             tokio::task::yield_now().await;
         }
         stops::at("stop.over");
-        // A socket that closes resets what stands in its queue. The kernel is asked, since the event loop may not have
-        // heard; nothing is awaited until it is closed.
+        // Closing the socket resets the connections in its queue, so they are accepted first. The kernel is asked directly, since
+        // the event loop may not know of them yet, and nothing is awaited before the socket is closed.
         if self.lifecycle.shared {
             return;
         }
@@ -298,14 +300,14 @@
         }
     }
 
-    /// Serves one connection. What came with it came after `since`.
+    /// Serves one connection. Bytes that are already in its socket arrived after `since`.
     fn admit<S>(&self, service: Rc<S>, stream: TcpStream, peer: SocketAddr, since: Instant)
     where
         S: Service<(Guarded, Option<SocketAddr>)> + 'static,
     {
         let _ = stream.set_nodelay(true);
         let Some(taken) = self.slots.take() else {
-            // All slots are in work. Nothing was taken, so nothing is lost.
+            // Every slot is processing a request. Nothing was read from this connection, so the client can safely retry.
             write_now(&stream, NO_SLOT);
             return;
         };
@@ -316,9 +318,9 @@
             let guarded = Guarded::new(stream, taken.slot.clone(), screened);
             let mut served = pin!(service.call((guarded.clone(), Some(peer))));
             let cut = loop {
-                // In this order: a request that is read in the moment of its client's end must not be taken. Whoever is
-                // dropped behind the loop holds nothing but a flow's claim, which tells the core; what is dropped in it
-                // looks at the connection's state anew.
+                // Order matters: a request that is read just as its client disconnects must not be accepted. Futures dropped
+                // after the loop hold only a flow guard, which reports to the core; those dropped inside it check the
+                // connection's state again in the next round.
                 let (cut, facts) = tokio::select! {
                     biased;
                     cut = taken.slot.until_cut() => (Some(cut), taken.slot.cut_facts(cut)),
@@ -326,7 +328,7 @@
                     () = lifecycle.until_ended(&guarded) => {
                         (None, taken.slot.close_facts(CloseReason::Stopping))
                     }
-                    // Errors here are those of the peer: it went, or what it sent was no HTTP.
+                    // Errors here are the peer's: it disconnected, or sent invalid HTTP.
                     _ = served.as_mut() => {
                         if taken.slot.stage() == Stage::InWork && !taken.slot.has_left() {
                             flows.closed_with_answer_pending();
@@ -350,8 +352,8 @@
                 }
                 guarded.end().await;
             };
-            // Guards the bound on descriptors: one whose last words are said is not lingered on where its slot is needed.
-            // Dropped, the connection closes; nothing is owed on it.
+            // Keeps to the limit on file descriptors: a connection that has had its last response does not linger when its slot
+            // is needed. Dropping it closes it; no response is pending.
             tokio::select! {
                 () = ended => {}
                 () = taken.slot.until_away() => {}
@@ -409,8 +411,8 @@
         }
     }
 
-    /// A worker's job status update: of a job here, or of one that a sibling process has. It is answered well only where one of
-    /// them has taken it or none has the job; else the worker tells it again.
+    /// Handles a worker's job status update, for a job of this process or of a sibling. Answered with 200 only if one of them
+    /// has accepted it or none has the job; otherwise with 503, so that the worker sends it again.
     async fn job_update(&self, update: JobUpdate, slot: Option<&ConnectionSlot>) -> Response<Bytes> {
         let delivery = if self.targets.has_attempt(&update) {
             self.targets.apply_update(update);
@@ -462,7 +464,7 @@
         }
     }
 
-    /// The permit to take a request that is whole.
+    /// The permit to accept a request that was read completely.
     pub(super) fn start_permit(
         &self,
         reference: &str,
@@ -472,7 +474,7 @@
         self.flows.start_permit(reference, facts)
     }
 
-    /// Opens a flow and waits for its answer. When the client goes, the flow is left.
+    /// Opens a flow and waits for its answer. If this future is dropped because the client has gone, the core is told.
     pub(super) async fn take(
         &self,
         job: Job,
@@ -495,7 +497,7 @@
         let headers = request.headers();
         let id = match text(headers, "x-call-id")? {
             Some(id) => id.to_owned(),
-            // An operator's route is open to clients that know nothing of the platform.
+            // Routes with a class set by the operator also serve clients that don't send the platform's headers.
             None if route.class.is_some() => {
                 self.generated_ids.set(self.generated_ids.get() + 1);
                 format!("{}-h{}", self.id_prefix, self.generated_ids.get())
@@ -524,7 +526,7 @@
         let slots = info.split(',').filter_map(|pair| pair.trim().split_once('='));
         let slots = slots.filter(|(name, _)| *name == "width").find_map(|(_, v)| v.parse::<f64>().ok());
         let slots = slots.filter(|s| s.is_finite() && *s > 0.0).unwrap_or(1.0);
-        // A guess that can't be read is none: it must not cost the job its place.
+        // An unreadable estimate is ignored: it must not make the job fail.
         let work = text(headers, "x-call-cost")?.and_then(|us| us.trim().parse::<f64>().ok());
         let work = work.filter(|us| us.is_finite() && *us >= 1.0).map(|us| us.min(LONGEST_WORK_US));
         let owned = |name| Ok::<_, &'static str>(text(headers, name)?.map(str::to_owned));
@@ -544,7 +546,8 @@
     }
 }
 
-/// Whether the client went while its request was read: nothing of it is sent on, and nobody reads an answer.
+/// Whether the client disconnected while its request was read. If so, the connection is aborted: the request is not
+/// forwarded, and nobody would read a response.
 pub(super) fn gone(slot: Option<&ConnectionSlot>) -> bool {
     slot.is_some_and(|slot| {
         let gone = slot.has_left();
@@ -555,12 +558,12 @@
     })
 }
 
-/// Whether the answer's body is still to come: its end frees the slot then.
+/// Whether the response body is streamed; then the end of the body makes the slot idle.
 fn passes(response: &Response<BoxBody>) -> bool {
     response.extensions().contains::<Passes>()
 }
 
-/// Marks an answer whose body is still to come.
+/// Marks a response whose body is streamed.
 pub(super) struct Passes;
 
 fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, &'static str> {
@@ -568,8 +571,8 @@
     value.to_str().map(Some).map_err(|_| "a header is not plain text\n")
 }
 
-/// Turns a request away by its head alone. Its body is let come first, within bounds: the server ends a connection
-/// whose body was not read, and what its client sent behind would be lost unanswered.
+/// Rejects a request by its head alone. Its body is read first, within bounds: the server closes a connection whose body was
+/// not read, and requests that the client had sent after it would be lost unanswered.
 async fn unwanted(
     mut request: Request,
     slot: Option<&ConnectionSlot>,
@@ -588,21 +591,21 @@
                 }
             }
         };
-        // Late or broken, the connection ends behind the answer.
+        // If the body is late or broken, the connection is closed after the response.
         let _ = tokio::time::timeout(UNWANTED_WITHIN, read).await;
         slot.into_iter().for_each(|s| s.set(Stage::InWork));
     }
     plain(status, words)
 }
 
-/// Whether the body is said to be too long.
+/// Whether `Content-Length` exceeds the limit.
 fn is_long(request: &Request) -> bool {
     let length =
         request.headers().get(header::CONTENT_LENGTH).and_then(|l| l.to_str().ok()?.trim().parse().ok());
     length.is_some_and(|l: u64| l > MAX_BODY as u64)
 }
 
-/// Reads the body; from here on the request is in hand. One that is said to be too long is not read at all.
+/// Reads the whole body and marks the request as being processed. A body that is declared too long is not read at all.
 pub(super) async fn body(request: &mut Request, slot: Option<&ConnectionSlot>) -> Result<Bytes, StatusCode> {
     if is_long(request) {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
@@ -630,7 +633,7 @@
 fn respond(status: StatusCode, body: Bytes, retry_after: Option<Duration>) -> Response<Bytes> {
     let mut response = Response::with_body(status, body);
     if let Some(after) = retry_after {
-        // Seconds, whole or decimal.
+        // In seconds, which may be whole or decimal.
         let seconds = format!("{:.3}", after.as_secs_f64());
         if let Ok(value) = seconds.parse() {
             response.headers_mut().insert(header::RETRY_AFTER, value);
