--- a/dispatcher/src/listeners/beanstalkd/command.rs
+++ b/dispatcher/src/listeners/beanstalkd/command.rs
@@ -1,4 +1,4 @@
-//! A command line of the beanstalkd protocol, read strictly: one space between words, nothing left over.
+//! Strict parser for command lines of the beanstalkd protocol: exactly one space between words, no trailing text.
 
 use crate::beanstalkd::is_name;
 use std::time::Duration;
@@ -51,14 +51,17 @@
 }
 
 impl Command {
-    /// The command, or the protocol's word for what is wrong with it.
+    /// Parses a command line.
+    ///
+    /// # Errors
+    /// The protocol's error reply.
     pub fn parse(line: &str) -> Result<Command, &'static str> {
         let mut words = Words(line.split(' '));
         let command = match words.0.next().unwrap_or_default() {
             "put" => Command::Put {
                 pri: words.number()?,
                 delay: words.seconds()?,
-                // A job needs a second at least to run in.
+                // As in beanstalkd, the time to run is at least one second.
                 ttr: words.seconds()?.max(Duration::from_secs(1)),
                 bytes: words.number::<u32>()?.into(),
             },
--- a/dispatcher/src/listeners/beanstalkd/mod.rs
+++ b/dispatcher/src/listeners/beanstalkd/mod.rs
@@ -1,6 +1,6 @@
-//! The beanstalkd front. A job put into a tube of the operator's file is a flow of the core, on the same
-//! decisions and rules as any other; its one final answer is a job in the answers tube of that tube. What is
-//! open belongs to nobody's connection: a client may go and come back.
+//! The beanstalkd listener. A job put into a tube of the operator's file becomes a flow of the core, subject to the same
+//! decisions and rules as any other; its single final answer becomes a job in the answers tube that belongs to that tube.
+//! Open jobs are not tied to a connection: a client may disconnect and come back.
 
 mod command;
 mod tubes;
@@ -28,24 +28,25 @@
 use tracing::warn;
 use tubes::{Client, Found, Tubes};
 
-/// Answers are made urgent for nobody, and stay with who reserved them for so long.
+/// Priority of answers: not urgent, which beanstalkd counts priorities below 1024 as. And how long a client may keep an
+/// answer reserved.
 const ANSWER_PRIORITY: u32 = 1024;
 const ANSWER_TTR: Duration = Duration::from_secs(60);
 
-/// The front, shared by its connections.
+/// The listener, shared by its connections.
 pub struct BeanstalkdListener {
     flows: Flows,
     settings: BeanstalkdFront,
     tubes: RefCell<Tubes>,
-    /// Something became ready, or was taken.
+    /// Signalled when a job becomes ready or is taken.
     changed: Notify,
     stopping: Cell<bool>,
     slots: Rc<ConnectionSlots>,
-    /// Makes references that no other dispatcher, and no earlier life of this one, has used.
+    /// Prefix of flow references; unique among dispatchers and among earlier runs of this one.
     prefix: String,
 }
 
-/// The client's side of a flow that was put: its answer becomes a job.
+/// Receives the answer of a flow that was put, and adds it to the answers tube as a job.
 struct Put {
     front: Rc<BeanstalkdListener>,
     id: u64,
@@ -59,7 +60,7 @@
 }
 
 impl BeanstalkdListener {
-    /// A front that begins with no job and no connection.
+    /// Creates a listener without jobs or connections.
     pub fn new(
         flows: Flows,
         settings: BeanstalkdFront,
@@ -79,17 +80,17 @@
         })
     }
 
-    /// From here on nothing is taken; what is ready can still be fetched.
+    /// From now on no jobs are accepted; answers can still be fetched.
     pub fn stop(&self) {
         self.stopping.set(true);
     }
 
-    /// Jobs that are open, and answers that nobody has fetched and deleted.
+    /// Number of open jobs, and of answers that were not fetched and deleted yet.
     pub fn unfinished_jobs(&self) -> usize {
         self.tubes.borrow().len()
     }
 
-    /// Accepts and serves connections. Never ends.
+    /// Accepts and serves connections. Never returns.
     pub async fn serve(self: Rc<Self>, socket: TcpListener) {
         actix_rt::spawn(self.slots.clone().watch());
         let mut retry = AcceptRetry::new("beanstalkd");
@@ -103,10 +104,13 @@
             };
             retry.succeeded();
             let Some(taken) = self.slots.take() else {
-                warn!(in_use = self.slots.count(), "beanstalkd: no slot: a connection was closed");
+                warn!(
+                    in_use = self.slots.count(),
+                    "beanstalkd: all connection slots are in use; closed a new connection"
+                );
                 continue;
             };
-            // Clients of this protocol may connect long before they have anything to say.
+            // Clients of this protocol may connect long before they send a command.
             taken.slot.set(Stage::Idle);
             let _ = stream.set_nodelay(true);
             let front = self.clone();
@@ -115,11 +119,11 @@
                 let connection = Connection::new(front.clone(), client, stream, taken.slot.clone());
                 let mut served = pin!(connection.run());
                 loop {
-                    // The connection is kept over the loop; dropped behind it, it ends, and what its client held is
-                    // released below.
+                    // The connection future survives the loop's iterations. It is dropped after the loop, which closes the
+                    // connection; the client's reservations are released below.
                     let cut = tokio::select! {
                         cut = taken.slot.until_cut() => cut,
-                        // Errors here are those of the peer.
+                        // Errors here are the peer's.
                         _ = served.as_mut() => break,
                     };
                     if front.flows.close_permit(taken.slot.cut_facts(cut)).is_some() {
@@ -130,12 +134,12 @@
                 front.tubes.borrow_mut().disconnect(client, Instant::now());
                 front.changed.notify_waiters();
             });
-            // One that gave way ends before the next comes: guards the bound on descriptors.
+            // Lets an evicted connection close before the next accept, which keeps to the limit on file descriptors.
             tokio::task::yield_now().await;
         }
     }
 
-    /// Takes a job in; the words for the client.
+    /// Accepts a job; returns the reply for the client.
     fn put(self: &Rc<Self>, tube: &str, pri: u32, delay: Duration, ttr: Duration, body: Bytes) -> String {
         let Some(mapped) = self.settings.tubes.iter().find(|t| t.tube == tube) else {
             return "NOT_FOUND".into();
@@ -172,7 +176,7 @@
         let front = self.clone();
         actix_rt::spawn(async move {
             tokio::time::sleep_until((now + delay).into()).await;
-            // It may have been deleted meanwhile.
+            // The job may have been deleted during its delay.
             if front.tubes.borrow().is_open(id) && !front.begin(id, job, budget, answers.clone()) {
                 front.answer(id, &answers, &Answer::Refused(Duration::from_secs(1)));
             }
@@ -185,7 +189,7 @@
             self.tubes.borrow_mut().begun(id, flow);
             Box::new(Put { front: self.clone(), id, answers })
         };
-        // What was answered `INSERTED` is owed its answer, also where its delay ends after SIGTERM.
+        // A job that was replied to with `INSERTED` must get an answer, even if its delay ends after SIGTERM.
         let process = if self.stopping.get() { ProcessState::Draining } else { ProcessState::Serving };
         let facts = StartFacts { process, client_gone: false };
         let Ok(permit) = self.flows.start_permit(&job.reference, facts) else { return false };
@@ -195,7 +199,7 @@
     fn answer(&self, id: u64, answers: &str, answer: &Answer) {
         {
             let mut tubes = self.tubes.borrow_mut();
-            // Deleted in this very moment: the client has been told that it is gone.
+            // Already deleted: the client was told `DELETED`.
             if !tubes.close(id) {
                 return;
             }
@@ -205,7 +209,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Deletes a job: an answer, or an open job, which is then called off. The second time it is not found.
+    /// Deletes an answer or an open job; the flow of an open job is cancelled. A second delete finds nothing.
     fn delete(&self, client: Client, id: u64) -> bool {
         let flow = {
             let mut tubes = self.tubes.borrow_mut();
@@ -244,8 +248,8 @@
         Connection { front, client, input: BufReader::new(input), output, used: "default".into(), slot }
     }
 
-    /// Waits for a command to begin. From there it has so long to come whole and for its reply to be read.
-    /// Whoever holds a job does not give way.
+    /// Waits for the first byte of a command; false at the end of the connection. From then on the slot's time limit covers
+    /// receiving the command and writing its reply. Connections that have a job reserved are not evicted.
     async fn hears(&mut self) -> io::Result<bool> {
         let holds = self.front.tubes.borrow().holds(self.client);
         self.slot.set(if holds { Stage::InWork } else { Stage::Idle });
@@ -269,7 +273,7 @@
                 Ok(Command::Quit) => return Ok(()),
                 Ok(Command::Put { pri, delay, ttr, bytes }) => {
                     if bytes > MAX_JOB as u64 {
-                        // Real clients send the body before they read what is said of it.
+                        // Clients send the body before they read the reply.
                         skip(&mut self.input, bytes + 2).await?;
                         "JOB_TOO_BIG".into()
                     } else {
@@ -317,7 +321,7 @@
         self.output.write_all(&reply).await
     }
 
-    /// Waits for a job; nothing where the client has gone.
+    /// Waits for a job; `None` if the client has disconnected.
     async fn reserve(&mut self, within: Option<Duration>) -> io::Result<Option<Reserved>> {
         let until = within.map(|w| Instant::now() + w);
         let mut more = false;
@@ -344,7 +348,7 @@
             tokio::select! {
                 () = changed => {}
                 () = tokio::time::sleep_until(wake.into()) => {}
-                // The end of the connection ends the wait; a command that comes early has to wait.
+                // Disconnecting ends the wait; a pipelined command has to wait until it is over.
                 read = self.input.fill_buf(), if !more => match read?.is_empty() {
                     true => return Ok(None),
                     false => more = true,
@@ -406,7 +410,7 @@
             }
             Command::ListTubeUsed => Reply::Line(format!("USING {}", self.used)),
             Command::ListTubesWatched => Reply::Text(tubes.watched(client)),
-            // Answered where bodies are read and waits are made, or above.
+            // Handled in `run`, or above.
             Command::Put { .. } | Command::Reserve { .. } | Command::Delete(_) | Command::Quit => {
                 line("INTERNAL_ERROR")
             }
--- a/dispatcher/src/listeners/beanstalkd/tubes.rs
+++ b/dispatcher/src/listeners/beanstalkd/tubes.rs
@@ -1,5 +1,5 @@
-//! What the beanstalkd front holds: open jobs, which are flows of the core, and answers, which behave as
-//! beanstalkd's jobs do. It is plain bookkeeping with the time handed in.
+//! Jobs and tubes of the beanstalkd listener: open jobs, which are flows of the core, and answers, which behave as
+//! beanstalkd's jobs do. Does no I/O; the current time is passed in.
 
 use crate::facade::FlowId;
 use bytes::Bytes;
@@ -8,20 +8,20 @@
 use std::fmt::Write;
 use std::time::{Duration, Instant};
 
-/// A connection.
+/// Identifies a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Client(u64);
 
-/// Room that an open job keeps for its answer.
+/// Bytes that an open job reserves for its answer.
 const ANSWER_ROOM: usize = 64 << 10;
-/// Tubes that one client may watch.
+/// How many tubes one client may watch.
 const MAX_WATCHED: usize = 256;
-/// Who holds a job that is due so soon is told of that in place of a new one.
+/// A client whose reserved job times out within this time gets `DEADLINE_SOON` instead of another job.
 const SOON: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    /// A flow of the core, once it has begun.
+    /// An open job, with its flow once that has begun.
     Open(Option<FlowId>),
     Ready,
     Delayed(Instant),
@@ -29,7 +29,7 @@
     Buried,
 }
 
-/// What to look for when looking into a tube.
+/// The state of the jobs that a peek or kick selects.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Found {
     Ready,
@@ -45,7 +45,7 @@
     delay: Duration,
     ttr: Duration,
     body: Bytes,
-    /// Bytes that it counts for.
+    /// Bytes that count against the memory limit.
     weight: usize,
     since: Instant,
     reserves: u32,
@@ -98,7 +98,7 @@
         self.jobs.values().any(|job| matches!(job.state, State::Reserved(c, _) if c == client))
     }
 
-    /// What the client held is ready again.
+    /// Removes a client and makes the jobs that it had reserved ready again.
     pub fn disconnect(&mut self, client: Client, now: Instant) {
         self.advance(now);
         self.watching.remove(&client);
@@ -122,7 +122,7 @@
         Some(entry)
     }
 
-    /// Notes a job that was put, with room for its answer; nothing where there is none.
+    /// Adds a job that was put and reserves memory for its answer; `None` if a limit is reached.
     pub fn open(
         &mut self,
         tube: &str,
@@ -140,14 +140,14 @@
         Some(self.insert(Entry { weight, ..entry(tube, state, pri, delay, ttr, body, now) }))
     }
 
-    /// The flow of an open job has begun.
+    /// Records the flow of an open job.
     pub fn begun(&mut self, id: u64, flow: FlowId) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.state = State::Open(Some(flow));
         }
     }
 
-    /// The flow of an open job, once it has begun; nothing where no such job is open.
+    /// The flow of an open job, once it has begun; `None` if no such job is open.
     pub fn flow(&self, id: u64) -> Option<Option<FlowId>> {
         match self.jobs.get(&id)?.state {
             State::Open(flow) => Some(flow),
@@ -159,17 +159,17 @@
         self.flow(id).is_some()
     }
 
-    /// An open job is over.
+    /// Removes an open job; false if no such job is open.
     pub fn close(&mut self, id: u64) -> bool {
         self.is_open(id) && self.remove(id).is_some()
     }
 
-    /// Adds an answer. It has room: its job kept that.
+    /// Adds an answer. Its memory was reserved by its job.
     pub fn put(&mut self, tube: &str, pri: u32, ttr: Duration, body: Bytes, now: Instant) -> u64 {
         self.insert(entry(tube, State::Ready, pri, Duration::ZERO, ttr, body, now))
     }
 
-    /// Does what time has brought: delays over, reservations run out, pauses over.
+    /// Applies the passing of time: ends delays, reservations and pauses that are over.
     pub fn advance(&mut self, now: Instant) {
         self.paused.retain(|_, until| now < *until);
         for job in self.jobs.values_mut() {
@@ -184,7 +184,7 @@
         }
     }
 
-    /// When something may become ready for this client, or it is due for a warning.
+    /// The next time at which a job may become ready, or this client is due `DEADLINE_SOON`.
     pub fn next_change(&self, client: Client, now: Instant) -> Option<Instant> {
         let change = |job: &Entry| match job.state {
             State::Delayed(until) => Some(until),
@@ -201,7 +201,7 @@
         self.jobs.values().any(soon)
     }
 
-    /// The most urgent ready job of the tubes watched, the oldest among equals.
+    /// Reserves the most urgent ready job of the watched tubes; the oldest of equal priority.
     pub fn reserve(&mut self, client: Client, now: Instant) -> Option<(u64, Bytes)> {
         self.advance(now);
         let watched = self.watching.get(&client)?;
@@ -225,12 +225,12 @@
         Some((id, job.body.clone()))
     }
 
-    /// The job, if this client holds it.
+    /// The job, if this client has it reserved.
     fn held(&mut self, client: Client, id: u64) -> Option<&mut Entry> {
         self.jobs.get_mut(&id).filter(|job| matches!(job.state, State::Reserved(c, _) if c == client))
     }
 
-    /// Deletes an answer, unless somebody else holds it.
+    /// Deletes an answer, unless another client has it reserved.
     pub fn delete(&mut self, client: Client, id: u64, now: Instant) -> bool {
         self.advance(now);
         let free = |job: &Entry| match job.state {
@@ -260,7 +260,7 @@
         true
     }
 
-    /// Makes buried jobs of a tube ready, or, where there are none, delayed ones.
+    /// Makes buried jobs of a tube ready, or delayed ones if none are buried.
     pub fn kick(&mut self, tube: &str, bound: u64) -> u64 {
         let of = |job: &Entry, found| job.tube == tube && is(job.state, found);
         let buried = self.jobs.values().any(|job| of(job, Found::Buried));
@@ -299,7 +299,7 @@
         first.map(|(id, job)| (*id, job.body.clone()))
     }
 
-    /// Watches a tube too; how many are watched. Nothing where they would be too many.
+    /// Adds a tube to the client's watch list; returns its length, or `None` if it is full.
     pub fn watch(&mut self, client: Client, tube: String) -> Option<usize> {
         let watched = self.watching.entry(client).or_default();
         if !watched.contains(&tube) {
@@ -311,7 +311,7 @@
         Some(watched.len())
     }
 
-    /// Watches a tube no longer; nothing where it is the last.
+    /// Removes a tube from the client's watch list; returns its length, or `None` if it is the last one.
     pub fn ignore(&mut self, client: Client, tube: &str) -> Option<usize> {
         let watched = self.watching.get_mut(&client)?;
         if watched.len() == 1 && watched[0] == tube {
@@ -325,7 +325,7 @@
         yaml_list(self.watching.get(&client).into_iter().flatten().map(String::as_str))
     }
 
-    /// All tubes: those of the operator's file, and those that somebody watches or that hold a job.
+    /// All tubes: those of the operator's file, and those that are watched or hold a job.
     pub fn list<'a>(&'a self, mapped: impl Iterator<Item = &'a str>) -> String {
         let watched = self.watching.values().flatten().map(String::as_str);
         let holding = self.jobs.values().map(|job| job.tube.as_str());
@@ -418,7 +418,7 @@
     }
 }
 
-/// A job's state as clients know states: an open one is in work, or waits for its delay.
+/// A job's state in the protocol's terms: an open job is reserved, or delayed until its flow begins.
 fn word(job: &Entry) -> &'static str {
     match job.state {
         State::Open(None) if !job.delay.is_zero() => "delayed",
--- a/dispatcher/src/listeners/connection_slots.rs
+++ b/dispatcher/src/listeners/connection_slots.rs
@@ -1,6 +1,6 @@
-//! Connection slots: each client connection, whatever its protocol, takes one. They protect usual clients against
-//! those that connect and send nothing, send slowly, or never leave: a request must be whole in time, and when all
-//! slots are taken, the least useful connection is closed for the new one.
+//! Connection slots: each client connection, whatever its protocol, occupies one. They protect well-behaved clients from
+//! those that connect and send nothing, send slowly, or never disconnect: a request must be complete in time, and when all
+//! slots are occupied, the least useful connection is closed in favour of the new one.
 
 use crate::arrival::ArrivalClock;
 use lineroute_permit::{CloseFacts, CloseReason, ConnectionState};
@@ -11,76 +11,75 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// How long a new connection may say nothing. It is not one that idles between requests.
+/// How long a new connection may send nothing. Does not apply to connections that are idle between requests.
 pub const FIRST_BYTE_WITHIN: Duration = Duration::from_millis(2000);
-/// How long a request may take from its first byte to its last; the first one, from the connection's start.
+/// Time limit for receiving a request, from its first byte; for the first request, from the start of the connection.
 pub const WHOLE_WITHIN: Duration = Duration::from_millis(2500);
-/// A usual client's first bytes come within this time: a silent connection older than that is closed first.
+/// Well-behaved clients send their first bytes within this time; connections that stay silent longer are evicted first.
 const FIRST_BYTE_USUALLY_WITHIN: Duration = Duration::from_millis(500);
-/// Between two looks at who is late.
+/// Interval between checks for connections that have exceeded a time limit.
 const CHECK_EVERY: Duration = Duration::from_millis(100);
 
-/// What a connection is at.
+/// The stage of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Stage {
-    /// Nothing has come yet.
+    /// No byte has arrived yet.
     Silent,
-    /// The head of a request is coming; or its body, which is timed where it is read.
+    /// The head of a request is being received; or its body, whose time limit is enforced where it is read.
     Head,
     Body,
-    /// A body passes as it comes; whoever passes it on watches its pace.
+    /// A request body is being streamed; the code that forwards it enforces a minimum rate.
     Streaming,
-    /// A request is in hand: its client is owed an answer.
+    /// A request was received and its response is pending.
     InWork,
     /// Between requests.
     Idle,
-    /// It is being closed; the last bytes are on their way.
+    /// The connection is being closed; the last bytes are in transit.
     Ending,
 }
 
-/// Why a connection is cut from outside.
+/// Why a connection is aborted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Cut {
-    /// Its slot is needed, or the other side has gone.
+    /// Its slot is needed, the peer has gone, or it never sent anything. No response is written.
     Away,
-    /// A request took too long, or its head was too long.
+    /// A request took too long to arrive, or its head is too large.
     Late,
     TooLong,
-    /// It can be read in two ways.
+    /// The framing of a request is ambiguous.
     Malformed,
 }
 
-/// The slot of one connection: its stage, and why it is to be closed.
+/// The slot of one connection: its stage, and whether it is to be aborted.
 pub struct ConnectionSlot {
     stage: Cell<Stage>,
     since: Cell<Instant>,
-    /// A worker's calls come on it: it goes last.
+    /// A worker sends its updates on this connection, so it is evicted last.
     worker: Cell<bool>,
-    /// An answer was given on it.
+    /// At least one response was sent.
     answered: Cell<bool>,
-    /// The other side has ended the connection, or it broke.
+    /// The peer has closed the connection, or it failed.
     left: Cell<bool>,
     cut: Cell<Option<Cut>>,
     changed: Notify,
-    /// Who waits to read on until the request in hand is answered.
+    /// The task that continues reading once the current request is answered.
     reader: Cell<Option<Waker>>,
-    /// Since when there may have been bytes unread; `None`: there were none at the last look.
+    /// Since when there may be unread bytes; `None` if there were none at the last check.
     unread_since: Cell<Option<Instant>>,
-    /// When what was read last may have come, at the earliest.
+    /// Earliest time at which the bytes read last may have arrived.
     arrived: Cell<Instant>,
     arrivals: Rc<ArrivalClock>,
 }
 
 impl ConnectionSlot {
-    /// What the connection is at.
     pub fn stage(&self) -> Stage {
         self.stage.get()
     }
 
-    /// The connection is at another stage from now on.
+    /// Moves the connection to another stage.
     pub fn set(&self, stage: Stage) {
         let was = self.stage.replace(stage);
-        // A request's time runs from its first byte, the first one's from the start.
+        // The time limit of a request runs from its first byte, that of the first one from the start of the connection.
         if !matches!((was, stage), (Stage::Silent, Stage::Head) | (Stage::Head, Stage::Body)) {
             self.since.set(Instant::now());
         }
@@ -90,33 +89,33 @@
         }
     }
 
-    /// There are bytes that are not read yet, since this moment at the latest.
+    /// Records that there are unread bytes, which may have been there since this time.
     pub fn has_unread(&self, since: Instant) {
         let since = self.unread_since.get().map_or(since, |before| before.min(since));
         self.unread_since.set(Some(since));
     }
 
-    /// There are bytes that are not read yet, as the event loop tells.
+    /// Records that the event loop has reported unread bytes.
     pub fn has_unread_now(&self) {
         self.has_unread(self.arrivals.earliest(Instant::now()));
     }
 
-    /// Whether there may be bytes that are not read yet.
+    /// Whether there may be unread bytes.
     pub fn may_have_unread(&self) -> bool {
         self.unread_since.get().is_some()
     }
 
-    /// All that has come was read.
+    /// Records that all bytes that have arrived were read.
     pub fn has_read_all(&self) {
         self.unread_since.set(None);
     }
 
-    /// When what was read last may have come, at the earliest.
+    /// Earliest time at which the bytes read last may have arrived.
     pub fn arrived(&self) -> Instant {
         self.arrived.get()
     }
 
-    /// Something was read.
+    /// Records that bytes were read: sets their arrival time, and starts a request if none was in progress.
     pub fn bytes_received(&self) {
         let earliest = self.arrivals.earliest(Instant::now());
         self.arrived.set(self.unread_since.get().map_or(earliest, |since| since.min(earliest)));
@@ -125,7 +124,7 @@
         }
     }
 
-    /// Nothing of a request has come since the last answer; or nothing at all, where a first one would have by now.
+    /// Whether nothing has arrived since the last response, or nothing at all for longer than a first request usually takes.
     pub fn is_idle(&self) -> bool {
         match self.stage.get() {
             Stage::Idle => true,
@@ -134,28 +133,28 @@
         }
     }
 
-    /// Wakes this reader when the request in hand is answered.
+    /// Wakes this task when the current request is answered.
     pub fn wait_until_answered(&self, reader: &Waker) {
         self.reader.set(Some(reader.clone()));
     }
 
-    /// Marks the connection as a worker's: it is closed for others last.
+    /// Marks the connection as a worker's, which is evicted last.
     pub fn is_workers(&self) {
         self.worker.set(true);
     }
 
-    /// Whether an answer was given on it.
+    /// Whether a response was sent on this connection.
     pub fn was_answered(&self) -> bool {
         self.answered.get()
     }
 
-    /// When the request that is coming must be whole.
+    /// Deadline for receiving the current request.
     pub fn whole_by(&self) -> Instant {
         self.since.get() + WHOLE_WITHIN
     }
 
-    /// The other side has ended the connection, or it broke. A request that is in hand is nobody's from here on; one
-    /// that is still coming is judged when it is whole (`has_left`).
+    /// Records that the peer has closed the connection, or that it failed. A request whose response is pending is abandoned at
+    /// once; for one that is still being received, `has_peer_closed` is checked when it is complete.
     pub fn peer_closed(&self) {
         self.left.set(true);
         if matches!(self.stage.get(), Stage::InWork | Stage::Streaming) {
@@ -163,12 +162,12 @@
         }
     }
 
-    /// Whether whoever sent the request has gone: then it must not be taken.
+    /// Whether the peer has closed the connection. Its request must not be accepted then.
     pub fn has_left(&self) -> bool {
         self.left.get()
     }
 
-    /// What is known for the permit to end it for this reason.
+    /// The facts that decide whether the connection may be closed for this reason.
     pub fn close_facts(&self, reason: CloseReason) -> CloseFacts {
         let state = match self.stage.get() {
             Stage::Silent | Stage::Idle | Stage::Ending => ConnectionState::Idle,
@@ -179,7 +178,7 @@
         CloseFacts { state, reason }
     }
 
-    /// The same where it was cut.
+    /// The facts that decide whether the connection may be closed for this abort.
     pub fn cut_facts(&self, cut: Cut) -> CloseFacts {
         self.close_facts(match cut {
             Cut::Away if self.has_left() => CloseReason::ClientClosed,
@@ -188,20 +187,20 @@
         })
     }
 
-    /// Has the connection closed at once. The first cause stands, unless the slot itself is needed: then nothing more is
-    /// said.
+    /// Requests that the connection be closed at once. The first cause stands, unless the new one is `Discard`: then no
+    /// response is written any more.
     pub fn cut(&self, cut: Cut) {
         let reason = if cut == Cut::Away { cut } else { self.cut.get().unwrap_or(cut) };
         self.cut.set(Some(reason));
         self.changed.notify_one();
     }
 
-    /// It stays although it was cut: it owes an answer by now.
+    /// Withdraws the abort: a response has become pending, so the connection may not be closed.
     pub fn keep(&self) {
         self.cut.set(None);
     }
 
-    /// Resolves when the connection is to end at once.
+    /// Resolves when the connection is to be closed at once.
     pub async fn until_cut(&self) -> Cut {
         loop {
             if let Some(cut) = self.cut.get() {
@@ -211,14 +210,14 @@
         }
     }
 
-    /// Resolves when the slot itself is needed, whatever else the connection was cut for before.
+    /// Resolves when the connection is to be discarded, even if it was aborted for another reason before.
     pub async fn until_away(&self) {
         while self.cut.get() != Some(Cut::Away) {
             self.changed.notified().await;
         }
     }
 
-    /// How soon it gives way, from the smallest up, and for how long it has been so. `None`: it does not.
+    /// Eviction order, smallest first: a rank, and the start of the current stage. `None` if it must not be evicted.
     fn eviction_rank(&self, now: Instant) -> Option<(u8, Instant)> {
         let since = self.since.get();
         let old = now.saturating_duration_since(since) > FIRST_BYTE_USUALLY_WITHIN;
@@ -241,15 +240,14 @@
     max: usize,
     taken: RefCell<BTreeMap<u64, Rc<ConnectionSlot>>>,
     next: Cell<u64>,
-    /// When what is read on the connections may have come.
+    /// Estimates when bytes read from these connections arrived.
     pub arrivals: Rc<ArrivalClock>,
 }
 
-/// A taken slot, released when this is dropped.
+/// An occupied slot, released when this is dropped.
 pub struct TakenSlot {
     slots: Rc<ConnectionSlots>,
     number: u64,
-    /// The slot itself.
     pub slot: Rc<ConnectionSlot>,
 }
 
@@ -260,17 +258,17 @@
 }
 
 impl ConnectionSlots {
-    /// So many slots, all free.
+    /// Creates `max` free slots.
     pub fn new(max: usize, arrivals: Rc<ArrivalClock>) -> Rc<Self> {
         Rc::new(ConnectionSlots { max, taken: RefCell::default(), next: Cell::new(0), arrivals })
     }
 
-    /// How many are taken.
+    /// Number of occupied slots.
     pub fn count(&self) -> usize {
         self.taken.borrow().len()
     }
 
-    /// A slot for a new connection. When all are taken another connection gives way; `None`: all are in work.
+    /// Allocates a slot for a new connection, evicting another one if all are occupied. `None` if none can be evicted.
     pub fn take(self: &Rc<Self>) -> Option<TakenSlot> {
         let now = Instant::now();
         let slot = Rc::new(ConnectionSlot {
@@ -287,7 +285,7 @@
             arrivals: self.arrivals.clone(),
         });
         let mut taken = self.taken.borrow_mut();
-        // Those that were cut and have not ended yet leave in a moment.
+        // Discarded connections that are not closed yet don't count: they close in a moment.
         if taken.values().filter(|s| s.cut.get() != Some(Cut::Away)).count() >= self.max {
             let first = taken.values().filter_map(|s| Some((s.eviction_rank(now)?, s))).min_by_key(|s| s.0);
             first?.1.cut(Cut::Away);
@@ -297,7 +295,7 @@
         Some(TakenSlot { slots: self.clone(), number, slot })
     }
 
-    /// Ends what takes too long. Never ends itself.
+    /// Aborts connections that exceed a time limit. Never returns.
     pub async fn watch(self: Rc<Self>) {
         loop {
             tokio::time::sleep(CHECK_EVERY).await;
@@ -320,7 +318,8 @@
 mod tests {
     use super::*;
 
-    /// Full of connections that will not leave: a newcomer still gets a slot, and nobody in work loses his.
+    /// Guards against idle connections filling all slots: a new connection must still get one, and no connection with a
+    /// pending response may lose its own.
     #[test]
     fn idle_connections_give_way_oldest_first_and_those_in_work_never() {
         let slots = ConnectionSlots::new(3, Rc::new(ArrivalClock::new(Instant::now())));
--- a/dispatcher/src/listeners/guard.rs
+++ b/dispatcher/src/listeners/guard.rs
@@ -1,5 +1,5 @@
-//! The connection guard: supervises what the HTTP server reads from a client's connection. It bounds memory (what the
-//! server would buffer without need stays in the kernel) and lets the last response arrive although the client is still
+//! The connection guard: controls what the HTTP server reads from a client's connection. It bounds memory, by leaving in the
+//! kernel what the server would buffer early, and makes sure that the last response arrives although the client is still
 //! sending.
 
 use super::connection_slots::{ConnectionSlot, Cut, Stage};
@@ -18,30 +18,30 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
 
-/// The longest head. The server itself would take 128 KiB from each connection.
+/// The largest request head. The HTTP server by itself would buffer up to 128 KiB per connection.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// So much is read in one go, so that the server can pass it on before more comes, and others get their turn.
+/// Bytes read before yielding, so that the server can process them before more come and other connections get their turn.
 const MAX_BYTES_PER_READ: usize = 16 << 10;
-/// How long the other side may take to end a connection whose end it has been told.
+/// How long to wait for the peer to close after this side has shut down its writing half.
 const LINGER: Duration = Duration::from_secs(1);
-/// What lingers is read slowly: it is thrown away, and must not take the core.
+/// Pause between reads while lingering: the data is discarded, and reading it must not use up the CPU core.
 const LINGER_PAUSE: Duration = Duration::from_millis(5);
 
-/// A connection, shared by the server and the task that ends it.
+/// A connection, shared by the HTTP server and the task that closes it.
 #[derive(Clone)]
 pub struct Guarded {
     input: Rc<RefCell<OwnedReadHalf>>,
-    /// Never borrowed to be changed: it is written to, and watched for the other side's end, at the same time.
+    /// Not in a `RefCell`: it is written to and watched for the peer's close at the same time.
     output: Rc<OwnedWriteHalf>,
     pub slot: Rc<ConnectionSlot>,
-    /// Bytes of the head so far, and of the read under way.
+    /// Bytes of the current head so far, and bytes read since the last yield.
     head_bytes: Rc<Cell<usize>>,
     read_so_far: Rc<Cell<usize>>,
-    /// Where requests pass on, what can be framed in two ways must not.
+    /// Rejects ambiguous framing; present if requests may be proxied.
     screen: Option<Rc<RefCell<FramingValidator>>>,
 }
 
-/// Writes as much of these words as the system takes without a wait. A write may take a part.
+/// Writes as many of these bytes as the kernel takes without waiting. A single write may take only a part.
 pub(super) fn write_now(stream: &TcpStream, mut words: &[u8]) {
     while let Ok(written @ 1..) = stream.try_write(words) {
         words = &words[written..];
@@ -52,7 +52,7 @@
 }
 
 impl Guarded {
-    /// `screened`: requests on it may pass to plain HTTP workers.
+    /// `screened`: requests on it may be proxied to plain HTTP workers, so their framing is validated.
     pub fn new(stream: TcpStream, slot: Rc<ConnectionSlot>, screened: bool) -> Self {
         let screen = screened.then(Rc::default);
         let (input, output) = stream.into_split();
@@ -70,12 +70,13 @@
         (*self.output).as_ref()
     }
 
-    /// What the kernel has to read by now, as far as one byte goes.
+    /// Peeks at the socket's receive buffer; returns 1 if there is data, and 0 at the end of the stream.
     fn peek(&self) -> io::Result<usize> {
         SockRef::from(self.stream()).peek(&mut [MaybeUninit::uninit()])
     }
 
-    /// The event loop knows of nothing to read. It may not have heard yet of what stood in the socket when it was accepted.
+    /// Called when the event loop reports nothing to read. That report may be missing data that was already in the socket when
+    /// it was accepted, so the kernel is asked before the slot is marked as read.
     fn has_nothing_to_read(&self) {
         let empty = || self.peek().is_err_and(|e| e.kind() == ErrorKind::WouldBlock);
         if self.slot.may_have_unread() && empty() {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Whether the next thing to read is the end.
+    /// Whether the stream has ended or failed, with no data left to read.
     fn has_ended(&self) -> bool {
         match self.peek() {
             Ok(count) => count == 0,
@@ -91,34 +92,34 @@
         }
     }
 
-    /// Whether it is between two requests, and not a byte of the next one has come. Whoever ends it then takes nothing.
+    /// Whether the connection is between two requests and no byte of the next one has arrived, so that closing it loses nothing.
     pub fn is_at_rest(&self) -> bool {
         self.slot.is_idle() && self.peek().is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Says the last words of one that was never answered, as far as they go out at once.
+    /// Writes a final response, as much of it as goes out without waiting, on a connection that was never answered.
     pub fn say(&self, words: &[u8]) {
         write_now(self.stream(), words);
     }
 
-    /// Sees the other side end the connection or break it off, at once and whatever lies unread before its end: what a
-    /// read would find only behind that. Its slot is told. Never ends. Dropped, it holds nothing.
+    /// Marks the slot as soon as the peer closes or resets the connection, even while unread data precedes the close, which a
+    /// read would have to consume first. Never resolves; cancel-safe.
     pub async fn watch(&self) {
-        // Nothing urgent is asked for on this socket; so this is the end alone.
+        // Urgent data is not enabled on this socket, so this fires only when the connection ends.
         let _ = self.stream().ready(Interest::PRIORITY).await;
         self.slot.peer_closed();
         pending().await
     }
 
-    /// Ends a connection on which nothing is owed. What crosses this end is left unread: its client can tell that it was
-    /// not taken, and sends it elsewhere.
+    /// Closes a connection with no response pending. A request that arrives meanwhile is left unread, so its client can tell
+    /// that it was not accepted, and sends it elsewhere.
     pub async fn close(self) {
         self.slot.set(Stage::Ending);
         let _ = SockRef::from(self.stream()).shutdown(Shutdown::Write);
         let _ = tokio::time::timeout(LINGER, self.stream().ready(Interest::PRIORITY)).await;
     }
 
-    /// Ends the connection. Closed with bytes unread, it would be reset, and what was said last be lost.
+    /// Closes the connection after draining it: closed with unread bytes it would be reset, and the last response lost.
     pub async fn end(mut self) {
         self.slot.set(Stage::Ending);
         let drained = async {
@@ -140,13 +141,13 @@
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let slot = &self.slot;
         if slot.stage() == Stage::InWork {
-            // What comes behind a request in hand waits in the kernel. Only the end is looked out for.
+            // Data after the request in progress stays in the kernel. Only the peer's close is looked for.
             let mut byte = [0];
             let mut byte = ReadBuf::new(&mut byte);
             match self.stream().poll_peek(cx, &mut byte) {
                 Poll::Pending => self.has_nothing_to_read(),
                 Poll::Ready(Ok(0) | Err(_)) => slot.peer_closed(),
-                // The end behind these is `watch`'s to see.
+                // A close after these bytes is detected by `watch_for_close`.
                 Poll::Ready(Ok(_)) => {
                     slot.has_unread_now();
                     slot.wait_until_answered(cx.waker());
@@ -159,7 +160,7 @@
             cx.waker().wake_by_ref();
             return Poll::Pending;
         }
-        // Between two goes the server has looked at what there is: it is no whole head.
+        // The server has parsed everything read so far and found no complete head.
         if self.read_so_far.get() == 0
             && slot.stage() == Stage::Head
             && self.head_bytes.get() >= MAX_HEAD_BYTES
@@ -175,15 +176,16 @@
         }
         let read = ready!(read);
         let count = buf.filled().len() - before;
-        // The server goes on with what came before its client's end. The kernel knows of that end before the event loop
-        // tells: a connection that was just accepted is read before there was any event. Nothing has been placed so far.
+        // The server would process data that came before the peer's close. The kernel knows of the close before the event loop
+        // reports it: a connection that was just accepted is read before there was any event. The request has not been
+        // forwarded at this point.
         if read.is_err() || (buf.remaining() > 0 && self.has_ended()) {
             slot.peer_closed();
         }
         read?;
         if let Some(screen) = &self.screen {
             if screen.borrow_mut().feed(&buf.filled()[before..]).is_err() {
-                // Not a byte of it reaches the parser behind.
+                // Nothing of this read reaches the parser.
                 buf.set_filled(before);
                 slot.cut(Cut::Malformed);
                 return Poll::Pending;
@@ -228,8 +230,8 @@
     use std::task::Waker;
     use std::time::Instant;
 
-    /// Of a connection that has just been accepted the event loop knows nothing to read yet. That must not make what stood in
-    /// the queue with it come later.
+    /// Guards against a wrong arrival time: right after `accept` the event loop reports nothing to read, although bytes that
+    /// waited in the queue are there. They must keep the time since which they may have been waiting.
     #[test]
     fn bytes_that_stood_in_the_queue_keep_their_time_until_they_are_read() {
         actix_rt::System::new().block_on(async {
--- a/dispatcher/src/listeners/mod.rs
+++ b/dispatcher/src/listeners/mod.rs
@@ -1,4 +1,4 @@
-//! The clients' side, a module for each protocol that clients speak.
+//! Client-facing listeners, one module per protocol, and what they share.
 
 pub mod beanstalkd;
 pub mod connection_slots;
--- a/dispatcher/src/listeners/pass.rs
+++ b/dispatcher/src/listeners/pass.rs
@@ -1,4 +1,4 @@
-//! Requests that pass to plain HTTP workers as they are: any method and path, bodies as they come.
+//! Proxying of requests to plain HTTP workers: any method and path, with bodies forwarded unchanged.
 
 use super::connection_slots::{ConnectionSlot, Stage};
 use super::http::{plain, refused, HttpListener, Passes, BUSY_RETRY};
@@ -19,7 +19,7 @@
 use std::task::{Context, Poll};
 use std::time::Instant;
 
-/// The body of an answer that passes. One that breaks off ends the connection: the client can tell.
+/// Body of a proxied response. If it breaks off, the connection is closed, so that the client can tell it is incomplete.
 struct PassingBody {
     reader: Reader,
     size: BodySize,
@@ -29,7 +29,7 @@
 
 impl Drop for PassingBody {
     fn drop(&mut self) {
-        // The answer has gone out, or never will.
+        // The response is complete, or can't be completed any more.
         self.slot.iter().for_each(|slot| slot.set(Stage::Idle));
     }
 }
@@ -44,7 +44,8 @@
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, io::Error>>> {
         let next = self.reader.poll_next(cx);
         if next == Poll::Ready(Err(Ended::Broken)) && !std::mem::replace(&mut self.broken, true) {
-            // The server writes what it has when it is told to wait, and throws it away at an error.
+            // On `Pending` the server flushes its buffer; on an error it discards it. So the first poll after the break
+            // returns `Pending`, and the error is reported with the next.
             cx.waker().wake_by_ref();
             return Poll::Pending;
         }
@@ -57,7 +58,7 @@
 }
 
 impl HttpListener {
-    /// Hands a request on and passes its answer.
+    /// Forwards a request to a worker and streams the worker's response back.
     pub(super) async fn pass(
         &self,
         mut request: Request,
@@ -105,7 +106,7 @@
                 Err(status) => return text(status, "no body could be read\n"),
             }
         }
-        // Its body may have come when no more is taken: nobody would wait for its answer.
+        // While the body was read the process may have begun to stop, or the client may have left.
         let Ok(permit) = self.start_permit(&job.reference, slot.as_deref()) else {
             return refused(BUSY_RETRY).map_into_boxed_body();
         };
@@ -134,7 +135,7 @@
     }
 }
 
-/// The request as the upstream is to see it, before what the proxy changes.
+/// The head of the request to forward, before the proxy changes any headers.
 fn asked_head(request: &Request) -> Option<RequestHead> {
     let mut headers = HeaderMap::new();
     for (name, value) in request.headers() {
@@ -174,7 +175,7 @@
     response.map_into_boxed_body()
 }
 
-/// Brings a client's body into its stream, as there is room.
+/// Copies a client's body into its stream, as fast as the stream has room.
 struct Pump {
     writer: Writer,
     slot: Option<Rc<ConnectionSlot>>,
@@ -183,7 +184,7 @@
 }
 
 impl Pump {
-    /// Ends with the body, or when nobody reads it any more. Dropped before, it breaks the stream off.
+    /// Returns at the end of the body, or when nobody reads the stream any more. Dropped earlier, it marks the stream as broken.
     async fn run(mut self, mut payload: actix_http::Payload) {
         let ended = loop {
             if self.writer.room().await.is_none() {
--- a/dispatcher/src/listeners/socket.rs
+++ b/dispatcher/src/listeners/socket.rs
@@ -1,6 +1,6 @@
-//! The clients' listening socket: bound here, or inherited from the platform (`$GW_FD`), which holds it
-//! across a replacement of the process. An inherited socket is never bound anew: the address is the
-//! platform's, and a second bind would fail while the other process still serves it.
+//! The listening socket for clients: bound by this process, or inherited from the platform (`$GW_FD`), which keeps it open
+//! while the process is replaced. The address of an inherited socket is never bound again: it belongs to the platform, and a
+//! second bind would fail while the other process still serves it.
 
 use crate::local_faults::open_patiently;
 use socket2::SockRef;
@@ -9,23 +9,23 @@
 use tokio::net::{TcpListener, TcpStream};
 use tracing::warn;
 
-/// Accepting may fail so often in a row while a queue is emptied: a connection was aborted, say, or descriptors are short for
-/// a moment.
+/// Consecutive failures of `accept` that are tolerated while the queue is drained. Single ones are expected, for example because
+/// a connection was aborted or file descriptors ran out for a moment.
 const ACCEPT_FAILURES: usize = 64;
 
-/// Where the clients' socket comes from.
+/// Where the listening socket comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SocketSource {
     /// Bind this address.
     Bind(SocketAddr),
-    /// Take the listening socket that this descriptor holds.
+    /// Use the listening socket with this file descriptor.
     Inherited(i32),
 }
 
-/// Opens the clients' socket.
+/// Opens the listening socket.
 ///
 /// # Errors
-/// The address can't be bound, or the descriptor holds no listening TCP socket.
+/// The address can't be bound, or the descriptor is not a listening TCP socket.
 pub async fn open(origin: SocketSource) -> Result<TcpListener, String> {
     match origin {
         SocketSource::Bind(addr) => {
@@ -35,7 +35,7 @@
     }
 }
 
-/// The connections that stand in the queue of a socket, as the kernel knows by now. Nothing is awaited.
+/// Accepts the connections in the socket's queue, asking the kernel directly. Never waits.
 pub fn queued(socket: &TcpListener) -> impl Iterator<Item = (TcpStream, SocketAddr)> + '_ {
     let mut failures = 0;
     std::iter::from_fn(move || loop {
@@ -46,7 +46,7 @@
             }
             Err(e) if e.kind() == ErrorKind::WouldBlock => return None,
             Err(e) if failures == ACCEPT_FAILURES => {
-                warn!(error = %e, "accept: the rest of the queue is left");
+                warn!(error = %e, "accept fails repeatedly; the remaining queued connections are not served");
                 return None;
             }
             Err(_) => failures += 1,
@@ -63,7 +63,7 @@
 
 fn inherit(fd: i32) -> Result<TcpListener, String> {
     let fault = |e: String| format!("GW_FD: descriptor {fd}: {e}");
-    // The descriptor is handed over by way of the variables that `listenfd` reads; nothing else reads them.
+    // `listenfd` takes the descriptor from these environment variables; nothing else reads them.
     std::env::set_var("LISTEN_FDS", "1");
     std::env::set_var("LISTEN_FDS_FIRST_FD", fd.to_string());
     std::env::remove_var("LISTEN_PID");
