--- a/dispatcher/src/admin/api.rs
+++ b/dispatcher/src/admin/api.rs
@@ -1,11 +1,11 @@
-//! What goes over the admin listener, as JSON: the listener writes it, the command line reads it.
+//! JSON types of the admin API, shared by the admin listener and the command line.
 
 use crate::targets::http::UpdateCounts;
 use lineroute_control::overrides::{Effect, OverrideEntry, Scope, Standing};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A worker and what is in force for it.
+/// A worker, and the overrides in force for it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct WorkerStatus {
     pub worker: String,
@@ -14,11 +14,11 @@
     pub kind: String,
     /// `up` or `draining`.
     pub state: String,
-    /// Forwards of this dispatcher that are out there.
+    /// Forwards of this dispatcher that the worker has not answered yet.
     pub forwards: usize,
     pub weight: f64,
     pub out_of_service: bool,
-    /// `CLASS` or `CLASS/TENANT`, for each pin that leads here.
+    /// `CLASS` or `CLASS/TENANT`, for each pin to this worker.
     pub pinned: Vec<String>,
 }
 
@@ -29,7 +29,7 @@
     pub workers: Vec<WorkerStatus>,
 }
 
-/// An override and how it stands. Times are Unix time in milliseconds.
+/// An override and whether it is in force. Times are Unix time in milliseconds.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct OverrideStatus {
     pub id: String,
@@ -55,7 +55,7 @@
     pub beaten: Option<SupersededBy>,
 }
 
-/// What has beaten an override.
+/// The override that supersedes another one.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct SupersededBy {
     pub id: String,
@@ -64,7 +64,7 @@
 }
 
 impl OverrideStatus {
-    /// A line of the table, as seen at that moment.
+    /// Describes an entry of the table at the time `now`.
     pub fn from_entry(line: &OverrideEntry, now: u64) -> OverrideStatus {
         let record = &line.record;
         let (class, tenant) = match &record.slot.scope {
@@ -141,13 +141,13 @@
     }
 }
 
-/// What a `POST` or `DELETE` has done.
+/// Response to `POST /overrides` and `DELETE /overrides/ID`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Done {
     pub id: String,
-    /// It is on the disk; `None` where there is no `state_dir`.
+    /// Whether it was synced to disk in time; `None` without an overrides log.
     pub saved: Option<bool>,
-    /// How what was set stands.
+    /// The override that was set, and whether it is in force.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub set: Option<OverrideStatus>,
 }
@@ -156,27 +156,27 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct FlowCounts {
     pub dispatcher: String,
-    /// Owed an answer.
+    /// Flows that are not answered yet.
     pub open: usize,
-    /// Forwards that are out.
+    /// Forwards that are not answered yet.
     pub forwards: usize,
-    /// Bytes of bodies held.
+    /// Bytes of buffered bodies.
     pub bytes: usize,
-    /// Bodies in passage, and the bytes of them that are held.
+    /// Bodies being streamed, and the bytes of them that are buffered.
     pub streams: usize,
     pub stream_bytes: usize,
-    /// Answers that broke off while they passed, since the start.
+    /// Responses that broke off while they were streamed, since the start.
     pub cut_short: u64,
     /// Open flows by class.
     pub classes: BTreeMap<String, usize>,
-    /// How far the worker list can be relied on.
+    /// State of the worker list.
     pub list: WorkerListStatus,
-    /// What may be done, and what was done all the same.
+    /// Permits, and violations of their rules.
     pub permits: PermitCounts,
     /// Job status updates of the platform's workers.
     #[serde(default)]
     pub job_updates: UpdateCounts,
-    /// Datagrams of the talk with peers, where it is on.
+    /// Datagrams exchanged with peers, if that is configured.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub peers: Option<PeerCounts>,
 }
@@ -188,18 +188,18 @@
     pub state: String,
     /// The version in use.
     pub version: Option<u64>,
-    /// Milliseconds since discovery answered last.
+    /// Milliseconds since the last answer from discovery.
     pub confirmed_ms_ago: Option<u64>,
-    /// Times that the list stopped being valid, since the start.
+    /// How often the list has stopped being valid, since the start.
     pub expired: u64,
-    /// The shortest call that did not wait for news: what a turn costs at discovery, at most. Times the size of the tier it is how
-    /// long a crowd of all its dispatchers lasts there.
+    /// The shortest call to discovery that was answered without waiting for a change: an upper bound for what one call costs
+    /// there. Multiplied by the number of dispatchers, it bounds how long a burst of calls from all of them lasts.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub shortest_call_ms: Option<u64>,
-    /// Reports of peers that discovery had answered them, since the start.
+    /// Reports by peers that discovery had answered them, since the start.
     #[serde(default)]
     pub peer_reports: u64,
-    /// How many of them left the list less time.
+    /// How many of these reports shortened the validity of the list.
     #[serde(default)]
     pub shortened_by_peers: u64,
 }
@@ -207,13 +207,13 @@
 /// Permits since the start.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct PermitCounts {
-    /// First bytes that were written to workers.
+    /// Permits to write the first bytes of a forward to a worker.
     pub sent: u64,
-    /// Those of them by a list that was not valid.
+    /// How many of them were used while the worker list was not valid.
     pub sent_on_invalid_list: u64,
-    /// Permits that were refused: `ACT.REASON`.
+    /// Refused permits, by `ACT.REASON`.
     pub refused: BTreeMap<String, u64>,
-    /// Rules that this process broke.
+    /// Violations of the permit rules by this process.
     pub violations: BTreeMap<String, u64>,
 }
 
@@ -230,11 +230,11 @@
     pub refused: u64,
 }
 
-/// Any other answer.
+/// An error response.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Fault {
     pub error: String,
-    /// The field that it is about.
+    /// The field that the error is about.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub field: Option<String>,
 }
--- a/dispatcher/src/admin/auth.rs
+++ b/dispatcher/src/admin/auth.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// A key holds so many characters at least.
+/// Minimum length of a key.
 const LEAST: usize = 16;
 
 /// One key, or two while one is being replaced. Only their hashes are kept.
@@ -10,41 +10,41 @@
 pub struct AdminKeys(Vec<blake3::Hash>);
 
 impl fmt::Debug for AdminKeys {
-    /// Never shows the keys.
+    /// Shows how many keys there are, never the keys.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "AdminKeys({})", self.0.len())
     }
 }
 
 impl AdminKeys {
-    /// Reads a key file: a key a line; empty lines and those that begin with # count for nothing.
+    /// Parses a key file: one key per line; empty lines and those that begin with # are ignored.
     ///
     /// # Errors
-    /// Says what is wrong, never what the file holds.
+    /// Describes the problem without disclosing the contents of the file.
     pub fn parse(text: &str) -> Result<AdminKeys, String> {
         let lines = text.lines().map(str::trim).enumerate();
         let keys: Vec<_> = lines.filter(|(_, l)| !l.is_empty() && !l.starts_with('#')).collect();
         let plain = |key: &str| key.len() >= LEAST && key.bytes().all(|b| b.is_ascii_graphic());
         if let Some((at, _)) = keys.iter().find(|(_, key)| !plain(key)) {
             let words = format!("a key is {LEAST} or more printable characters without spaces");
-            return Err(format!("line {} is no key: {words}", at + 1));
+            return Err(format!("line {} is not a valid key: {words}", at + 1));
         }
         match keys.len() {
             1 | 2 => Ok(AdminKeys(keys.iter().map(|(_, key)| blake3::hash(key.as_bytes())).collect())),
-            0 => Err("holds no key: a line of 16 or more printable characters is one".into()),
+            0 => Err("holds no key: a line of 16 or more printable characters is required".into()),
             more => Err(format!("holds {more} keys: two at most, while one is being replaced")),
         }
     }
 
-    /// Whether this is a key. Takes as long for a wrong one as for a right one: hashes are compared, in
-    /// constant time, and all of them.
+    /// Whether this is one of the keys. Takes the same time for wrong and right ones: all hashes are compared, each in
+    /// constant time.
     pub fn accepts(&self, key: &str) -> bool {
         let given = blake3::hash(key.as_bytes());
         self.0.iter().fold(false, |admitted, own| admitted | (*own == given))
     }
 }
 
-/// The key of a key file that a client uses: the first.
+/// The key that a client uses: the first one in its key file.
 ///
 /// # Errors
 /// As [`AdminKeys::parse`].
@@ -67,7 +67,7 @@
         }
         assert_eq!(
             first_key("#\n abcdefghijklmnop\nx"),
-            Err("line 3 is no key: a key is 16 or more printable characters without spaces".into())
+            Err("line 3 is not a valid key: a key is 16 or more printable characters without spaces".into())
         );
         assert_eq!(first_key("\nabcdefghijklmnop\n"), Ok("abcdefghijklmnop".into()));
         assert!(AdminKeys::parse("").unwrap_err().contains("no key"));
--- a/dispatcher/src/admin/calls.rs
+++ b/dispatcher/src/admin/calls.rs
@@ -1,4 +1,4 @@
-//! What each call on the admin listener does.
+//! The operations behind the admin listener and the admin console.
 
 use super::api::{
     ClearOrder, Done, Fault, FlowCounts, OverrideList, OverrideStatus, PeerCounts, PermitCounts, SetOrder,
@@ -21,18 +21,18 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long an answer waits for the disk.
+/// How long a response waits for the override to be synced to disk.
 const SAVED_WITHIN: Duration = Duration::from_secs(2);
 
-/// How long an answer at the console waits for the log, and as long again where no sibling has said that it knows. Answers are owed
-/// within 1 s, also by a process that stood still for a moment.
+/// How long a console reply waits for the override to be appended to the log, and again as long if the siblings have not
+/// confirmed it. Replies are due within 1 s, even from a process that was stalled for a moment.
 const HOLDS_WITHIN: Duration = Duration::from_millis(300);
 
-/// Who has set an override that came over the admin console. It is kept with the override and shown to operators, so it
-/// stays what it was.
+/// Author of overrides that were set over the admin console. It is stored with them and shown to operators, so it keeps its
+/// original value.
 const CONSOLE_AUTHOR: &str = "door";
 
-/// All that calls may look at or change.
+/// Everything that admin calls may read or change.
 pub struct AdminService {
     pub dispatcher: String,
     pub classes: Vec<String>,
@@ -43,10 +43,10 @@
     pub peers: Option<peers::Handle>,
     pub store: Option<store::Handle>,
     pub fleet: Option<fleet::Handle>,
-    /// The other processes of this dispatcher, where there may be some.
+    /// The other processes of this dispatcher; `None` if there can't be any.
     pub siblings: Option<Rc<Siblings>>,
     pub lifecycle: Rc<ListenerLifecycle>,
-    /// The longest that an override may last, in milliseconds: a cordon lasts so long unless it is lifted.
+    /// The longest duration of an override, in milliseconds; a cordon lasts this long unless it is lifted.
     pub max_override_ms: u64,
 }
 
@@ -68,7 +68,7 @@
     fault(StatusCode::BAD_REQUEST, Some(faulty.field), faulty.to_string())
 }
 
-/// Reads a body; a fault names its key.
+/// Parses a JSON body; the error response names the field.
 fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, Reply> {
     let mut json = serde_json::Deserializer::from_slice(body);
     let value = serde_path_to_error::deserialize(&mut json).map_err(|e| {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Has one member of the fleet vote in place of another.
+    /// Replaces a voter of the fleet by another member.
     fn replace(&self, body: &[u8]) -> Result<Reply, Reply> {
         let order: ReplaceOrder = read(body)?;
         let Some(fleet) = &self.fleet else {
@@ -233,12 +233,12 @@
         Ok(json(StatusCode::OK, &Done { id: id.into(), saved: self.saved().await, set: None }))
     }
 
-    /// Takes a worker out until [`AdminService::uncordon`]: an out-of-service override for as long as any may last,
-    /// the same that `/overrides` sets. A worker that is out already stays so, untouched.
+    /// Takes a worker out of service until [`AdminService::uncordon`]. Sets the same out-of-service override as `/overrides`, with
+    /// the longest duration that is allowed. A worker that is out of service already is left unchanged.
     ///
     /// # Errors
-    /// No list has named the worker, the override can't be set, or it can't be said that it holds in each process of this
-    /// dispatcher.
+    /// No worker list has contained the worker, the override can't be set, or it can't be confirmed that it is in force in every
+    /// process of this dispatcher.
     pub async fn cordon(&self, worker: &str) -> Result<&'static str, String> {
         self.flows.refresh_operator_state();
         let slot = out_of_service(worker);
@@ -263,11 +263,11 @@
         Ok(done)
     }
 
-    /// Lets a cordoned worker serve again; one that is not out is left so.
+    /// Puts a cordoned worker back in service; one that is in service is left unchanged.
     ///
     /// # Errors
-    /// No list has named the worker and no override holds it, or it can't be said that it may serve for each process of this
-    /// dispatcher.
+    /// No worker list has contained the worker and no override takes it out, or it can't be confirmed that every process of this
+    /// dispatcher knows of the change.
     pub async fn uncordon(&self, worker: &str) -> Result<&'static str, String> {
         self.flows.refresh_operator_state();
         let slot = out_of_service(worker);
@@ -286,8 +286,8 @@
         lines.iter().any(|line| line.record.slot == *slot && line.record.effect == Effect::Set(None))
     }
 
-    /// Waits until what is in force here in a slot binds each process of this dispatcher: they see it in the log, or have
-    /// said that they know.
+    /// Waits until the override in force in a slot is also in force in the dispatcher's other processes: they read it from the
+    /// log, or have confirmed it when called.
     async fn holds_everywhere(&self, slot: &Slot) -> Result<(), String> {
         let Some(store) = &self.store else { return Ok(()) };
         let (revision, record) = self.overrides.with(|table| (table.revision(), table.latest(slot)));
@@ -306,19 +306,19 @@
         }
     }
 
-    /// Waits until what has just been written is on the disk too.
+    /// Waits until the latest change is synced to disk.
     async fn saved(&self) -> Option<bool> {
         let revision = self.overrides.with(|table| table.revision());
         Some(self.store.as_ref()?.is_saved(revision, SAVED_WITHIN).await)
     }
 }
 
-/// Where an operator takes a worker out.
+/// The override slot that takes this worker out of service.
 fn out_of_service(worker: &str) -> Slot {
     Slot { worker: worker.into(), scope: Scope::OutOfService }
 }
 
-/// Undoes the percent-encoding of a path's last part.
+/// Decodes the percent-encoding of the last path segment.
 fn unescape(text: &str) -> String {
     percent_encoding::percent_decode_str(text).decode_utf8_lossy().into_owned()
 }
--- a/dispatcher/src/admin/console.rs
+++ b/dispatcher/src/admin/console.rs
@@ -1,9 +1,9 @@
-//! The line-protocol admin console at `admin_addr`: one command a connection, `health`, `cordon ID`, `uncordon ID`,
-//! answered with a line that begins with `OK` or `ERR`. Cordons are out-of-service overrides, set and lifted
-//! through the same [`AdminService`] as the JSON listener: one core of commands.
+//! The line-protocol admin console at `admin_addr`: one command per connection, `health`, `cordon ID` or `uncordon ID`,
+//! answered with one line that begins with `OK` or `ERR`. Cordons are out-of-service overrides, set and lifted
+//! through the same [`AdminService`] as on the JSON listener.
 //!
-//! Protected against: callers that never finish their line (closed 3 s after they came), floods of connections
-//! (a bound; those beyond it hear `ERR` at once), lines that are long or not text (`ERR` and a reason).
+//! Protected against callers that never finish their line (closed after 3 s), floods of connections
+//! (those beyond the limit get `ERR` at once), and lines that are too long or not text (`ERR` and a reason).
 
 use super::AdminService;
 use crate::accept::AcceptRetry;
@@ -19,25 +19,25 @@
 use tokio::net::{TcpListener, TcpStream};
 use tracing::info;
 
-/// A line must be whole this long after the connection came.
+/// Time limit for receiving a complete line, from the start of the connection.
 const LINE_WITHIN: Duration = Duration::from_secs(3);
-/// An answer that the caller does not take in this time is given up.
+/// Time limit for writing the reply.
 const WRITE_WITHIN: Duration = Duration::from_secs(1);
-/// Connections at once; beyond these a caller is told so and closed. The sockets' budget counts them.
+/// Concurrent connections; further callers get an error and are closed. Counted in the limit on sockets.
 pub const MAX_CONNECTIONS: usize = 48;
 
-/// Binds the console. What comes before [`serve`] waits in the queue of the socket.
+/// Binds the console. Connections made before [`serve`] wait in the queue of the socket.
 ///
 /// # Errors
 /// The address can't be bound.
 pub async fn bind(at: SocketAddr) -> Result<TcpListener, String> {
     let socket =
         open_patiently(|| TcpListener::bind(at)).await.map_err(|e| format!("admin_addr: {at}: {e}"))?;
-    info!(addr = %at, "the admin console listens");
+    info!(addr = %at, "listening for admin console connections");
     Ok(socket)
 }
 
-/// Serves the console on this thread. Never ends; dropped, calls that were accepted go on.
+/// Serves the console on this thread. Never returns; calls that were accepted continue if it is dropped.
 pub async fn serve(socket: TcpListener, calls: Rc<AdminService>) {
     let open = Rc::new(Cell::new(0usize));
     let mut retry = AcceptRetry::new("admin console");
@@ -57,7 +57,7 @@
             serve_call(stream, &calls, full).await;
             open.set(open.get() - 1);
         });
-        // One that finds no room ends before the next comes: guards the bound on descriptors.
+        // Lets a rejected connection close before the next accept, which keeps to the limit on file descriptors.
         tokio::task::yield_now().await;
     }
 }
@@ -80,15 +80,15 @@
     let _ = tokio::time::timeout(WRITE_WITHIN, write).await;
 }
 
-/// A whole line.
+/// A complete line.
 enum Line {
-    /// Of an operator.
+    /// An operator's command, or why it is invalid.
     Operator(Result<Command, String>),
-    /// Of a sibling process, without its first word.
+    /// A call from a sibling process, without its prefix.
     Sibling(String),
 }
 
-/// Reads until a whole line; `None` if the caller left first, or sent more than a sibling may.
+/// Reads one line; `None` if the caller disconnected first, or sent more than a sibling may.
 async fn line(stream: &mut TcpStream) -> Option<Line> {
     let mut bytes = Vec::with_capacity(64);
     let mut chunk = [0u8; MAX_LINE];
--- a/dispatcher/src/admin/mod.rs
+++ b/dispatcher/src/admin/mod.rs
@@ -1,6 +1,6 @@
-//! The admin listener: where operators see this dispatcher and steer it. JSON over HTTP, on a loopback address
-//! or a Unix socket. Bounded in calls, bytes and time; a call at a time on a connection, so that nothing is
-//! kept for operators that clients need.
+//! The admin listener, where operators inspect and control this dispatcher. JSON over HTTP, on a loopback address
+//! or a Unix socket. Calls, bytes and time are bounded, and each connection carries a single call, so that operators
+//! don't take up resources that clients need.
 
 pub mod api;
 pub mod auth;
@@ -30,21 +30,21 @@
 use tokio::net::{TcpListener, UnixListener, UnixStream};
 use tracing::{info, warn};
 
-/// A body holds so much at most.
+/// The largest request body that is accepted.
 const MAX_BODY: usize = 16 << 10;
-/// A request must be whole in this time.
+/// Time limit for receiving a request.
 const WHOLE_WITHIN: Duration = Duration::from_millis(2500);
-/// A connection ends after this, whatever is on it: the answer may wait for the disk.
+/// Time limit for a connection as a whole. Longer than that for the request, since the response may wait for the disk.
 const CALL_WITHIN: Duration = Duration::from_secs(6);
 const NO_ROOM: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 1\r\n\
     Content-Type: application/json\r\nContent-Length: 44\r\n\r\n{\"error\":\"too many admin calls are in hand\"}\n";
 
-/// The listener as `main` holds it.
+/// Handle to the running listener.
 #[derive(Clone)]
 pub struct Handle(Rc<RefCell<Option<AdminKeys>>>);
 
 impl Handle {
-    /// Goes over to other keys.
+    /// Replaces the keys.
     pub fn set_keys(&self, keys: Option<AdminKeys>) {
         *self.0.borrow_mut() = keys;
     }
@@ -89,7 +89,7 @@
     }
 }
 
-/// Takes away the socket of a process that is gone. Anything else at the path stays.
+/// Removes the socket file of a process that no longer runs. Any other file at the path is left alone.
 async fn remove_stale(path: &Path) -> Result<(), String> {
     let is_socket = std::fs::symlink_metadata(path).is_ok_and(|m| m.file_type().is_socket());
     if !is_socket {
@@ -152,7 +152,7 @@
             retry.succeeded();
             let (this, service) = (self.clone(), service.clone());
             let taken = self.open.get() < most;
-            // One more than there is room for is told so; those beyond it are closed.
+            // The first connection over the limit gets an error response; further ones are closed.
             if self.open.get() > most {
                 continue;
             }
@@ -183,7 +183,7 @@
         let given = given.and_then(|v| v.strip_prefix("Bearer ")).unwrap_or_default();
         let admitted = self.keys.borrow().as_ref().is_none_or(|keys| keys.accepts(given));
         if !admitted {
-            warn!("admin: a call without the key");
+            warn!("admin: rejected a call with a wrong or missing key");
             return fault(
                 StatusCode::UNAUTHORIZED,
                 Some("Authorization"),
@@ -206,7 +206,7 @@
             }
             Ok(body)
         };
-        // Counted from the connection's start: head and body share the time.
+        // Counted from the start of the connection: head and body share the time limit.
         let by = request_start + WHOLE_WITHIN;
         let late = || Err(fault(StatusCode::REQUEST_TIMEOUT, None, "the body did not come in time"));
         match tokio::time::timeout_at(by.into(), read).await.unwrap_or_else(|_| late()) {
--- a/dispatcher/src/admin/refusals.rs
+++ b/dispatcher/src/admin/refusals.rs
@@ -1,7 +1,7 @@
-//! Answers that the HTTP library gives by itself to calls that it can't read, put into words.
+//! Adds a JSON body to the error responses that the HTTP library writes by itself for requests that it can't parse.
 //!
-//! Such calls never reach [`super::Front`]: the library writes a status with an empty body and ends the connection. Every
-//! answer of the admin listener has a body, so an empty one is the library's.
+//! Such requests never reach [`super::Front`]: the library writes a status with an empty body and closes the connection. Every
+//! response of the admin listener has a body, so an empty one is the library's.
 
 use super::api::Fault;
 use std::io;
@@ -9,19 +9,20 @@
 use std::task::{ready, Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// How the head of an answer without a body says so.
+/// Header line of a response without a body.
 const EMPTY_BODY: &[u8] = b"content-length: 0\r\n";
-/// So much of a call is kept to tell what was wrong with it.
+/// Bytes of a request that are kept to determine what was wrong with it.
 const KEPT_BYTES: usize = 4 << 10;
 
-/// A connection on which the library's own refusals get a body.
+/// A connection on which the library's own error responses get a body.
 pub struct WordedRefusals<T> {
     io: T,
-    /// The beginning of the call.
+    /// The beginning of the request.
     call: Vec<u8>,
-    /// Something has been answered: one call is taken on a connection, and the first bytes are those of its answer.
+    /// A response was written. There is one request per connection, so the first bytes written are the beginning of its
+    /// response.
     has_answered: bool,
-    /// What is to be written in place of a refusal.
+    /// The rest of the replacement response that is not written yet.
     rest: Vec<u8>,
 }
 
@@ -30,7 +31,7 @@
         WordedRefusals { io, call: Vec::new(), has_answered: false, rest: Vec::new() }
     }
 
-    /// Writes what stands in place of a refusal. Dropped between two calls, it has written a part.
+    /// Writes the replacement response. If it is not polled to completion, only a part is written.
     fn poll_rest(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         while !self.rest.is_empty() {
             let written = ready!(Pin::new(&mut self.io).poll_write(cx, &self.rest))?;
@@ -68,7 +69,7 @@
             return Pin::new(&mut self.io).poll_write(cx, bytes);
         };
         self.rest = worded;
-        // What does not go out now goes with the next write, flush or end.
+        // What is not written now goes out with the next write, flush or shutdown.
         if let Poll::Ready(Err(e)) = self.poll_rest(cx) {
             return Poll::Ready(Err(e));
         }
@@ -86,7 +87,7 @@
     }
 }
 
-/// The refusal with a body, if these bytes are one without; `call` is the beginning of what was refused.
+/// If these bytes are an error response without a body, returns one with a body. `call` is the beginning of the request.
 fn worded(answer: &[u8], call: &[u8]) -> Option<Vec<u8>> {
     let is_empty = answer.windows(EMPTY_BODY.len()).any(|bytes| bytes == EMPTY_BODY);
     let status_line = answer.split(|byte| *byte == b'\r').next().filter(|_| is_empty)?;
@@ -113,7 +114,7 @@
     Fault { error: error.into(), field: field.map(Into::into) }
 }
 
-/// Whether a request line and the end of a head are among these bytes.
+/// Whether these bytes contain an HTTP/1.1 request line and the end of a head.
 fn is_whole(call: &[u8]) -> bool {
     let first = call.split(|byte| *byte == b'\r').next().unwrap_or_default();
     first.ends_with(b"HTTP/1.1") && call.windows(4).any(|bytes| bytes == b"\r\n\r\n")
