--- a/dispatcher/src/siblings/client.rs
+++ b/dispatcher/src/siblings/client.rs
@@ -1,4 +1,4 @@
-//! One call to a sibling process.
+//! Client for calls to a sibling process.
 
 use super::protocol::{Answer, Call, Introduction, Request, MAX_ANSWER, PREFIX};
 use std::io;
@@ -7,22 +7,22 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Behind an answer that there is no room for the call.
+/// Pause before a retry after a busy reply.
 const BUSY_PAUSE: Duration = Duration::from_millis(20);
-/// What the console says to callers that it has no room for.
+/// Prefix of the console's reply when it has too many connections.
 const BUSY: &str = "ERR busy";
 
-/// Why a call came to no answer.
+/// Why a call failed.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// The kernel says that nobody listens there, or another process does: the sibling is no more.
-    #[error("the process is gone")]
+    /// The kernel refused the connection, or another process listens there: the sibling has exited.
+    #[error("the process has exited")]
     Gone,
-    /// No answer in time: it may live, and stand still.
+    /// No answer in time: the process may be alive but stalled.
     #[error("no answer in time")]
     Silent,
-    /// The connection broke, or what came was no answer.
-    #[error("the call broke: {0}")]
+    /// The connection failed, or the reply is invalid.
+    #[error("the call failed: {0}")]
     Broken(String),
 }
 
@@ -35,10 +35,10 @@
     }
 }
 
-/// Calls a sibling, within a time. Dropped, the call may have been heeded.
+/// Calls a sibling, with a time limit. If this future is dropped, the sibling may still have acted on the call.
 ///
 /// # Errors
-/// It came to no answer.
+/// There was no valid answer in time.
 pub async fn call(to: &Introduction, request: Request, within: Duration) -> Result<Answer, CallError> {
     let call = Call { token: to.token.clone(), request };
     let call = serde_json::to_string(&call).map_err(|e| CallError::Broken(e.to_string()))?;
@@ -66,7 +66,7 @@
 fn parse(answer: &str) -> Result<Answer, CallError> {
     match answer.trim_end().split_once(' ') {
         Some(("OK", json)) => serde_json::from_str(json).map_err(|e| CallError::Broken(e.to_string())),
-        // A process that does not know the token is not the one that is meant.
+        // A process with another token is not the intended one, which must have exited.
         Some(("ERR", reason)) if reason == super::WRONG_TOKEN => Err(CallError::Gone),
         _ => Err(CallError::Broken(format!("{answer:.80}"))),
     }
--- a/dispatcher/src/siblings/mod.rs
+++ b/dispatcher/src/siblings/mod.rs
@@ -1,10 +1,10 @@
-//! The other processes of this dispatcher. While the process is replaced two or more serve, and to clients, workers and operators
-//! they are one: what reaches one of them and concerns another is passed on.
+//! The other processes of this dispatcher. While the process is replaced two or more of them serve, and clients, workers and
+//! operators treat them as one, so messages that reach one process but concern another are forwarded.
 //!
-//! Each process writes down where its admin console listens ([`registry`]) and introduces itself to those that it finds there, so
-//! that they know of it even where the folder is full. Calls go to that console ([`protocol`]): no further listener is needed, and
-//! the kernel says when a process is no more, since nobody listens there then. One that stands still gives no answer, and
-//! nothing is said on its behalf.
+//! Each process publishes the address of its admin console ([`registry`]) and introduces itself to those that it finds there, so
+//! that they know of it even if it can't publish because the file system is full. Calls go to the admin console ([`protocol`]): no
+//! further listener is needed, and the kernel refuses connections to a process that has exited. A stalled process gives no answer,
+//! and no other process answers on its behalf.
 
 mod client;
 pub mod protocol;
@@ -26,46 +26,46 @@
 use tokio::sync::Semaphore;
 use tracing::{info, warn};
 
-/// How long a sibling may take to answer: it is on this machine.
+/// How long a sibling may take to answer. Short, because it runs on this machine.
 const ANSWER_WITHIN: Duration = Duration::from_millis(300);
-/// Between attempts to write this process down while the folder is full or fails.
+/// Interval between attempts to publish this process while writing to the registry fails.
 const PUBLISH_AGAIN: Duration = Duration::from_millis(250);
-/// Calls to siblings at a time: each takes a descriptor.
+/// Concurrent calls to siblings; each takes a file descriptor.
 const MAX_CALLS: usize = 16;
 /// Bytes of a token.
 const TOKEN_BYTES: usize = 16;
-/// The answer to a call that is meant for another process.
+/// Reply to a call that is intended for another process.
 const WRONG_TOKEN: &str = "this is not the process that is meant";
 
-/// What became of a job status update that this process has no job for.
+/// Result of forwarding a job status update that this process has no job for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// A sibling has the job.
+    /// A sibling has the job and accepted the update.
     Accepted,
-    /// No process has it: it is over, or was never there.
+    /// No process has the job: it is over, or never existed.
     Unknown,
-    /// A sibling that may have it can't be asked now: it has to be told again.
+    /// A sibling that may have the job can't be reached now, so the worker has to send the update again.
     Unavailable,
 }
 
-/// The other processes of this dispatcher, as this one knows them.
+/// The other processes of this dispatcher that this one knows of.
 pub struct Siblings {
     own: Introduction,
     registry: Registry,
-    /// Those that have introduced themselves here.
+    /// Processes that have introduced themselves, by process id.
     introduced: RefCell<BTreeMap<u32, Introduction>>,
     calls: Semaphore,
     is_stopping: Cell<bool>,
 }
 
 impl Siblings {
-    /// For a process whose console listens there.
+    /// Creates the state for a process whose admin console listens at this address.
     ///
     /// # Errors
-    /// The system gives no random bytes.
+    /// The operating system provides no random bytes.
     pub fn new(state_dir: &Path, console: SocketAddr) -> Result<Rc<Siblings>, String> {
         let mut token = [0; TOKEN_BYTES];
-        getrandom::fill(&mut token).map_err(|e| format!("no random bytes: {e}"))?;
+        getrandom::fill(&mut token).map_err(|e| format!("can't generate a token: no random bytes: {e}"))?;
         let token = token.iter().map(|byte| format!("{byte:02x}")).collect();
         Ok(Rc::new(Siblings {
             own: Introduction { process: std::process::id(), console, token },
@@ -76,11 +76,11 @@
         }))
     }
 
-    /// Writes this process down and introduces it to the others; takes over the overrides that they have. Where the folder is full
-    /// or fails, the former is tried until it is done.
+    /// Publishes this process in the registry, introduces it to the other processes and takes over their overrides. If publishing
+    /// fails it is retried in the background until it succeeds.
     pub async fn announce(self: &Rc<Self>, overrides: &Overrides) {
         if let Err(e) = self.registry.publish(&self.own) {
-            warn!(error = %e, "siblings: this process can't be written down");
+            warn!(error = %e, "siblings: can't publish this process in the registry; retrying");
             actix_rt::spawn(self.clone().publish_later());
         }
         let others = self.others().unwrap_or_default();
@@ -92,30 +92,30 @@
                     info!(sibling = other.process, overrides = lines.len(), taken, "siblings: found one");
                 }
                 Ok(_) | Err(CallError::Gone) => {}
-                Err(e) => warn!(sibling = other.process, error = %e, "siblings: one gives no answer"),
+                Err(e) => warn!(sibling = other.process, error = %e, "siblings: introduction failed"),
             }
         }
     }
 
-    /// Dropped, this process stays unknown to those that start later and can read the folder; nothing else is lost.
+    /// Retries publishing until it succeeds. If dropped, processes that start later won't find this one; nothing else is lost.
     async fn publish_later(self: Rc<Self>) {
         while self.registry.publish(&self.own).is_err() {
             tokio::time::sleep(PUBLISH_AGAIN).await;
         }
-        info!("siblings: this process is written down");
+        info!("siblings: published this process in the registry");
     }
 
-    /// SIGTERM has come.
+    /// Called on SIGTERM: from now on this process reports that it is stopping.
     pub fn stop(&self) {
         self.is_stopping.set(true);
     }
 
-    /// Takes this process out of the folder.
+    /// Removes this process from the registry.
     pub fn unregister(&self) {
         self.registry.remove(&self.own);
     }
 
-    /// Those that may live.
+    /// The other processes that may be running.
     fn others(&self) -> std::io::Result<Vec<Introduction>> {
         let mut others = self.introduced.borrow().clone();
         others.extend(self.registry.all()?.into_iter().map(|known| (known.process, known)));
@@ -124,7 +124,7 @@
     }
 
     async fn ask(&self, other: &Introduction, request: Request) -> Result<Answer, CallError> {
-        // Never closed.
+        // The semaphore is never closed.
         let _turn = self.calls.acquire().await;
         let answer = call(other, request, ANSWER_WITHIN).await;
         if matches!(answer, Err(CallError::Gone)) {
@@ -135,7 +135,7 @@
         answer
     }
 
-    /// Passes a worker's update on to whoever has the job.
+    /// Forwards a worker's update to the process that has the job.
     pub async fn forward_update(&self, update: &JobUpdate) -> Delivery {
         let Ok(others) = self.others() else { return Delivery::Unavailable };
         let asked = others.iter().map(|other| self.ask(other, Request::JobUpdate(update.clone())));
@@ -146,7 +146,7 @@
                 Ok(_) | Err(CallError::Gone) => {}
                 Err(e) => {
                     let (reference, state) = (&*update.id, &*update.state);
-                    info!(sibling = other.process, reference, state, error = %e, "siblings: an update is refused");
+                    info!(sibling = other.process, reference, state, error = %e, "siblings: can't forward a job status update; refusing it");
                     delivery = Delivery::Unavailable;
                 }
             }
@@ -154,7 +154,7 @@
         delivery
     }
 
-    /// Tells the others of an override. True: it is in force in each of them.
+    /// Sends an override to the other processes. Returns whether it is in force in each of them.
     pub async fn replicate_override(&self, record: &Record) -> bool {
         let Ok(others) = self.others() else { return false };
         let line = log_line(record);
@@ -163,7 +163,7 @@
         answers.iter().all(|answer| matches!(answer, Ok(Answer::Merged) | Err(CallError::Gone)))
     }
 
-    /// What the others are at, as far as they answer.
+    /// The states of the other processes that answer.
     pub async fn states(&self) -> Vec<State> {
         let others = self.others().unwrap_or_default();
         let answers = join_all(others.iter().map(|other| self.ask(other, Request::State))).await;
@@ -174,10 +174,10 @@
         answers.into_iter().filter_map(state).collect()
     }
 
-    /// Answers a sibling's line, without its first word.
+    /// Handles a call from a sibling; `line` comes without the prefix.
     ///
     /// # Errors
-    /// A reason that can follow `ERR`.
+    /// The reason, to be sent after `ERR`.
     pub fn answer(&self, line: &str, process: &ProcessParts) -> Result<Answer, String> {
         let Call { token, request } = serde_json::from_str(line).map_err(|e| format!("not a call: {e}"))?;
         if token != self.own.token {
@@ -194,7 +194,7 @@
             }
             Request::Overrides(lines) => {
                 let taken = restore(process.overrides, &lines);
-                info!(overrides = lines.len(), taken, "siblings: told of overrides");
+                info!(overrides = lines.len(), taken, "siblings: received overrides");
                 Answer::Merged
             }
             Request::JobUpdate(update) => match process.targets.apply_update(update) {
@@ -208,17 +208,17 @@
     }
 }
 
-/// The parts of this process that siblings' calls concern.
+/// The state of this process that calls from siblings read or change.
 pub struct ProcessParts<'a> {
-    /// What operators have set.
+    /// Overrides set by operators.
     pub overrides: &'a Overrides,
-    /// The attempts that are out.
+    /// The HTTP targets, with the attempts in progress.
     pub targets: &'a HttpTargets,
-    /// It can serve clients.
+    /// Whether it is ready to serve clients.
     pub is_up: bool,
 }
 
-/// Brings a sibling's overrides into the table; how many were new.
+/// Merges a sibling's overrides into the table; returns how many were new.
 fn restore(overrides: &Overrides, lines: &[String]) -> usize {
     let mut reader = LogReader::default();
     let records = lines.iter().flat_map(|line| reader.feed(line.as_bytes())).collect();
--- a/dispatcher/src/siblings/protocol.rs
+++ b/dispatcher/src/siblings/protocol.rs
@@ -1,75 +1,74 @@
-//! What sibling processes say to each other at their admin consoles: a line each way, as there with operators. A call is the word
-//! [`PREFIX`] and a JSON object; the answer is `OK` and another one, or `ERR` and a reason.
+//! Protocol between sibling processes, spoken at their admin consoles: one line in each direction, as for operators. A call is
+//! [`PREFIX`] and a JSON object; the reply is `OK` and a JSON object, or `ERR` and a reason.
 
 use crate::targets::http::JobUpdate;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The first word of a sibling's line.
+/// Prefix of a call from a sibling.
 pub const PREFIX: &str = "sibling ";
-/// A call holds so much at most: a job status update with the longest body, and what is said around it.
+/// Maximum size of a call: a job status update with the largest body, and the JSON around it.
 pub const MAX_CALL: usize = (64 << 10) + 1024;
-/// An answer holds so much at most: all overrides of a full table.
+/// Maximum size of a reply: all overrides of a full table.
 pub const MAX_ANSWER: usize = 4 << 20;
 
-/// Who a process is to its siblings.
+/// How a process identifies itself to its siblings.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Introduction {
-    /// Its number in the system.
+    /// Process id.
     pub process: u32,
-    /// Where its admin console listens.
+    /// Address of its admin console.
     pub console: SocketAddr,
-    /// What a caller has to know: it stands in a folder that only this dispatcher's processes read.
+    /// Secret that callers have to present. It is stored in a directory that only this dispatcher's processes read.
     pub token: String,
 }
 
 /// A call.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct Call {
-    /// Of the process that is called.
+    /// Token of the process that is called.
     pub token: String,
-    /// What is asked.
     pub request: Request,
 }
 
-/// What is asked of a sibling.
+/// A request to a sibling.
 #[derive(Debug, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Request {
-    /// A process has started. Answered with all overrides, as lines of their log.
+    /// A process has started. Answered with all overrides, as lines of the overrides log.
     Introduce(Introduction),
-    /// An operator has set or cleared these overrides, as lines of their log.
+    /// An operator has set or cleared these overrides, as lines of the overrides log.
     Overrides(Vec<String>),
-    /// A worker tells of a job that the caller does not have.
+    /// A worker's update for a job that the caller does not have.
     JobUpdate(JobUpdate),
-    /// What the process is at.
+    /// Asks for the state of the process.
     State,
 }
 
-/// What comes back.
+/// The answer to a request.
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Answer {
-    /// All overrides, as lines of their log.
+    /// All overrides, as lines of the overrides log.
     Overrides(Vec<String>),
-    /// The overrides are in force there.
+    /// The overrides were merged and are in force in the process.
     Merged,
-    /// The job is the process's, and the update was taken.
+    /// The process has the job and accepted the update.
     Taken,
-    /// It is not.
+    /// The process does not have the job.
     NotOurs,
-    /// What the process is at.
+    /// The state of the process.
     State(State),
 }
 
-/// What a process is at.
+/// The state of a process.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// It takes clients, and waits for its worker list to be confirmed.
+    /// It accepts clients and waits for its worker list to be confirmed.
     Starting,
-    /// It takes clients and serves them.
+    /// It accepts and serves clients.
     Serving,
-    /// SIGTERM has come.
+    /// It has received SIGTERM.
     Stopping,
 }
--- a/dispatcher/src/siblings/registry.rs
+++ b/dispatcher/src/siblings/registry.rs
@@ -1,4 +1,4 @@
-//! The processes of a dispatcher as they stand in a folder that they share, a file each.
+//! Registry of a dispatcher's processes: a shared directory with one file per process.
 
 use super::protocol::Introduction;
 use std::fs;
@@ -6,15 +6,15 @@
 use std::path::{Path, PathBuf};
 
 const FOLDER: &str = "processes";
-/// A larger file is no introduction.
+/// Larger files are ignored.
 const MAX_BYTES: u64 = 4096;
 
-/// The folder.
+/// The registry directory.
 #[derive(Clone, Debug)]
 pub struct Registry(PathBuf);
 
 impl Registry {
-    /// The one below the folder of the dispatcher's state.
+    /// The registry below the dispatcher's state directory.
     pub fn below(dir: &Path) -> Registry {
         Registry(dir.join(FOLDER))
     }
@@ -23,10 +23,10 @@
         self.0.join(format!("{process}.json"))
     }
 
-    /// Writes a process down.
+    /// Writes the file of a process.
     ///
     /// # Errors
-    /// The folder is full or fails; nothing half is left for others to read.
+    /// The file can't be written; no partial file is left for others to read.
     pub fn publish(&self, own: &Introduction) -> io::Result<()> {
         fs::create_dir_all(&self.0)?;
         let text = serde_json::to_string(own)?;
@@ -38,10 +38,10 @@
         written
     }
 
-    /// The processes that were written down, dead ones among them. A file that can't be read is passed over.
+    /// All published processes, including those that have exited. Files that can't be read or parsed are skipped.
     ///
     /// # Errors
-    /// The folder can't be read.
+    /// The directory can't be read.
     pub fn all(&self) -> io::Result<Vec<Introduction>> {
         let entries = match fs::read_dir(&self.0) {
             Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(Vec::new()),
@@ -59,7 +59,7 @@
         Ok(all)
     }
 
-    /// Takes out a process that is gone, unless another one has its number by now.
+    /// Removes a process that has exited, unless its process id is in use by another one by now.
     pub fn remove(&self, gone: &Introduction) {
         let file = self.file(gone.process);
         let found = fs::read(&file).ok().and_then(|text| serde_json::from_slice::<Introduction>(&text).ok());
