--- a/dispatcher/src/store/log_file.rs
+++ b/dispatcher/src/store/log_file.rs
@@ -1,8 +1,8 @@
-//! The file `overrides.log`: processes of one dispatcher append to it, each in one write, and each reads what the others have
-//! appended. Nobody waits for a lock to do either, so a process that stands still holds up no other.
+//! The file `overrides.log`: the processes of one dispatcher append records to it, each time in one write, and read the records
+//! that the others have appended. Neither takes a lock, so a stalled process does not block the others.
 //!
-//! Whoever has the log open holds `overrides.lock` shared, until the process ends. Only a process that gets that lock alone may
-//! replace the log by a shorter one.
+//! Every process that has the log open holds a shared lock on `overrides.lock` until it exits. Only a process that gets the
+//! exclusive lock may compact the log.
 
 use lineroute_control::overrides::{log_line, LogReader, Record};
 use std::fs::{self, File, OpenOptions, TryLockError};
@@ -13,32 +13,32 @@
 
 const LOG: &str = "overrides.log";
 const LOCK: &str = "overrides.lock";
-/// A log is no larger than this: nothing is appended to a larger one.
+/// Maximum size of the log; nothing is appended to a larger one.
 const MAX_BYTES: u64 = 16 << 20;
-/// So much is read at a time.
+/// Size of the read buffer.
 const PIECE: usize = 64 << 10;
 
-/// The log as one process has it open.
+/// The log, opened by this process.
 #[derive(Debug)]
 pub struct LogFile {
     file: Arc<File>,
     lock: Arc<File>,
     path: PathBuf,
-    /// So much of it was read.
+    /// Bytes read so far.
     read: u64,
     reader: LogReader,
 }
 
 impl LogFile {
-    /// Opens the log of this folder; makes both where they are missing.
+    /// Opens the log in this directory; creates both if they are missing.
     ///
     /// # Errors
-    /// It can't be made, or opened to be written.
+    /// It can't be created or opened for writing.
     pub fn open(dir: &Path) -> io::Result<LogFile> {
         fs::create_dir_all(dir)?;
         let open = |name| OpenOptions::new().read(true).append(true).create(true).open(dir.join(name));
         let lock = open(LOCK)?;
-        // Held alone only while the log is replaced. That takes a moment, but for a process that is stopped then.
+        // Held exclusively only while the log is compacted, which is short unless that process is stalled meanwhile.
         lock.try_lock_shared().map_err(io::Error::from)?;
         let file = open(LOG)?;
         Ok(LogFile {
@@ -50,10 +50,10 @@
         })
     }
 
-    /// What was appended since the last look, by this process or another one. Reads nothing where nothing was.
+    /// The records that this process or another one has appended since the last call.
     ///
     /// # Errors
-    /// It can't be read, or is no longer the log of its folder: it has to be opened anew.
+    /// The file can't be read, or was replaced and has to be reopened.
     pub fn read_new(&mut self) -> io::Result<Vec<Record>> {
         let state = self.file.metadata()?;
         if state.nlink() == 0 || state.len() < self.read {
@@ -74,22 +74,22 @@
         Ok(records)
     }
 
-    /// Lines that were no records.
+    /// Number of lines that are not valid records.
     pub fn malformed(&self) -> u64 {
         self.reader.malformed()
     }
 
-    /// The bytes that were read.
+    /// Number of bytes read.
     pub fn size(&self) -> u64 {
         self.read
     }
 
-    /// What appends to it, on another thread.
+    /// Handle for appending to it on another thread.
     pub fn appender(&self) -> Appender {
         Appender { file: self.file.clone() }
     }
 
-    /// What replaces it, on another thread.
+    /// Handle for compacting it on another thread.
     pub fn compactor(&self) -> Compactor {
         Compactor {
             lock: self.lock.clone(),
@@ -100,7 +100,7 @@
     }
 }
 
-/// Appends to a log. Its calls block.
+/// Appends to a log. Its methods block.
 pub struct Appender {
     file: Arc<File>,
 }
@@ -109,7 +109,7 @@
     /// Appends records in one write: other processes see them once this returns.
     ///
     /// # Errors
-    /// Some of them may not be there, and the last one may be cut short.
+    /// Some of the records may be missing, and the last one written may be truncated.
     pub fn append(&self, records: &[Record]) -> io::Result<()> {
         if self.file.metadata()?.len() > MAX_BYTES {
             return Err(io::ErrorKind::FileTooLarge.into());
@@ -118,16 +118,16 @@
         (&*self.file).write_all(text.as_bytes())
     }
 
-    /// Brings what was appended to the disk.
+    /// Syncs appended records to disk.
     ///
     /// # Errors
-    /// It may not be there.
+    /// The records may not be on disk.
     pub fn sync(&self) -> io::Result<()> {
         self.file.sync_data()
     }
 }
 
-/// Replaces a log by a shorter one. Its calls block.
+/// Compacts a log. Its methods block.
 pub struct Compactor {
     lock: Arc<File>,
     file: Arc<File>,
@@ -136,11 +136,11 @@
 }
 
 impl Compactor {
-    /// Replaces the log by one that holds these records alone, unless another process has it open or has appended something
-    /// that was not read. True: it was replaced, and has to be opened anew.
+    /// Replaces the log by one with only these records, unless another process has it open or it has records that were not read.
+    /// Returns whether it was replaced; if so, it has to be reopened.
     ///
     /// # Errors
-    /// The shorter one can't be written; the log is as it was.
+    /// The new log can't be written; the old one is unchanged.
     pub fn compact(&self, records: &[Record]) -> io::Result<bool> {
         self.lock.unlock()?;
         let replaced = match self.lock.try_lock() {
--- a/dispatcher/src/store/mod.rs
+++ b/dispatcher/src/store/mod.rs
@@ -1,9 +1,10 @@
 //! Overrides on disk: a log that every process of this dispatcher appends to and reads ([`log_file`]). While the process is
-//! replaced two of them serve, and an operator speaks to either: what one has appended binds the other from its next first byte
-//! on, since the log is looked at before each (`Flows::send_permit`).
+//! replaced two of them serve, and an operator may talk to either. Overrides appended by one are in force in the other from its
+//! next forward on, since the log is read before the first byte of each forward (`Flows::send_permit`).
 //!
-//! Where the operator's file names a `state_dir`, overrides outlast a restart there; with an admin console and no such folder
-//! they pass through `$TMPDIR`, which may be full or fail: the process serves on, and writes down what it owes as soon as it can.
+//! If the operator's file names a `state_dir`, overrides are kept there across restarts. With an admin console and no `state_dir`
+//! the log is kept below `$TMPDIR`, which may be full or fail; the process then continues to serve, and writes the missing records
+//! as soon as it can.
 
 mod log_file;
 mod snapshot;
@@ -22,52 +23,52 @@
 use tokio::sync::watch;
 use tracing::{error, info, warn};
 
-/// Between two looks at what other processes have appended, beside those before each first byte.
+/// Interval between reads of the log, in addition to those before the first byte of each forward.
 const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// At a start a log that can't be opened is tried again for so long: nothing is served yet.
+/// How long opening the log is retried at process start, when nothing is served yet.
 const START_WITHIN: Duration = Duration::from_millis(300);
-/// Behind a write that failed, at first and at most.
+/// Initial and maximum delay before a failed write is retried.
 const FIRST_PAUSE: Duration = Duration::from_millis(50);
 const LONGEST_PAUSE: Duration = Duration::from_secs(1);
-/// A log of so many bytes is replaced by a shorter one, if less than half of it still counts.
+/// A log of at least this many bytes is compacted if less than half of its records are current.
 const COMPACT_FROM: u64 = 256 << 10;
 
-/// The log of a dispatcher's overrides, as this process has it.
+/// The log of a dispatcher's overrides, shared by the tasks of this process.
 #[derive(Clone)]
 pub struct Store(Rc<RefCell<Inner>>);
 
 struct Inner {
     dir: PathBuf,
     log: Option<LogFile>,
-    /// The records that the log has, by their fingerprints.
+    /// Fingerprints of the records in the log.
     logged: FxHashSet<u64>,
-    /// Lines that were no records, as far as they were told of.
+    /// Number of malformed lines that were reported already.
     malformed: u64,
     reads_fail: bool,
 }
 
-/// How far the table has come to the log, by its revisions.
+/// The revisions of the table that have reached the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Progress {
-    /// Other processes see it.
+    /// Appended, so that other processes can read it.
     appended: u64,
-    /// It is on the disk.
+    /// Synced to disk.
     synced: u64,
 }
 
-/// Tells how far the log has come.
+/// Waits for revisions of the table to reach the log.
 #[derive(Clone)]
 pub struct Handle {
     progress: Arc<watch::Sender<Progress>>,
 }
 
 impl Handle {
-    /// Resolves once other processes see a revision of the table; false if that takes longer.
+    /// Waits until a revision of the table is appended to the log; false if that takes longer than `within`.
     pub async fn is_appended(&self, revision: u64, within: Duration) -> bool {
         self.reaches(within, |progress| progress.appended >= revision).await
     }
 
-    /// Resolves once a revision of the table is on the disk; false if that takes longer.
+    /// Waits until a revision of the table is synced to disk; false if that takes longer than `within`.
     pub async fn is_saved(&self, revision: u64, within: Duration) -> bool {
         self.reaches(within, |progress| progress.synced >= revision).await
     }
@@ -80,10 +81,10 @@
 }
 
 impl Store {
-    /// Opens the folder that the operator's file names; makes it where it is missing.
+    /// Opens the log in the directory that the operator's file names; creates it if it is missing.
     ///
     /// # Errors
-    /// It can't be made or written to.
+    /// The directory can't be created or written to.
     pub fn open(dir: &Path) -> Result<Store, String> {
         let store = Store::open_lazily(dir);
         let opened = LogFile::open(dir);
@@ -92,7 +93,7 @@
         Ok(store)
     }
 
-    /// The same for a folder that may be full or fail: it is opened when it can be.
+    /// Like `open`, for a directory that may be full or fail: the log is opened at first use, and again after an error.
     pub fn open_lazily(dir: &Path) -> Store {
         Store(Rc::new(RefCell::new(Inner {
             dir: dir.into(),
@@ -103,7 +104,7 @@
         })))
     }
 
-    /// Brings what was kept into the table. What can't be read is told of; it never stops the start.
+    /// Loads the stored overrides into the table. Read errors are logged and don't prevent the start.
     pub fn load(&self, table: &mut Table) {
         let mut records = snapshot::load(&self.0.borrow().dir);
         records.extend(self.read_at_start());
@@ -112,7 +113,7 @@
         info!(records = count, taken, "overrides read from the log");
     }
 
-    /// The log from its beginning. It is waited for where another process is just replacing it.
+    /// Reads the log from its beginning. Waits if another process is just compacting it.
     fn read_at_start(&self) -> Vec<Record> {
         let since = Instant::now();
         loop {
@@ -124,7 +125,7 @@
         }
     }
 
-    /// The records that were appended since the last look.
+    /// The records appended since the last call; none on an error, which is logged once.
     fn read_new(&self) -> Vec<Record> {
         let inner = &mut *self.0.borrow_mut();
         match inner.read_new() {
@@ -133,18 +134,18 @@
                 records
             }
             Err(e) => {
-                // Opened anew at the next look, and read from its beginning.
+                // The next call reopens the log and reads it from its beginning.
                 inner.log = None;
                 inner.logged.clear();
                 if !std::mem::replace(&mut inner.reads_fail, true) {
-                    warn!(error = %e, dir = %inner.dir.display(), "the log of overrides can't be read");
+                    warn!(error = %e, dir = %inner.dir.display(), "can't read the overrides log; retrying");
                 }
                 Vec::new()
             }
         }
     }
 
-    /// Brings what other processes have appended into the table.
+    /// Merges records that other processes have appended into the table.
     pub fn refresh(&self, overrides: &Overrides) {
         let records = self.read_new();
         if records.is_empty() {
@@ -152,12 +153,12 @@
         }
         let taken = overrides.restore(records);
         if taken > 0 {
-            info!(taken, "overrides of another process of this dispatcher");
+            info!(taken, "merged overrides from another process of this dispatcher");
         }
     }
 
-    /// Follows the log, and appends to it what the table has and it lacks. Blocking calls are made off this thread: a slow disk
-    /// holds up no client.
+    /// Starts the tasks that follow the log and append new records of the table to it. Writes run on other threads, so that a
+    /// slow disk does not delay clients.
     pub fn start(&self, overrides: Overrides) -> Handle {
         let handle = Handle { progress: Arc::default() };
         actix_rt::spawn(follow(self.clone(), overrides.clone()));
@@ -165,7 +166,7 @@
         handle
     }
 
-    /// Appends what the table has and the log lacks, as of this revision.
+    /// Appends those of the records, the table's as of this revision, that the log lacks, and syncs them.
     async fn append_missing(
         &self,
         records: Vec<Record>,
@@ -193,13 +194,13 @@
         written.await.map_err(io::Error::other)??;
         if !prints.is_empty() {
             let took_ms = since.elapsed().as_millis() as u64;
-            info!(records = prints.len(), revision, took_ms, "overrides written down");
+            info!(records = prints.len(), revision, took_ms, "overrides appended to the log");
         }
         self.0.borrow_mut().logged.extend(prints);
         Ok(())
     }
 
-    /// Replaces a log of which most counts no more, unless another process has it open.
+    /// Compacts a log in which most records are obsolete, unless another process has it open.
     async fn compact(&self, records: Vec<Record>) {
         let compactor = {
             let inner = self.0.borrow();
@@ -216,9 +217,9 @@
                 let inner = &mut *self.0.borrow_mut();
                 (inner.log, inner.malformed) = (None, 0);
                 inner.logged.clear();
-                info!("the log of overrides was replaced by a shorter one");
+                info!("compacted the overrides log");
             }
-            Err(e) => warn!(error = %e, "the log of overrides can't be replaced by a shorter one"),
+            Err(e) => warn!(error = %e, "can't compact the overrides log"),
         }
     }
 }
@@ -243,7 +244,7 @@
     }
 }
 
-/// Looks at what other processes have appended. Never ends; dropped, it holds nothing.
+/// Reads records that other processes append. Never returns; cancel-safe.
 async fn follow(store: Store, overrides: Overrides) {
     loop {
         tokio::time::sleep(LOOK_EVERY).await;
@@ -251,8 +252,8 @@
     }
 }
 
-/// Writes the table down whenever it changes, until the table is gone. A write that is under way when this is dropped goes on
-/// to its end.
+/// Appends the table's new records whenever it changes, until the table is dropped. A write in progress when this is dropped
+/// still completes.
 async fn write_down(store: Store, overrides: Overrides, progress: Arc<watch::Sender<Progress>>) {
     let mut revisions = overrides.revisions();
     let mut pause = FIRST_PAUSE;
@@ -278,11 +279,11 @@
     }
 }
 
-/// What operators have set, kept up to date by the log.
+/// The overrides table, kept up to date from the log.
 pub struct LoggedOperatorState {
     /// The log.
     pub store: Store,
-    /// The table that it is brought into.
+    /// The table that records are merged into.
     pub overrides: Overrides,
 }
 
--- a/dispatcher/src/store/snapshot.rs
+++ b/dispatcher/src/store/snapshot.rs
@@ -1,5 +1,5 @@
-//! The snapshot of overrides that releases before the log kept, `overrides.snapshot`: read once at a start, so that what they
-//! held goes on. The first line names the form and the BLAKE3 hash of all that follows; then comes a record a line.
+//! Reads `overrides.snapshot`, which releases before the overrides log wrote, at process start, so that overrides survive the
+//! upgrade. The first line contains the format and the BLAKE3 hash of the rest; each further line is one record.
 
 use lineroute_control::overrides::{decode, decode_hex, Record};
 use std::fs;
@@ -10,10 +10,11 @@
 const NAME: &str = "overrides.snapshot";
 const BAD: &str = "overrides.bad";
 const FORM: &str = "lineroute-overrides 1";
-/// A snapshot is no larger than this: the table is bounded.
+/// Maximum size of a snapshot; the table it was written from is bounded.
 const MAX_BYTES: u64 = 16 << 20;
 
-/// The records of a snapshot in this folder. One that can't be read whole is set aside and told of; it never stops the start.
+/// The records of the snapshot in this directory, if there is one. An unreadable snapshot is renamed and logged; it does not
+/// prevent the start.
 pub fn load(dir: &Path) -> Vec<Record> {
     let path = dir.join(NAME);
     match read(&path) {
@@ -22,7 +23,7 @@
             let aside = dir.join(BAD);
             let moved = fs::rename(&path, &aside);
             error!(reason, file = %path.display(), aside = %aside.display(), moved = moved.is_ok(),
-                "the snapshot of overrides can't be used and is set aside");
+                "can't read the overrides snapshot; moving it aside");
             Vec::new()
         }
     }
@@ -31,18 +32,18 @@
 fn read(path: &Path) -> Result<Vec<Record>, String> {
     match fs::metadata(path) {
         Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(Vec::new()),
-        Ok(file) if file.len() > MAX_BYTES => return Err(format!("{} bytes are too many", file.len())),
+        Ok(file) if file.len() > MAX_BYTES => return Err(format!("file is too large: {} bytes", file.len())),
         _ => {}
     }
     let text = fs::read_to_string(path).map_err(|e| e.to_string())?;
     let (head, body) = text.split_once('\n').ok_or("the first line is missing")?;
-    let hash = head.strip_prefix(FORM).ok_or("the first line is not of this form")?.trim();
+    let hash = head.strip_prefix(FORM).ok_or("the first line does not name a supported format")?.trim();
     if blake3::hash(body.as_bytes()).to_hex().as_str() != hash {
-        return Err("the checksum is wrong: it was cut short or changed".into());
+        return Err("checksum mismatch: the file is truncated or was changed".into());
     }
     let record = |line: &str| decode(&decode_hex(line)?).ok();
     let lines = body.lines();
-    lines.map(|line| record(line).ok_or(format!("a line is no record: {line:.20}"))).collect()
+    lines.map(|line| record(line).ok_or(format!("invalid record: {line:.20}"))).collect()
 }
 
 #[cfg(test)]
@@ -52,7 +53,7 @@
     use lineroute_control::overrides::encode;
     use rstest::rstest;
 
-    /// A snapshot as the releases before wrote it.
+    /// A snapshot as earlier releases wrote it.
     fn text(records: &[Record]) -> String {
         let hex = |bytes: Vec<u8>| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
         let body: String = records.iter().map(|record| hex(encode(record)) + "\n").collect();
--- a/dispatcher/src/store/tests.rs
+++ b/dispatcher/src/store/tests.rs
@@ -1,4 +1,4 @@
-//! The log on a disk: what was appended is read back, by whichever process.
+//! The overrides log on disk: records that were appended are read back, by any process.
 
 use super::log_file::LogFile;
 use super::*;
@@ -6,14 +6,14 @@
 use std::fs::{self, OpenOptions};
 use std::io::Write;
 
-/// A folder that is not there.
+/// Path of a directory that does not exist.
 pub fn folder(name: &str) -> PathBuf {
     let dir = std::env::temp_dir().join(format!("lineroute-store-{}-{name}", std::process::id()));
     let _ = fs::remove_dir_all(&dir);
     dir
 }
 
-/// Cordons of so many workers.
+/// Records that cordon `count` workers.
 pub fn records(count: usize) -> Vec<Record> {
     let mut table = Table::new("n1", 3_600_000);
     let set = |number| {
@@ -49,7 +49,7 @@
     let _ = fs::remove_dir_all(dir);
 }
 
-/// Two processes have it open: each sees what the other has appended, and only that.
+/// With two processes that have the log open, each reads every record that the other has appended, exactly once.
 #[test]
 fn each_sees_what_the_other_has_appended() {
     let dir = folder("both");
@@ -64,7 +64,8 @@
     let _ = fs::remove_dir_all(dir);
 }
 
-/// A kill tore the last line: the others stand, and so does what is appended behind it.
+/// Guards against losing records next to a line that was truncated when its writer was killed: those before it and those
+/// appended after it must be read.
 #[test]
 fn a_torn_line_costs_no_other() {
     let dir = folder("torn-line");
@@ -93,7 +94,7 @@
     let _ = fs::remove_dir_all(dir);
 }
 
-/// It is replaced by a shorter one only where no other process has it open, and has read all of it.
+/// The log is compacted only by a process that has read all of it, while no other process has it open.
 #[test]
 fn a_log_is_replaced_by_whoever_has_it_alone() {
     let dir = folder("compact");
