--- a/dispatcher/src/listeners/beanstalkd/command.rs
+++ b/dispatcher/src/listeners/beanstalkd/command.rs
@@ -1,4 +1,4 @@
-//! Strict parser for command lines of the beanstalkd protocol: exactly one space between words, no trailing text.
+//! Strict parser for command lines of the beanstalkd protocol: exactly one space between tokens, no trailing text.
 
 use crate::beanstalkd::is_name;
 use std::time::Duration;
@@ -31,14 +31,14 @@
     Quit,
 }
 
-const BAD: &str = "BAD_FORMAT";
+const BAD_FORMAT: &str = "BAD_FORMAT";
 
-struct Words<'a>(std::str::Split<'a, char>);
+struct Tokens<'a>(std::str::Split<'a, char>);
 
-impl Words<'_> {
+impl Tokens<'_> {
     fn number<T: std::str::FromStr>(&mut self) -> Result<T, &'static str> {
         let word = self.0.next().filter(|w| !w.is_empty() && w.bytes().all(|b| b.is_ascii_digit()));
-        word.and_then(|w| w.parse().ok()).ok_or(BAD)
+        word.and_then(|w| w.parse().ok()).ok_or(BAD_FORMAT)
     }
 
     fn seconds(&mut self) -> Result<Duration, &'static str> {
@@ -46,7 +46,7 @@
     }
 
     fn name(&mut self) -> Result<String, &'static str> {
-        self.0.next().filter(|w| is_name(w)).map(str::to_owned).ok_or(BAD)
+        self.0.next().filter(|w| is_name(w)).map(str::to_owned).ok_or(BAD_FORMAT)
     }
 }
 
@@ -56,36 +56,36 @@
     /// # Errors
     /// The protocol's error reply.
     pub fn parse(line: &str) -> Result<Command, &'static str> {
-        let mut words = Words(line.split(' '));
-        let command = match words.0.next().unwrap_or_default() {
+        let mut tokens = Tokens(line.split(' '));
+        let command = match tokens.0.next().unwrap_or_default() {
             "put" => Command::Put {
-                pri: words.number()?,
-                delay: words.seconds()?,
+                pri: tokens.number()?,
+                delay: tokens.seconds()?,
                 // As in beanstalkd, the time to run is at least one second.
-                ttr: words.seconds()?.max(Duration::from_secs(1)),
-                bytes: words.number::<u32>()?.into(),
+                ttr: tokens.seconds()?.max(Duration::from_secs(1)),
+                bytes: tokens.number::<u32>()?.into(),
             },
-            "use" => Command::Use(words.name()?),
+            "use" => Command::Use(tokens.name()?),
             "reserve" => Command::Reserve { within: None },
-            "reserve-with-timeout" => Command::Reserve { within: Some(words.seconds()?) },
-            "reserve-job" => Command::ReserveJob(words.number()?),
-            "delete" => Command::Delete(words.number()?),
+            "reserve-with-timeout" => Command::Reserve { within: Some(tokens.seconds()?) },
+            "reserve-job" => Command::ReserveJob(tokens.number()?),
+            "delete" => Command::Delete(tokens.number()?),
             "release" => {
-                Command::Release { id: words.number()?, pri: words.number()?, delay: words.seconds()? }
+                Command::Release { id: tokens.number()?, pri: tokens.number()?, delay: tokens.seconds()? }
             }
-            "bury" => Command::Bury { id: words.number()?, pri: words.number()? },
-            "touch" => Command::Touch(words.number()?),
-            "watch" => Command::Watch(words.name()?),
-            "ignore" => Command::Ignore(words.name()?),
-            "peek" => Command::Peek(words.number()?),
+            "bury" => Command::Bury { id: tokens.number()?, pri: tokens.number()? },
+            "touch" => Command::Touch(tokens.number()?),
+            "watch" => Command::Watch(tokens.name()?),
+            "ignore" => Command::Ignore(tokens.name()?),
+            "peek" => Command::Peek(tokens.number()?),
             "peek-ready" => Command::PeekReady,
             "peek-delayed" => Command::PeekDelayed,
             "peek-buried" => Command::PeekBuried,
-            "kick" => Command::Kick(words.number::<u32>()?.into()),
-            "kick-job" => Command::KickJob(words.number()?),
-            "pause-tube" => Command::PauseTube { tube: words.name()?, delay: words.seconds()? },
-            "stats-job" => Command::StatsJob(words.number()?),
-            "stats-tube" => Command::StatsTube(words.name()?),
+            "kick" => Command::Kick(tokens.number::<u32>()?.into()),
+            "kick-job" => Command::KickJob(tokens.number()?),
+            "pause-tube" => Command::PauseTube { tube: tokens.name()?, delay: tokens.seconds()? },
+            "stats-job" => Command::StatsJob(tokens.number()?),
+            "stats-tube" => Command::StatsTube(tokens.name()?),
             "stats" => Command::Stats,
             "list-tubes" => Command::ListTubes,
             "list-tube-used" => Command::ListTubeUsed,
@@ -93,9 +93,9 @@
             "quit" => Command::Quit,
             _ => return Err("UNKNOWN_COMMAND"),
         };
-        match words.0.next() {
+        match tokens.0.next() {
             None => Ok(command),
-            Some(_) => Err(BAD),
+            Some(_) => Err(BAD_FORMAT),
         }
     }
 }
--- a/dispatcher/src/listeners/beanstalkd/mod.rs
+++ b/dispatcher/src/listeners/beanstalkd/mod.rs
@@ -26,7 +26,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 use tracing::warn;
-use tubes::{Client, Found, Tubes};
+use tubes::{Client, JobFilter, Tubes};
 
 /// Priority of answers: not urgent, which beanstalkd counts priorities below 1024 as. And how long a client may keep an
 /// answer reserved.
@@ -47,15 +47,15 @@
 }
 
 /// Receives the answer of a flow that was put, and adds it to the answers tube as a job.
-struct Put {
-    front: Rc<BeanstalkdListener>,
+struct AnswerReceiver {
+    listener: Rc<BeanstalkdListener>,
     id: u64,
     answers: String,
 }
 
-impl Listener for Put {
+impl Listener for AnswerReceiver {
     fn answer(self: Box<Self>, answer: Answer) {
-        self.front.answer(self.id, &self.answers, &answer);
+        self.listener.answer(self.id, &self.answers, &answer);
     }
 }
 
@@ -92,7 +92,7 @@
 
     /// Accepts and serves connections. Never returns.
     pub async fn serve(self: Rc<Self>, socket: TcpListener) {
-        actix_rt::spawn(self.slots.clone().watch());
+        actix_rt::spawn(self.slots.clone().enforce_timeouts());
         let mut retry = AcceptRetry::new("beanstalkd");
         loop {
             let stream = match socket.accept().await {
@@ -103,7 +103,7 @@
                 }
             };
             retry.succeeded();
-            let Some(taken) = self.slots.take() else {
+            let Some(taken) = self.slots.acquire() else {
                 warn!(
                     in_use = self.slots.count(),
                     "beanstalkd: all connection slots are in use; closed a new connection"
@@ -111,28 +111,28 @@
                 continue;
             };
             // Clients of this protocol may connect long before they send a command.
-            taken.slot.set(Stage::Idle);
+            taken.slot.set_stage(Stage::Idle);
             let _ = stream.set_nodelay(true);
-            let front = self.clone();
+            let listener = self.clone();
             actix_rt::spawn(async move {
-                let client = front.tubes.borrow_mut().connect();
-                let connection = Connection::new(front.clone(), client, stream, taken.slot.clone());
+                let client = listener.tubes.borrow_mut().connect();
+                let connection = Connection::new(listener.clone(), client, stream, taken.slot.clone());
                 let mut served = pin!(connection.run());
                 loop {
                     // The connection future survives the loop's iterations. It is dropped after the loop, which closes the
                     // connection; the client's reservations are released below.
-                    let cut = tokio::select! {
-                        cut = taken.slot.until_cut() => cut,
+                    let cause = tokio::select! {
+                        cause = taken.slot.wait_for_abort() => cause,
                         // Errors here are the peer's.
                         _ = served.as_mut() => break,
                     };
-                    if front.flows.close_permit(taken.slot.cut_facts(cut)).is_some() {
+                    if listener.flows.close_permit(taken.slot.abort_facts(cause)).is_some() {
                         break;
                     }
-                    taken.slot.keep();
+                    taken.slot.clear_abort();
                 }
-                front.tubes.borrow_mut().disconnect(client, Instant::now());
-                front.changed.notify_waiters();
+                listener.tubes.borrow_mut().disconnect(client, Instant::now());
+                listener.changed.notify_waiters();
             });
             // Lets an evicted connection close before the next accept, which keeps to the limit on file descriptors.
             tokio::task::yield_now().await;
@@ -165,7 +165,7 @@
         };
         let (budget, answers) = (mapped.budget, mapped.answers.clone());
         if delay.is_zero() {
-            return match self.begin(id, job, budget, answers) {
+            return match self.start_flow(id, job, budget, answers) {
                 true => format!("INSERTED {id}"),
                 false => {
                     self.tubes.borrow_mut().close(id);
@@ -173,21 +173,21 @@
                 }
             };
         }
-        let front = self.clone();
+        let listener = self.clone();
         actix_rt::spawn(async move {
             tokio::time::sleep_until((now + delay).into()).await;
             // The job may have been deleted during its delay.
-            if front.tubes.borrow().is_open(id) && !front.begin(id, job, budget, answers.clone()) {
-                front.answer(id, &answers, &Answer::Refused(Duration::from_secs(1)));
+            if listener.tubes.borrow().is_open(id) && !listener.start_flow(id, job, budget, answers.clone()) {
+                listener.answer(id, &answers, &Answer::Refused(Duration::from_secs(1)));
             }
         });
         format!("INSERTED {id}")
     }
 
-    fn begin(self: &Rc<Self>, id: u64, job: Job, budget: Duration, answers: String) -> bool {
+    fn start_flow(self: &Rc<Self>, id: u64, job: Job, budget: Duration, answers: String) -> bool {
         let put = |flow: FlowId| -> Box<dyn Listener> {
-            self.tubes.borrow_mut().begun(id, flow);
-            Box::new(Put { front: self.clone(), id, answers })
+            self.tubes.borrow_mut().set_flow(id, flow);
+            Box::new(AnswerReceiver { listener: self.clone(), id, answers })
         };
         // A job that was replied to with `INSERTED` must get an answer, even if its delay ends after SIGTERM.
         let process = if self.stopping.get() { ProcessState::Draining } else { ProcessState::Serving };
@@ -229,7 +229,7 @@
 }
 
 struct Connection {
-    front: Rc<BeanstalkdListener>,
+    listener: Rc<BeanstalkdListener>,
     client: Client,
     input: BufReader<OwnedReadHalf>,
     output: OwnedWriteHalf,
@@ -239,31 +239,31 @@
 
 impl Connection {
     fn new(
-        front: Rc<BeanstalkdListener>,
+        listener: Rc<BeanstalkdListener>,
         client: Client,
         stream: TcpStream,
         slot: Rc<ConnectionSlot>,
     ) -> Self {
         let (input, output) = stream.into_split();
-        Connection { front, client, input: BufReader::new(input), output, used: "default".into(), slot }
+        Connection { listener, client, input: BufReader::new(input), output, used: "default".into(), slot }
     }
 
     /// Waits for the first byte of a command; false at the end of the connection. From then on the slot's time limit covers
     /// receiving the command and writing its reply. Connections that have a job reserved are not evicted.
-    async fn hears(&mut self) -> io::Result<bool> {
-        let holds = self.front.tubes.borrow().holds(self.client);
-        self.slot.set(if holds { Stage::InWork } else { Stage::Idle });
+    async fn wait_for_command(&mut self) -> io::Result<bool> {
+        let holds = self.listener.tubes.borrow().has_reservation(self.client);
+        self.slot.set_stage(if holds { Stage::Processing } else { Stage::Idle });
         let more = !self.input.fill_buf().await?.is_empty();
-        self.slot.set(Stage::Head);
+        self.slot.set_stage(Stage::Head);
         Ok(more)
     }
 
     async fn run(mut self) -> io::Result<()> {
-        while self.hears().await? {
+        while self.wait_for_command().await? {
             let line = match read_line(&mut self.input).await? {
                 Line::Text(line) => line,
                 Line::Bad => {
-                    self.say("BAD_FORMAT").await?;
+                    self.write_line("BAD_FORMAT").await?;
                     continue;
                 }
                 Line::End => return Ok(()),
@@ -278,43 +278,43 @@
                         "JOB_TOO_BIG".into()
                     } else {
                         match read_body(&mut self.input, bytes as usize).await? {
-                            Some(body) => self.front.put(&self.used, pri, delay, ttr, body),
+                            Some(body) => self.listener.put(&self.used, pri, delay, ttr, body),
                             None => "EXPECTED_CRLF".into(),
                         }
                     }
                 }
                 Ok(Command::Reserve { within }) => {
-                    self.slot.set(Stage::InWork);
+                    self.slot.set_stage(Stage::Processing);
                     let reserved = self.reserve(within).await?;
-                    self.slot.set(Stage::Head);
+                    self.slot.set_stage(Stage::Head);
                     match reserved {
                         None => return Ok(()),
                         Some(Reserved::Job(id, body)) => {
-                            self.job("RESERVED", id, &body).await?;
+                            self.write_job("RESERVED", id, &body).await?;
                             continue;
                         }
                         Some(Reserved::Word(word)) => word.into(),
                     }
                 }
-                Ok(command) => match self.act(command) {
+                Ok(command) => match self.execute(command) {
                     Reply::Line(line) => line,
                     Reply::Job(word, id, body) => {
-                        self.job(word, id, &body).await?;
+                        self.write_job(word, id, &body).await?;
                         continue;
                     }
                     Reply::Text(text) => format!("OK {}\r\n{text}", text.len()),
                 },
             };
-            self.say(&reply).await?;
+            self.write_line(&reply).await?;
         }
         Ok(())
     }
 
-    async fn say(&mut self, line: &str) -> io::Result<()> {
+    async fn write_line(&mut self, line: &str) -> io::Result<()> {
         self.output.write_all(format!("{line}\r\n").as_bytes()).await
     }
 
-    async fn job(&mut self, word: &str, id: u64, body: &Bytes) -> io::Result<()> {
+    async fn write_job(&mut self, word: &str, id: u64, body: &Bytes) -> io::Result<()> {
         let mut reply = format!("{word} {id} {}\r\n", body.len()).into_bytes();
         reply.extend_from_slice(body);
         reply.extend_from_slice(b"\r\n");
@@ -326,12 +326,12 @@
         let until = within.map(|w| Instant::now() + w);
         let mut more = false;
         loop {
-            let changed = self.front.changed.notified();
+            let changed = self.listener.changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
             let now = Instant::now();
             let next = {
-                let mut tubes = self.front.tubes.borrow_mut();
+                let mut tubes = self.listener.tubes.borrow_mut();
                 if tubes.deadline_soon(self.client, now) {
                     return Ok(Some(Reserved::Word("DEADLINE_SOON")));
                 }
@@ -357,8 +357,8 @@
         }
     }
 
-    fn act(&mut self, command: Command) -> Reply {
-        let (now, client, front) = (Instant::now(), self.client, &self.front);
+    fn execute(&mut self, command: Command) -> Reply {
+        let (now, client, listener) = (Instant::now(), self.client, &self.listener);
         let line = |words: &str| Reply::Line(words.into());
         let found = |found: bool, word: &str| line(if found { word } else { "NOT_FOUND" });
         let job = |word, found: Option<(u64, Bytes)>| match found {
@@ -367,9 +367,9 @@
         };
         let text = |text: Option<String>| text.map_or_else(|| line("NOT_FOUND"), Reply::Text);
         if let Command::Delete(id) = command {
-            return found(front.delete(client, id), "DELETED");
+            return found(listener.delete(client, id), "DELETED");
         }
-        let mut tubes = front.tubes.borrow_mut();
+        let mut tubes = listener.tubes.borrow_mut();
         tubes.advance(now);
         let reply = match command {
             Command::Use(tube) => {
@@ -395,17 +395,19 @@
             Command::KickJob(id) => found(tubes.kick_job(id), "KICKED"),
             Command::PauseTube { tube, delay } => found(tubes.pause(&tube, delay, now), "PAUSED"),
             Command::Peek(id) => job("FOUND", tubes.peek(id)),
-            Command::PeekReady => job("FOUND", tubes.peek_first(&self.used, Found::Ready)),
-            Command::PeekDelayed => job("FOUND", tubes.peek_first(&self.used, Found::Delayed)),
-            Command::PeekBuried => job("FOUND", tubes.peek_first(&self.used, Found::Buried)),
+            Command::PeekReady => job("FOUND", tubes.peek_first(&self.used, JobFilter::Ready)),
+            Command::PeekDelayed => job("FOUND", tubes.peek_first(&self.used, JobFilter::Delayed)),
+            Command::PeekBuried => job("FOUND", tubes.peek_first(&self.used, JobFilter::Buried)),
             Command::StatsJob(id) => text(tubes.stats_job(id, now)),
             Command::StatsTube(tube) => {
-                let mapped = front.settings.tubes.iter().any(|t| t.tube == tube || t.answers == tube);
+                let mapped = listener.settings.tubes.iter().any(|t| t.tube == tube || t.answers == tube);
                 text(tubes.stats_tube(&tube, mapped, now))
             }
-            Command::Stats => Reply::Text(tubes.stats(MAX_JOB, front.slots.count(), front.stopping.get())),
+            Command::Stats => {
+                Reply::Text(tubes.stats(MAX_JOB, listener.slots.count(), listener.stopping.get()))
+            }
             Command::ListTubes => {
-                let mapped = front.settings.tubes.iter().flat_map(|t| [t.tube.as_str(), &t.answers]);
+                let mapped = listener.settings.tubes.iter().flat_map(|t| [t.tube.as_str(), &t.answers]);
                 Reply::Text(tubes.list(mapped))
             }
             Command::ListTubeUsed => Reply::Line(format!("USING {}", self.used)),
@@ -416,7 +418,7 @@
             }
         };
         drop(tubes);
-        front.changed.notify_waiters();
+        listener.changed.notify_waiters();
         reply
     }
 }
--- a/dispatcher/src/listeners/beanstalkd/tubes.rs
+++ b/dispatcher/src/listeners/beanstalkd/tubes.rs
@@ -13,11 +13,11 @@
 pub struct Client(u64);
 
 /// Bytes that an open job reserves for its answer.
-const ANSWER_ROOM: usize = 64 << 10;
+const ANSWER_RESERVATION: usize = 64 << 10;
 /// How many tubes one client may watch.
 const MAX_WATCHED: usize = 256;
 /// A client whose reserved job times out within this time gets `DEADLINE_SOON` instead of another job.
-const SOON: Duration = Duration::from_secs(1);
+const DEADLINE_MARGIN: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
@@ -31,7 +31,7 @@
 
 /// The state of the jobs that a peek or kick selects.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Found {
+pub enum JobFilter {
     Ready,
     Delayed,
     Buried,
@@ -46,7 +46,7 @@
     ttr: Duration,
     body: Bytes,
     /// Bytes that count against the memory limit.
-    weight: usize,
+    accounted_bytes: usize,
     since: Instant,
     reserves: u32,
     timeouts: u32,
@@ -58,7 +58,7 @@
 pub struct Tubes {
     jobs: BTreeMap<u64, Entry>,
     watching: FxHashMap<Client, Vec<String>>,
-    paused: FxHashMap<String, Instant>,
+    paused_until: FxHashMap<String, Instant>,
     next: u64,
     clients: u64,
     bytes: usize,
@@ -72,7 +72,7 @@
         Tubes {
             jobs: BTreeMap::new(),
             watching: FxHashMap::default(),
-            paused: FxHashMap::default(),
+            paused_until: FxHashMap::default(),
             next: 0,
             clients: 0,
             bytes: 0,
@@ -94,7 +94,7 @@
     }
 
     /// Whether the client has reserved a job.
-    pub fn holds(&self, client: Client) -> bool {
+    pub fn has_reservation(&self, client: Client) -> bool {
         self.jobs.values().any(|job| matches!(job.state, State::Reserved(c, _) if c == client))
     }
 
@@ -111,14 +111,14 @@
 
     fn insert(&mut self, entry: Entry) -> u64 {
         self.next += 1;
-        self.bytes += entry.weight;
+        self.bytes += entry.accounted_bytes;
         self.jobs.insert(self.next, entry);
         self.next
     }
 
     fn remove(&mut self, id: u64) -> Option<Entry> {
         let entry = self.jobs.remove(&id)?;
-        self.bytes -= entry.weight;
+        self.bytes -= entry.accounted_bytes;
         Some(entry)
     }
 
@@ -132,16 +132,16 @@
         body: Bytes,
         now: Instant,
     ) -> Option<u64> {
-        let weight = body.len() + ANSWER_ROOM;
-        if self.jobs.len() >= self.max_jobs || self.bytes + weight > self.max_bytes {
+        let accounted_bytes = body.len() + ANSWER_RESERVATION;
+        if self.jobs.len() >= self.max_jobs || self.bytes + accounted_bytes > self.max_bytes {
             return None;
         }
         let state = State::Open(None);
-        Some(self.insert(Entry { weight, ..entry(tube, state, pri, delay, ttr, body, now) }))
+        Some(self.insert(Entry { accounted_bytes, ..entry(tube, state, pri, delay, ttr, body, now) }))
     }
 
     /// Records the flow of an open job.
-    pub fn begun(&mut self, id: u64, flow: FlowId) {
+    pub fn set_flow(&mut self, id: u64, flow: FlowId) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.state = State::Open(Some(flow));
         }
@@ -171,7 +171,7 @@
 
     /// Applies the passing of time: ends delays, reservations and pauses that are over.
     pub fn advance(&mut self, now: Instant) {
-        self.paused.retain(|_, until| now < *until);
+        self.paused_until.retain(|_, until| now < *until);
         for job in self.jobs.values_mut() {
             match job.state {
                 State::Delayed(until) if now >= until => job.state = State::Ready,
@@ -188,16 +188,18 @@
     pub fn next_change(&self, client: Client, now: Instant) -> Option<Instant> {
         let change = |job: &Entry| match job.state {
             State::Delayed(until) => Some(until),
-            State::Reserved(c, until) if c == client => Some(until.checked_sub(SOON).unwrap_or(until)),
+            State::Reserved(c, until) if c == client => {
+                Some(until.checked_sub(DEADLINE_MARGIN).unwrap_or(until))
+            }
             State::Reserved(_, until) => Some(until),
             _ => None,
         };
-        let changes = self.jobs.values().filter_map(change).chain(self.paused.values().copied());
+        let changes = self.jobs.values().filter_map(change).chain(self.paused_until.values().copied());
         changes.filter(|at| *at > now).min()
     }
 
     pub fn deadline_soon(&self, client: Client, now: Instant) -> bool {
-        let soon = |job: &Entry| matches!(job.state, State::Reserved(c, until) if c == client && now + SOON >= until);
+        let soon = |job: &Entry| matches!(job.state, State::Reserved(c, until) if c == client && now + DEADLINE_MARGIN >= until);
         self.jobs.values().any(soon)
     }
 
@@ -206,7 +208,9 @@
         self.advance(now);
         let watched = self.watching.get(&client)?;
         let fits = |job: &Entry| {
-            job.state == State::Ready && watched.contains(&job.tube) && !self.paused.contains_key(&job.tube)
+            job.state == State::Ready
+                && watched.contains(&job.tube)
+                && !self.paused_until.contains_key(&job.tube)
         };
         let id = self.jobs.iter().filter(|(_, job)| fits(job)).min_by_key(|(id, job)| (job.pri, **id))?.0;
         self.take(client, *id, now)
@@ -226,7 +230,7 @@
     }
 
     /// The job, if this client has it reserved.
-    fn held(&mut self, client: Client, id: u64) -> Option<&mut Entry> {
+    fn reserved_by(&mut self, client: Client, id: u64) -> Option<&mut Entry> {
         self.jobs.get_mut(&id).filter(|job| matches!(job.state, State::Reserved(c, _) if c == client))
     }
 
@@ -242,29 +246,29 @@
     }
 
     pub fn release(&mut self, client: Client, id: u64, pri: u32, delay: Duration, now: Instant) -> bool {
-        let Some(job) = self.held(client, id) else { return false };
+        let Some(job) = self.reserved_by(client, id) else { return false };
         job.state = if delay.is_zero() { State::Ready } else { State::Delayed(now + delay) };
         (job.pri, job.delay, job.releases) = (pri, delay, job.releases + 1);
         true
     }
 
     pub fn bury(&mut self, client: Client, id: u64, pri: u32) -> bool {
-        let Some(job) = self.held(client, id) else { return false };
+        let Some(job) = self.reserved_by(client, id) else { return false };
         (job.state, job.pri, job.buries) = (State::Buried, pri, job.buries + 1);
         true
     }
 
     pub fn touch(&mut self, client: Client, id: u64, now: Instant) -> bool {
-        let Some(job) = self.held(client, id) else { return false };
+        let Some(job) = self.reserved_by(client, id) else { return false };
         job.state = State::Reserved(client, now + job.ttr);
         true
     }
 
     /// Makes buried jobs of a tube ready, or delayed ones if none are buried.
     pub fn kick(&mut self, tube: &str, bound: u64) -> u64 {
-        let of = |job: &Entry, found| job.tube == tube && is(job.state, found);
-        let buried = self.jobs.values().any(|job| of(job, Found::Buried));
-        let kind = if buried { Found::Buried } else { Found::Delayed };
+        let of = |job: &Entry, filter| job.tube == tube && matches_filter(job.state, filter);
+        let buried = self.jobs.values().any(|job| of(job, JobFilter::Buried));
+        let kind = if buried { JobFilter::Buried } else { JobFilter::Delayed };
         let bound = usize::try_from(bound).unwrap_or(usize::MAX);
         let kicked = self.jobs.values_mut().filter(|job| of(job, kind)).take(bound);
         let count = kicked.map(|job| (job.state, job.kicks) = (State::Ready, job.kicks + 1)).count();
@@ -281,7 +285,7 @@
     pub fn pause(&mut self, tube: &str, delay: Duration, now: Instant) -> bool {
         let known = self.jobs.values().any(|job| job.tube == tube);
         if known {
-            self.paused.insert(tube.into(), now + delay);
+            self.paused_until.insert(tube.into(), now + delay);
         }
         known
     }
@@ -290,8 +294,8 @@
         self.jobs.get(&id).map(|job| (id, job.body.clone()))
     }
 
-    pub fn peek_first(&self, tube: &str, found: Found) -> Option<(u64, Bytes)> {
-        let of = self.jobs.iter().filter(|(_, job)| job.tube == tube && is(job.state, found));
+    pub fn peek_first(&self, tube: &str, filter: JobFilter) -> Option<(u64, Bytes)> {
+        let of = self.jobs.iter().filter(|(_, job)| job.tube == tube && matches_filter(job.state, filter));
         let first = of.min_by_key(|(id, job)| match job.state {
             State::Delayed(until) => (Some(until), 0, **id),
             _ => (None, job.pri, **id),
@@ -346,7 +350,7 @@
             "id: {id}\ntube: \"{}\"\nstate: {}\npri: {}\nage: {}\ndelay: {}\nttr: {}\ntime-left: {}\nfile: 0\n\
              reserves: {}\ntimeouts: {}\nreleases: {}\nburies: {}\nkicks: {}\n",
             job.tube,
-            word(job),
+            state_name(job),
             job.pri,
             now.duration_since(job.since).as_secs(),
             job.delay.as_secs(),
@@ -363,12 +367,14 @@
 
     pub fn stats_tube(&self, tube: &str, mapped: bool, now: Instant) -> Option<String> {
         let watching = self.watching.values().filter(|w| w.iter().any(|t| t == tube)).count();
-        let count = |state: &str| self.jobs.values().filter(|j| j.tube == tube && word(j) == state).count();
+        let count =
+            |state: &str| self.jobs.values().filter(|j| j.tube == tube && state_name(j) == state).count();
         let total = self.jobs.values().filter(|j| j.tube == tube).count();
         if !mapped && watching == 0 && total == 0 && tube != "default" {
             return None;
         }
-        let pause = self.paused.get(tube).map_or(0, |until| until.saturating_duration_since(now).as_secs());
+        let pause =
+            self.paused_until.get(tube).map_or(0, |until| until.saturating_duration_since(now).as_secs());
         Some(format!(
             "---\nname: \"{tube}\"\ncurrent-jobs-ready: {}\ncurrent-jobs-reserved: {}\ncurrent-jobs-delayed: {}\n\
              current-jobs-buried: {}\ncurrent-watching: {watching}\npause-time-left: {pause}\n",
@@ -380,7 +386,7 @@
     }
 
     pub fn stats(&self, max_job: usize, connections: usize, draining: bool) -> String {
-        let count = |state: &str| self.jobs.values().filter(|j| word(j) == state).count();
+        let count = |state: &str| self.jobs.values().filter(|j| state_name(j) == state).count();
         format!(
             "---\ncurrent-jobs-ready: {}\ncurrent-jobs-reserved: {}\ncurrent-jobs-delayed: {}\n\
              current-jobs-buried: {}\nmax-job-size: {max_job}\ncurrent-connections: {connections}\n\
@@ -405,21 +411,35 @@
     body: Bytes,
     since: Instant,
 ) -> Entry {
-    let (weight, tube) = (body.len(), tube.to_owned());
+    let (accounted_bytes, tube) = (body.len(), tube.to_owned());
     let (reserves, timeouts, releases, buries, kicks) = (0, 0, 0, 0, 0);
-    Entry { tube, state, pri, delay, ttr, body, weight, since, reserves, timeouts, releases, buries, kicks }
+    Entry {
+        tube,
+        state,
+        pri,
+        delay,
+        ttr,
+        body,
+        accounted_bytes,
+        since,
+        reserves,
+        timeouts,
+        releases,
+        buries,
+        kicks,
+    }
 }
 
-fn is(state: State, found: Found) -> bool {
-    match found {
-        Found::Ready => state == State::Ready,
-        Found::Delayed => matches!(state, State::Delayed(_)),
-        Found::Buried => state == State::Buried,
+fn matches_filter(state: State, filter: JobFilter) -> bool {
+    match filter {
+        JobFilter::Ready => state == State::Ready,
+        JobFilter::Delayed => matches!(state, State::Delayed(_)),
+        JobFilter::Buried => state == State::Buried,
     }
 }
 
 /// A job's state in the protocol's terms: an open job is reserved, or delayed until its flow begins.
-fn word(job: &Entry) -> &'static str {
+fn state_name(job: &Entry) -> &'static str {
     match job.state {
         State::Open(None) if !job.delay.is_zero() => "delayed",
         State::Open(_) | State::Reserved(..) => "reserved",
--- a/dispatcher/src/listeners/connection_slots.rs
+++ b/dispatcher/src/listeners/connection_slots.rs
@@ -12,13 +12,13 @@
 use tokio::sync::Notify;
 
 /// How long a new connection may send nothing. Does not apply to connections that are idle between requests.
-pub const FIRST_BYTE_WITHIN: Duration = Duration::from_millis(2000);
+pub const FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(2000);
 /// Time limit for receiving a request, from its first byte; for the first request, from the start of the connection.
-pub const WHOLE_WITHIN: Duration = Duration::from_millis(2500);
+pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Well-behaved clients send their first bytes within this time; connections that stay silent longer are evicted first.
-const FIRST_BYTE_USUALLY_WITHIN: Duration = Duration::from_millis(500);
+const TYPICAL_FIRST_BYTE_DELAY: Duration = Duration::from_millis(500);
 /// Interval between checks for connections that have exceeded a time limit.
-const CHECK_EVERY: Duration = Duration::from_millis(100);
+const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The stage of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -31,21 +31,21 @@
     /// A request body is being streamed; the code that forwards it enforces a minimum rate.
     Streaming,
     /// A request was received and its response is pending.
-    InWork,
+    Processing,
     /// Between requests.
     Idle,
     /// The connection is being closed; the last bytes are in transit.
-    Ending,
+    Closing,
 }
 
 /// Why a connection is aborted.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Cut {
+pub enum AbortCause {
     /// Its slot is needed, the peer has gone, or it never sent anything. No response is written.
-    Away,
+    Discard,
     /// A request took too long to arrive, or its head is too large.
-    Late,
-    TooLong,
+    Timeout,
+    HeadTooLarge,
     /// The framing of a request is ambiguous.
     Malformed,
 }
@@ -53,15 +53,15 @@
 /// The slot of one connection: its stage, and whether it is to be aborted.
 pub struct ConnectionSlot {
     stage: Cell<Stage>,
-    since: Cell<Instant>,
+    stage_since: Cell<Instant>,
     /// A worker sends its updates on this connection, so it is evicted last.
     worker: Cell<bool>,
     /// At least one response was sent.
     answered: Cell<bool>,
     /// The peer has closed the connection, or it failed.
-    left: Cell<bool>,
-    cut: Cell<Option<Cut>>,
-    changed: Notify,
+    peer_closed: Cell<bool>,
+    abort: Cell<Option<AbortCause>>,
+    aborted: Notify,
     /// The task that continues reading once the current request is answered.
     reader: Cell<Option<Waker>>,
     /// Since when there may be unread bytes; `None` if there were none at the last check.
@@ -77,27 +77,27 @@
     }
 
     /// Moves the connection to another stage.
-    pub fn set(&self, stage: Stage) {
+    pub fn set_stage(&self, stage: Stage) {
         let was = self.stage.replace(stage);
         // The time limit of a request runs from its first byte, that of the first one from the start of the connection.
         if !matches!((was, stage), (Stage::Silent, Stage::Head) | (Stage::Head, Stage::Body)) {
-            self.since.set(Instant::now());
+            self.stage_since.set(Instant::now());
         }
         self.answered.set(self.answered.get() || stage == Stage::Idle);
-        if let Some(reader) = self.reader.take().filter(|_| stage != Stage::InWork) {
+        if let Some(reader) = self.reader.take().filter(|_| stage != Stage::Processing) {
             reader.wake();
         }
     }
 
     /// Records that there are unread bytes, which may have been there since this time.
-    pub fn has_unread(&self, since: Instant) {
+    pub fn mark_unread_since(&self, since: Instant) {
         let since = self.unread_since.get().map_or(since, |before| before.min(since));
         self.unread_since.set(Some(since));
     }
 
     /// Records that the event loop has reported unread bytes.
-    pub fn has_unread_now(&self) {
-        self.has_unread(self.arrivals.earliest(Instant::now()));
+    pub fn mark_unread_now(&self) {
+        self.mark_unread_since(self.arrivals.earliest(Instant::now()));
     }
 
     /// Whether there may be unread bytes.
@@ -106,7 +106,7 @@
     }
 
     /// Records that all bytes that have arrived were read.
-    pub fn has_read_all(&self) {
+    pub fn mark_all_read(&self) {
         self.unread_since.set(None);
     }
 
@@ -120,7 +120,7 @@
         let earliest = self.arrivals.earliest(Instant::now());
         self.arrived.set(self.unread_since.get().map_or(earliest, |since| since.min(earliest)));
         if matches!(self.stage.get(), Stage::Silent | Stage::Idle) {
-            self.set(Stage::Head);
+            self.set_stage(Stage::Head);
         }
     }
 
@@ -128,7 +128,7 @@
     pub fn is_idle(&self) -> bool {
         match self.stage.get() {
             Stage::Idle => true,
-            Stage::Silent => self.since.get().elapsed() > FIRST_BYTE_USUALLY_WITHIN,
+            Stage::Silent => self.stage_since.get().elapsed() > TYPICAL_FIRST_BYTE_DELAY,
             _ => false,
         }
     }
@@ -139,97 +139,97 @@
     }
 
     /// Marks the connection as a worker's, which is evicted last.
-    pub fn is_workers(&self) {
+    pub fn mark_as_worker(&self) {
         self.worker.set(true);
     }
 
     /// Whether a response was sent on this connection.
-    pub fn was_answered(&self) -> bool {
+    pub fn has_been_answered(&self) -> bool {
         self.answered.get()
     }
 
     /// Deadline for receiving the current request.
-    pub fn whole_by(&self) -> Instant {
-        self.since.get() + WHOLE_WITHIN
+    pub fn receive_deadline(&self) -> Instant {
+        self.stage_since.get() + REQUEST_TIMEOUT
     }
 
     /// Records that the peer has closed the connection, or that it failed. A request whose response is pending is abandoned at
     /// once; for one that is still being received, `has_peer_closed` is checked when it is complete.
     pub fn peer_closed(&self) {
-        self.left.set(true);
-        if matches!(self.stage.get(), Stage::InWork | Stage::Streaming) {
-            self.cut(Cut::Away);
+        self.peer_closed.set(true);
+        if matches!(self.stage.get(), Stage::Processing | Stage::Streaming) {
+            self.abort(AbortCause::Discard);
         }
     }
 
     /// Whether the peer has closed the connection. Its request must not be accepted then.
-    pub fn has_left(&self) -> bool {
-        self.left.get()
+    pub fn has_peer_closed(&self) -> bool {
+        self.peer_closed.get()
     }
 
     /// The facts that decide whether the connection may be closed for this reason.
     pub fn close_facts(&self, reason: CloseReason) -> CloseFacts {
         let state = match self.stage.get() {
-            Stage::Silent | Stage::Idle | Stage::Ending => ConnectionState::Idle,
+            Stage::Silent | Stage::Idle | Stage::Closing => ConnectionState::Idle,
             Stage::Head | Stage::Body => ConnectionState::Receiving,
-            Stage::InWork => ConnectionState::AwaitingResponse,
+            Stage::Processing => ConnectionState::AwaitingResponse,
             Stage::Streaming => ConnectionState::Responding,
         };
         CloseFacts { state, reason }
     }
 
     /// The facts that decide whether the connection may be closed for this abort.
-    pub fn cut_facts(&self, cut: Cut) -> CloseFacts {
-        self.close_facts(match cut {
-            Cut::Away if self.has_left() => CloseReason::ClientClosed,
-            Cut::Away => CloseReason::SlotNeeded,
-            Cut::Late | Cut::TooLong | Cut::Malformed => CloseReason::BadRequest,
+    pub fn abort_facts(&self, cause: AbortCause) -> CloseFacts {
+        self.close_facts(match cause {
+            AbortCause::Discard if self.has_peer_closed() => CloseReason::ClientClosed,
+            AbortCause::Discard => CloseReason::SlotNeeded,
+            AbortCause::Timeout | AbortCause::HeadTooLarge | AbortCause::Malformed => CloseReason::BadRequest,
         })
     }
 
     /// Requests that the connection be closed at once. The first cause stands, unless the new one is `Discard`: then no
     /// response is written any more.
-    pub fn cut(&self, cut: Cut) {
-        let reason = if cut == Cut::Away { cut } else { self.cut.get().unwrap_or(cut) };
-        self.cut.set(Some(reason));
-        self.changed.notify_one();
+    pub fn abort(&self, cause: AbortCause) {
+        let reason = if cause == AbortCause::Discard { cause } else { self.abort.get().unwrap_or(cause) };
+        self.abort.set(Some(reason));
+        self.aborted.notify_one();
     }
 
     /// Withdraws the abort: a response has become pending, so the connection may not be closed.
-    pub fn keep(&self) {
-        self.cut.set(None);
+    pub fn clear_abort(&self) {
+        self.abort.set(None);
     }
 
     /// Resolves when the connection is to be closed at once.
-    pub async fn until_cut(&self) -> Cut {
+    pub async fn wait_for_abort(&self) -> AbortCause {
         loop {
-            if let Some(cut) = self.cut.get() {
-                return cut;
+            if let Some(cause) = self.abort.get() {
+                return cause;
             }
-            self.changed.notified().await;
+            self.aborted.notified().await;
         }
     }
 
     /// Resolves when the connection is to be discarded, even if it was aborted for another reason before.
-    pub async fn until_away(&self) {
-        while self.cut.get() != Some(Cut::Away) {
-            self.changed.notified().await;
+    pub async fn wait_for_discard(&self) {
+        while self.abort.get() != Some(AbortCause::Discard) {
+            self.aborted.notified().await;
         }
     }
 
     /// Eviction order, smallest first: a rank, and the start of the current stage. `None` if it must not be evicted.
     fn eviction_rank(&self, now: Instant) -> Option<(u8, Instant)> {
-        let since = self.since.get();
-        let old = now.saturating_duration_since(since) > FIRST_BYTE_USUALLY_WITHIN;
+        let since = self.stage_since.get();
+        let old = now.saturating_duration_since(since) > TYPICAL_FIRST_BYTE_DELAY;
         let rank = match self.stage.get() {
-            _ if self.cut.get() == Some(Cut::Away) => return None,
-            Stage::Ending => 0,
-            _ if self.cut.get().is_some() => return None,
+            _ if self.abort.get() == Some(AbortCause::Discard) => return None,
+            Stage::Closing => 0,
+            _ if self.abort.get().is_some() => return None,
             Stage::Silent if old => 1,
             Stage::Head | Stage::Body if old => 2,
             Stage::Idle => 3,
             Stage::Silent => 4,
-            Stage::Head | Stage::Body | Stage::Streaming | Stage::InWork => return None,
+            Stage::Head | Stage::Body | Stage::Streaming | Stage::Processing => return None,
         };
         Some((rank + if self.worker.get() { 8 } else { 0 }, since))
     }
@@ -238,76 +238,80 @@
 /// All connection slots of a listener.
 pub struct ConnectionSlots {
     max: usize,
-    taken: RefCell<BTreeMap<u64, Rc<ConnectionSlot>>>,
+    occupied: RefCell<BTreeMap<u64, Rc<ConnectionSlot>>>,
     next: Cell<u64>,
     /// Estimates when bytes read from these connections arrived.
     pub arrivals: Rc<ArrivalClock>,
 }
 
 /// An occupied slot, released when this is dropped.
-pub struct TakenSlot {
+pub struct OccupiedSlot {
     slots: Rc<ConnectionSlots>,
     number: u64,
     pub slot: Rc<ConnectionSlot>,
 }
 
-impl Drop for TakenSlot {
+impl Drop for OccupiedSlot {
     fn drop(&mut self) {
-        self.slots.taken.borrow_mut().remove(&self.number);
+        self.slots.occupied.borrow_mut().remove(&self.number);
     }
 }
 
 impl ConnectionSlots {
     /// Creates `max` free slots.
     pub fn new(max: usize, arrivals: Rc<ArrivalClock>) -> Rc<Self> {
-        Rc::new(ConnectionSlots { max, taken: RefCell::default(), next: Cell::new(0), arrivals })
+        Rc::new(ConnectionSlots { max, occupied: RefCell::default(), next: Cell::new(0), arrivals })
     }
 
     /// Number of occupied slots.
     pub fn count(&self) -> usize {
-        self.taken.borrow().len()
+        self.occupied.borrow().len()
     }
 
     /// Allocates a slot for a new connection, evicting another one if all are occupied. `None` if none can be evicted.
-    pub fn take(self: &Rc<Self>) -> Option<TakenSlot> {
+    pub fn acquire(self: &Rc<Self>) -> Option<OccupiedSlot> {
         let now = Instant::now();
         let slot = Rc::new(ConnectionSlot {
             stage: Cell::new(Stage::Silent),
-            since: Cell::new(now),
+            stage_since: Cell::new(now),
             worker: Cell::new(false),
             answered: Cell::new(false),
-            left: Cell::new(false),
-            cut: Cell::new(None),
-            changed: Notify::new(),
+            peer_closed: Cell::new(false),
+            abort: Cell::new(None),
+            aborted: Notify::new(),
             reader: Cell::new(None),
             unread_since: Cell::new(None),
             arrived: Cell::new(now),
             arrivals: self.arrivals.clone(),
         });
-        let mut taken = self.taken.borrow_mut();
+        let mut taken = self.occupied.borrow_mut();
         // Discarded connections that are not closed yet don't count: they close in a moment.
-        if taken.values().filter(|s| s.cut.get() != Some(Cut::Away)).count() >= self.max {
+        if taken.values().filter(|s| s.abort.get() != Some(AbortCause::Discard)).count() >= self.max {
             let first = taken.values().filter_map(|s| Some((s.eviction_rank(now)?, s))).min_by_key(|s| s.0);
-            first?.1.cut(Cut::Away);
+            first?.1.abort(AbortCause::Discard);
         }
         let number = self.next.replace(self.next.get() + 1);
         taken.insert(number, slot.clone());
-        Some(TakenSlot { slots: self.clone(), number, slot })
+        Some(OccupiedSlot { slots: self.clone(), number, slot })
     }
 
     /// Aborts connections that exceed a time limit. Never returns.
-    pub async fn watch(self: Rc<Self>) {
+    pub async fn enforce_timeouts(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(CHECK_EVERY).await;
+            tokio::time::sleep(TIMEOUT_CHECK_INTERVAL).await;
             let now = Instant::now();
-            for slot in self.taken.borrow().values() {
+            for slot in self.occupied.borrow().values() {
                 let within = match slot.stage.get() {
-                    Stage::Silent => FIRST_BYTE_WITHIN,
-                    Stage::Head => WHOLE_WITHIN,
+                    Stage::Silent => FIRST_BYTE_TIMEOUT,
+                    Stage::Head => REQUEST_TIMEOUT,
                     _ => continue,
                 };
-                if now.saturating_duration_since(slot.since.get()) >= within {
-                    slot.cut(if slot.stage.get() == Stage::Silent { Cut::Away } else { Cut::Late });
+                if now.saturating_duration_since(slot.stage_since.get()) >= within {
+                    slot.abort(if slot.stage.get() == Stage::Silent {
+                        AbortCause::Discard
+                    } else {
+                        AbortCause::Timeout
+                    });
                 }
             }
         }
@@ -323,15 +327,15 @@
     #[test]
     fn idle_connections_give_way_oldest_first_and_those_in_work_never() {
         let slots = ConnectionSlots::new(3, Rc::new(ArrivalClock::new(Instant::now())));
-        let taken: Vec<_> = (0..3).filter_map(|_| slots.take()).collect();
-        taken[0].slot.set(Stage::InWork);
-        taken[1].slot.set(Stage::Idle);
-        taken[2].slot.set(Stage::Idle);
-        let newcomer = slots.take().expect("a slot");
-        assert_eq!(taken[1].slot.cut.get(), Some(Cut::Away));
-        assert_eq!([&taken[0], &taken[2], &newcomer].map(|t| t.slot.cut.get()), [None; 3]);
-        newcomer.slot.set(Stage::InWork);
-        taken[2].slot.set(Stage::InWork);
-        assert!(slots.take().is_none());
+        let taken: Vec<_> = (0..3).filter_map(|_| slots.acquire()).collect();
+        taken[0].slot.set_stage(Stage::Processing);
+        taken[1].slot.set_stage(Stage::Idle);
+        taken[2].slot.set_stage(Stage::Idle);
+        let newcomer = slots.acquire().expect("a slot");
+        assert_eq!(taken[1].slot.abort.get(), Some(AbortCause::Discard));
+        assert_eq!([&taken[0], &taken[2], &newcomer].map(|t| t.slot.abort.get()), [None; 3]);
+        newcomer.slot.set_stage(Stage::Processing);
+        taken[2].slot.set_stage(Stage::Processing);
+        assert!(slots.acquire().is_none());
     }
 }
--- a/dispatcher/src/listeners/guard.rs
+++ b/dispatcher/src/listeners/guard.rs
@@ -2,7 +2,7 @@
 //! kernel what the server would buffer early, and makes sure that the last response arrives although the client is still
 //! sending.
 
-use super::connection_slots::{ConnectionSlot, Cut, Stage};
+use super::connection_slots::{AbortCause, ConnectionSlot, Stage};
 use lineroute_http1::FramingValidator;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
@@ -23,13 +23,13 @@
 /// Bytes read before yielding, so that the server can process them before more come and other connections get their turn.
 const MAX_BYTES_PER_READ: usize = 16 << 10;
 /// How long to wait for the peer to close after this side has shut down its writing half.
-const LINGER: Duration = Duration::from_secs(1);
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause between reads while lingering: the data is discarded, and reading it must not use up the CPU core.
 const LINGER_PAUSE: Duration = Duration::from_millis(5);
 
 /// A connection, shared by the HTTP server and the task that closes it.
 #[derive(Clone)]
-pub struct Guarded {
+pub struct GuardedStream {
     input: Rc<RefCell<OwnedReadHalf>>,
     /// Not in a `RefCell`: it is written to and watched for the peer's close at the same time.
     output: Rc<OwnedWriteHalf>,
@@ -38,31 +38,31 @@
     head_bytes: Rc<Cell<usize>>,
     read_so_far: Rc<Cell<usize>>,
     /// Rejects ambiguous framing; present if requests may be proxied.
-    screen: Option<Rc<RefCell<FramingValidator>>>,
+    framing_validator: Option<Rc<RefCell<FramingValidator>>>,
 }
 
 /// Writes as many of these bytes as the kernel takes without waiting. A single write may take only a part.
-pub(super) fn write_now(stream: &TcpStream, mut words: &[u8]) {
-    while let Ok(written @ 1..) = stream.try_write(words) {
-        words = &words[written..];
-        if words.is_empty() {
+pub(super) fn write_without_waiting(stream: &TcpStream, mut bytes: &[u8]) {
+    while let Ok(written @ 1..) = stream.try_write(bytes) {
+        bytes = &bytes[written..];
+        if bytes.is_empty() {
             return;
         }
     }
 }
 
-impl Guarded {
-    /// `screened`: requests on it may be proxied to plain HTTP workers, so their framing is validated.
-    pub fn new(stream: TcpStream, slot: Rc<ConnectionSlot>, screened: bool) -> Self {
-        let screen = screened.then(Rc::default);
+impl GuardedStream {
+    /// `proxied`: requests on it may be proxied to plain HTTP workers, so their framing is validated.
+    pub fn new(stream: TcpStream, slot: Rc<ConnectionSlot>, proxied: bool) -> Self {
+        let framing_validator = proxied.then(Rc::default);
         let (input, output) = stream.into_split();
-        Guarded {
+        GuardedStream {
             input: Rc::new(RefCell::new(input)),
             output: Rc::new(output),
             slot,
             head_bytes: Rc::default(),
             read_so_far: Rc::default(),
-            screen,
+            framing_validator,
         }
     }
 
@@ -77,15 +77,15 @@
 
     /// Called when the event loop reports nothing to read. That report may be missing data that was already in the socket when
     /// it was accepted, so the kernel is asked before the slot is marked as read.
-    fn has_nothing_to_read(&self) {
+    fn on_nothing_readable(&self) {
         let empty = || self.peek().is_err_and(|e| e.kind() == ErrorKind::WouldBlock);
         if self.slot.may_have_unread() && empty() {
-            self.slot.has_read_all();
+            self.slot.mark_all_read();
         }
     }
 
     /// Whether the stream has ended or failed, with no data left to read.
-    fn has_ended(&self) -> bool {
+    fn is_at_end(&self) -> bool {
         match self.peek() {
             Ok(count) => count == 0,
             Err(e) => e.kind() != ErrorKind::WouldBlock,
@@ -93,18 +93,18 @@
     }
 
     /// Whether the connection is between two requests and no byte of the next one has arrived, so that closing it loses nothing.
-    pub fn is_at_rest(&self) -> bool {
+    pub fn is_idle_and_empty(&self) -> bool {
         self.slot.is_idle() && self.peek().is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
     }
 
     /// Writes a final response, as much of it as goes out without waiting, on a connection that was never answered.
-    pub fn say(&self, words: &[u8]) {
-        write_now(self.stream(), words);
+    pub fn write_final(&self, bytes: &[u8]) {
+        write_without_waiting(self.stream(), bytes);
     }
 
     /// Marks the slot as soon as the peer closes or resets the connection, even while unread data precedes the close, which a
     /// read would have to consume first. Never resolves; cancel-safe.
-    pub async fn watch(&self) {
+    pub async fn watch_for_close(&self) {
         // Urgent data is not enabled on this socket, so this fires only when the connection ends.
         let _ = self.stream().ready(Interest::PRIORITY).await;
         self.slot.peer_closed();
@@ -114,18 +114,18 @@
     /// Closes a connection with no response pending. A request that arrives meanwhile is left unread, so its client can tell
     /// that it was not accepted, and sends it elsewhere.
     pub async fn close(self) {
-        self.slot.set(Stage::Ending);
+        self.slot.set_stage(Stage::Closing);
         let _ = SockRef::from(self.stream()).shutdown(Shutdown::Write);
-        let _ = tokio::time::timeout(LINGER, self.stream().ready(Interest::PRIORITY)).await;
+        let _ = tokio::time::timeout(LINGER_TIMEOUT, self.stream().ready(Interest::PRIORITY)).await;
     }
 
     /// Closes the connection after draining it: closed with unread bytes it would be reset, and the last response lost.
-    pub async fn end(mut self) {
-        self.slot.set(Stage::Ending);
+    pub async fn drain_and_close(mut self) {
+        self.slot.set_stage(Stage::Closing);
         let drained = async {
-            let mut waste = [0; 4096];
+            let mut discarded = [0; 4096];
             self.shutdown().await?;
-            while self.read(&mut waste).await? > 0 {
+            while self.read(&mut discarded).await? > 0 {
                 if self.read_so_far.get() >= MAX_BYTES_PER_READ {
                     self.read_so_far.set(0);
                     tokio::time::sleep(LINGER_PAUSE).await;
@@ -133,29 +133,29 @@
             }
             io::Result::Ok(())
         };
-        let _ = tokio::time::timeout(LINGER, drained).await;
+        let _ = tokio::time::timeout(LINGER_TIMEOUT, drained).await;
     }
 }
 
-impl AsyncRead for Guarded {
+impl AsyncRead for GuardedStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let slot = &self.slot;
-        if slot.stage() == Stage::InWork {
+        if slot.stage() == Stage::Processing {
             // Data after the request in progress stays in the kernel. Only the peer's close is looked for.
             let mut byte = [0];
             let mut byte = ReadBuf::new(&mut byte);
             match self.stream().poll_peek(cx, &mut byte) {
-                Poll::Pending => self.has_nothing_to_read(),
+                Poll::Pending => self.on_nothing_readable(),
                 Poll::Ready(Ok(0) | Err(_)) => slot.peer_closed(),
                 // A close after these bytes is detected by `watch_for_close`.
                 Poll::Ready(Ok(_)) => {
-                    slot.has_unread_now();
+                    slot.mark_unread_now();
                     slot.wait_until_answered(cx.waker());
                 }
             }
             return Poll::Pending;
         }
-        if self.read_so_far.get() >= MAX_BYTES_PER_READ && slot.stage() != Stage::Ending {
+        if self.read_so_far.get() >= MAX_BYTES_PER_READ && slot.stage() != Stage::Closing {
             self.read_so_far.set(0);
             cx.waker().wake_by_ref();
             return Poll::Pending;
@@ -165,29 +165,29 @@
             && slot.stage() == Stage::Head
             && self.head_bytes.get() >= MAX_HEAD_BYTES
         {
-            slot.cut(Cut::TooLong);
+            slot.abort(AbortCause::HeadTooLarge);
             return Poll::Pending;
         }
         let before = buf.filled().len();
         let read = Pin::new(&mut *self.input.borrow_mut()).poll_read(cx, buf);
         if read.is_pending() {
             self.read_so_far.set(0);
-            self.has_nothing_to_read();
+            self.on_nothing_readable();
         }
         let read = ready!(read);
         let count = buf.filled().len() - before;
         // The server would process data that came before the peer's close. The kernel knows of the close before the event loop
         // reports it: a connection that was just accepted is read before there was any event. The request has not been
         // forwarded at this point.
-        if read.is_err() || (buf.remaining() > 0 && self.has_ended()) {
+        if read.is_err() || (buf.remaining() > 0 && self.is_at_end()) {
             slot.peer_closed();
         }
         read?;
-        if let Some(screen) = &self.screen {
-            if screen.borrow_mut().feed(&buf.filled()[before..]).is_err() {
+        if let Some(framing_validator) = &self.framing_validator {
+            if framing_validator.borrow_mut().feed(&buf.filled()[before..]).is_err() {
                 // Nothing of this read reaches the parser.
                 buf.set_filled(before);
-                slot.cut(Cut::Malformed);
+                slot.abort(AbortCause::Malformed);
                 return Poll::Pending;
             }
         }
@@ -201,7 +201,7 @@
     }
 }
 
-impl AsyncWrite for Guarded {
+impl AsyncWrite for GuardedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.stream().poll_write_ready(cx))?;
@@ -242,10 +242,11 @@
             accepted.set_nonblocking(true).expect("a socket");
 
             let slots = ConnectionSlots::new(1, Rc::new(ArrivalClock::new(Instant::now())));
-            let slot = slots.take().expect("a slot").slot.clone();
+            let slot = slots.acquire().expect("a slot").slot.clone();
             let queued_since = Instant::now() - Duration::from_secs(2);
-            slot.has_unread(queued_since);
-            let mut guarded = Guarded::new(TcpStream::from_std(accepted).expect("up"), slot.clone(), false);
+            slot.mark_unread_since(queued_since);
+            let mut guarded =
+                GuardedStream::new(TcpStream::from_std(accepted).expect("up"), slot.clone(), false);
             let mut bytes = [0; 8];
             let first = Pin::new(&mut guarded)
                 .poll_read(&mut Context::from_waker(Waker::noop()), &mut ReadBuf::new(&mut bytes));
--- a/dispatcher/src/listeners/http.rs
+++ b/dispatcher/src/listeners/http.rs
@@ -1,8 +1,8 @@
 //! The HTTP listener: jobs submitted by `POST`, each answered on the connection it came on; job status updates
 //! from workers; and the readiness check `/up`. It only parses requests and headers; all decisions are made in the core.
 
-use super::connection_slots::{ConnectionSlot, ConnectionSlots, Cut, Stage, WHOLE_WITHIN};
-use super::guard::{write_now, Guarded};
+use super::connection_slots::{AbortCause, ConnectionSlot, ConnectionSlots, Stage, REQUEST_TIMEOUT};
+use super::guard::{write_without_waiting, GuardedStream};
 use super::socket::queued;
 use crate::accept::AcceptRetry;
 use crate::body::{Body, Budgets};
@@ -35,20 +35,23 @@
 /// The largest request body that is accepted.
 pub const MAX_BODY: usize = 64 << 10;
 /// How long an idle client connection is kept open.
-const KEEP_ALIVE: Duration = Duration::from_secs(120);
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(120);
 /// `Retry-After` for a client that this dispatcher has no capacity for. Short, because other dispatchers may have capacity now.
-pub(super) const BUSY_RETRY: Duration = Duration::from_millis(250);
-const LONGEST_ID: usize = 128;
+pub(super) const BUSY_RETRY_AFTER: Duration = Duration::from_millis(250);
+const MAX_ID_LENGTH: usize = 128;
 /// How long to read the body of a request that is rejected by its head: the body is usually in transit already.
-const UNWANTED_WITHIN: Duration = Duration::from_millis(250);
+const REJECTED_BODY_TIMEOUT: Duration = Duration::from_millis(250);
 /// Upper bound for the client's estimate of a job's run time: one day.
-const LONGEST_WORK_US: f64 = 86_400e6;
+const MAX_WORK_US: f64 = 86_400e6;
 /// Responses written to the socket directly, for connections that the HTTP server can't answer itself.
-const NO_SLOT: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 0.250\r\n\
+const NO_SLOT_RESPONSE: &[u8] =
+    b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 0.250\r\n\
     Content-Length: 0\r\n\r\n";
-const LATE: &[u8] = b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-const MALFORMED: &[u8] = b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-const TOO_LONG: &[u8] =
+const TIMEOUT_RESPONSE: &[u8] =
+    b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+const BAD_REQUEST_RESPONSE: &[u8] =
+    b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+const HEAD_TOO_LARGE_RESPONSE: &[u8] =
     b"HTTP/1.1 431 Request Header Fields Too Large\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
 /// Names of the configured classes, each with its default deadline, and of the configured tenants.
@@ -69,30 +72,30 @@
 
 /// How long after its start a process without a confirmed worker list reports that it is ready all the same. Before that it can't
 /// serve what is sent to it, while other dispatchers can.
-const UP_WITHOUT_LIST: Duration = Duration::from_secs(4);
+const READY_WITHOUT_LIST_AFTER: Duration = Duration::from_secs(4);
 
 /// How long after its start a process with an inherited socket assumes that the process it replaces may still run without
 /// being known as a sibling.
-const SIBLING_WITHIN: Duration = Duration::from_secs(15);
+const REPLACEMENT_OVERLAP: Duration = Duration::from_secs(15);
 
 /// Lifecycle of the HTTP listener: readiness, draining and stopping.
 pub struct ListenerLifecycle {
     /// Other processes may accept from the same socket, so connections in its queue are not this process's alone.
-    shared: bool,
+    socket_shared: bool,
     /// Queued connections are left to the other processes.
-    leaves_queue: Cell<bool>,
-    queue_changed: Notify,
+    accepting_paused: Cell<bool>,
+    accepting_changed: Notify,
     /// The worker list has been valid at least once, or [`READY_WITHOUT_LIST_AFTER`] has passed.
-    up: Cell<bool>,
+    ready: Cell<bool>,
     list: Rc<ListMonitor>,
-    began: Instant,
+    started_at: Instant,
     /// Responses carry `Connection: close`.
-    closing: Cell<bool>,
+    draining: Cell<bool>,
     /// New requests are refused.
-    shut: Cell<bool>,
-    idle: Notify,
+    stopping: Cell<bool>,
+    stop_notify: Notify,
     /// The listening socket is to be closed.
-    over: Notify,
+    close_notify: Notify,
 }
 
 impl ListenerLifecycle {
@@ -100,67 +103,69 @@
     /// same socket.
     pub fn new(list: Rc<ListMonitor>, shared: bool) -> Self {
         ListenerLifecycle {
-            shared,
-            leaves_queue: Cell::default(),
-            queue_changed: Notify::new(),
-            up: Cell::default(),
+            socket_shared: shared,
+            accepting_paused: Cell::default(),
+            accepting_changed: Notify::new(),
+            ready: Cell::default(),
             list,
-            began: Instant::now(),
-            closing: Cell::default(),
-            shut: Cell::default(),
-            idle: Notify::new(),
-            over: Notify::new(),
+            started_at: Instant::now(),
+            draining: Cell::default(),
+            stopping: Cell::default(),
+            stop_notify: Notify::new(),
+            close_notify: Notify::new(),
         }
     }
 
     /// Whether a process that is not known as a sibling, and so can't be called, may accept from the same socket.
     fn may_have_sibling(&self) -> bool {
-        self.shared && (self.closing.get() || self.began.elapsed() < SIBLING_WITHIN)
+        self.socket_shared && (self.draining.get() || self.started_at.elapsed() < REPLACEMENT_OVERLAP)
     }
 
     /// Whether other processes may accept from the same socket.
     pub fn is_socket_shared(&self) -> bool {
-        self.shared
+        self.socket_shared
     }
 
     /// Pauses accepting, which leaves queued connections to the other processes on the socket, or resumes it.
     pub fn pause_accepting(&self, leaves: bool) {
-        if self.leaves_queue.replace(leaves) != leaves {
+        if self.accepting_paused.replace(leaves) != leaves {
             info!(leaves, "new connections are left to another process");
-            self.queue_changed.notify_one();
+            self.accepting_changed.notify_one();
         }
     }
 
     /// Whether clients may be routed here. Once true, it stays true until draining starts.
     pub fn is_ready(&self) -> bool {
-        let up = self.up.get() || self.list.state().is_valid() || self.began.elapsed() >= UP_WITHOUT_LIST;
-        self.up.set(up);
-        up && !self.closing.get()
+        let ready = self.ready.get()
+            || self.list.state().is_valid()
+            || self.started_at.elapsed() >= READY_WITHOUT_LIST_AFTER;
+        self.ready.set(ready);
+        ready && !self.draining.get()
     }
 
     /// From now on every response closes its connection.
     pub fn start_draining(&self) {
-        self.closing.set(true);
+        self.draining.set(true);
     }
 
     /// From now on new requests are refused, and idle connections are closed.
     pub fn start_stopping(&self) {
-        self.shut.set(true);
-        self.idle.notify_waiters();
+        self.stopping.set(true);
+        self.stop_notify.notify_waiters();
     }
 
     /// Closes the listening socket. Called once all requests are answered and no further calls from workers are expected.
     pub fn close_socket(&self) {
-        self.over.notify_one();
+        self.close_notify.notify_one();
     }
 
     pub fn is_stopping(&self) -> bool {
-        self.shut.get()
+        self.stopping.get()
     }
 
     /// The state of the process, as the permit rules see it.
     pub fn state(&self) -> ProcessState {
-        match (self.shut.get(), self.closing.get()) {
+        match (self.stopping.get(), self.draining.get()) {
             (true, _) => ProcessState::Stopping,
             (false, true) => ProcessState::Draining,
             (false, false) => ProcessState::Serving,
@@ -170,10 +175,10 @@
     /// Resolves when the connection has to be closed because the process stops, which happens only while it is idle. A request
     /// in progress is answered, and its response closes the connection. Connections accepted after the stop has begun are not
     /// closed here: workers still send updates for the flows that are being finished.
-    async fn until_ended(&self, guarded: &Guarded) {
-        if !self.shut.get() {
-            self.idle.notified().await;
-            if guarded.is_at_rest() {
+    async fn wait_for_stop_while_idle(&self, guarded: &GuardedStream) {
+        if !self.stopping.get() {
+            self.stop_notify.notified().await;
+            if guarded.is_idle_and_empty() {
                 return;
             }
         }
@@ -198,9 +203,9 @@
 }
 
 /// Passes the answer to the task that serves the connection.
-struct Waiting(oneshot::Sender<Answer>);
+struct ResponseChannel(oneshot::Sender<Answer>);
 
-impl Listener for Waiting {
+impl Listener for ResponseChannel {
     fn answer(self: Box<Self>, answer: Answer) {
         // If the receiver is gone, the client has disconnected, and its connection has already reported that.
         let _ = self.0.send(answer);
@@ -208,13 +213,13 @@
 }
 
 /// Reports to the core that the client has left if the waiting task is dropped before the flow is answered.
-struct Claim {
+struct FlowGuard {
     flows: Flows,
     id: FlowId,
     answered: bool,
 }
 
-impl Drop for Claim {
+impl Drop for FlowGuard {
     fn drop(&mut self) {
         if !self.answered {
             self.flows.client_left(self.id);
@@ -230,30 +235,30 @@
             let this = this.clone();
             async move { Ok::<_, Infallible>(this.handle(request).await) }
         };
-        let factory = HttpService::<Guarded, _, _>::build()
-            .keep_alive(KeepAlive::Timeout(KEEP_ALIVE))
+        let factory = HttpService::<GuardedStream, _, _>::build()
+            .keep_alive(KeepAlive::Timeout(KEEP_ALIVE_TIMEOUT))
             // Both time-outs are enforced by the connection slots and the guarded stream.
             .client_request_timeout(Duration::ZERO)
             .client_disconnect_timeout(Duration::ZERO)
             // Unreadable data after a request must not abort that request; the guarded stream detects disconnects.
             .h1_allow_half_closed(true)
-            .on_connect_ext(|io: &Guarded, data| drop(data.insert(io.slot.clone())))
+            .on_connect_ext(|io: &GuardedStream, data| drop(data.insert(io.slot.clone())))
             .h1(actix_service::fn_service(service).into_factory());
         let Ok(service) = factory.new_service(()).await else { return };
         let service = Rc::new(service);
-        actix_rt::spawn(self.slots.clone().watch());
+        actix_rt::spawn(self.slots.clone().enforce_timeouts());
         let arrivals = &self.slots.arrivals;
         let mut retry = AcceptRetry::new("http");
         loop {
             // Checked first: the accept queue may never become empty.
-            if self.lifecycle.over.notified().now_or_never().is_some() {
+            if self.lifecycle.close_notify.notified().now_or_never().is_some() {
                 break;
             }
-            if self.lifecycle.leaves_queue.get() {
+            if self.lifecycle.accepting_paused.get() {
                 // Dropping the losing branch loses nothing: `Notify` keeps a permit that nobody waited for.
                 tokio::select! {
-                    () = self.lifecycle.over.notified() => break,
-                    () = self.lifecycle.queue_changed.notified() => continue,
+                    () = self.lifecycle.close_notify.notified() => break,
+                    () = self.lifecycle.accepting_changed.notified() => continue,
                 }
             }
             // A connection that is accepted without waiting was in the queue.
@@ -267,8 +272,8 @@
                     // Cancel-safe: a connection that is not accepted stays in the queue.
                     let accepted = tokio::select! {
                         accepted = socket.accept() => accepted,
-                        () = self.lifecycle.over.notified() => break,
-                        () = self.lifecycle.queue_changed.notified() => continue,
+                        () = self.lifecycle.close_notify.notified() => break,
+                        () = self.lifecycle.accepting_changed.notified() => continue,
                     };
                     // The queue was empty until this connection came, so connections behind it came no earlier.
                     arrivals.queue_is_empty(arrivals.earliest(Instant::now()));
@@ -291,7 +296,7 @@
         stops::at("stop.over");
         // Closing the socket resets the connections in its queue, so they are accepted first. The kernel is asked directly, since
         // the event loop may not know of them yet, and nothing is awaited before the socket is closed.
-        if self.lifecycle.shared {
+        if self.lifecycle.socket_shared {
             return;
         }
         for (stream, peer) in queued(&socket) {
@@ -303,60 +308,66 @@
     /// Serves one connection. Bytes that are already in its socket arrived after `since`.
     fn admit<S>(&self, service: Rc<S>, stream: TcpStream, peer: SocketAddr, since: Instant)
     where
-        S: Service<(Guarded, Option<SocketAddr>)> + 'static,
+        S: Service<(GuardedStream, Option<SocketAddr>)> + 'static,
     {
         let _ = stream.set_nodelay(true);
-        let Some(taken) = self.slots.take() else {
+        let Some(taken) = self.slots.acquire() else {
             // Every slot is processing a request. Nothing was read from this connection, so the client can safely retry.
-            write_now(&stream, NO_SLOT);
+            write_without_waiting(&stream, NO_SLOT_RESPONSE);
             return;
         };
-        taken.slot.has_unread(since);
-        let screened = self.routes.iter().any(|r| r.passing.is_some());
+        taken.slot.mark_unread_since(since);
+        let proxied = self.routes.iter().any(|r| r.passing.is_some());
         let (lifecycle, flows) = (self.lifecycle.clone(), self.flows.clone());
         actix_rt::spawn(async move {
-            let guarded = Guarded::new(stream, taken.slot.clone(), screened);
+            let guarded = GuardedStream::new(stream, taken.slot.clone(), proxied);
             let mut served = pin!(service.call((guarded.clone(), Some(peer))));
-            let cut = loop {
+            let cause = loop {
                 // Order matters: a request that is read just as its client disconnects must not be accepted. Futures dropped
                 // after the loop hold only a flow guard, which reports to the core; those dropped inside it check the
                 // connection's state again in the next round.
-                let (cut, facts) = tokio::select! {
+                let (cause, facts) = tokio::select! {
                     biased;
-                    cut = taken.slot.until_cut() => (Some(cut), taken.slot.cut_facts(cut)),
-                    () = guarded.watch() => (None, taken.slot.close_facts(CloseReason::ClientClosed)),
-                    () = lifecycle.until_ended(&guarded) => {
+                    cause = taken.slot.wait_for_abort() => (Some(cause), taken.slot.abort_facts(cause)),
+                    () = guarded.watch_for_close() => (None, taken.slot.close_facts(CloseReason::ClientClosed)),
+                    () = lifecycle.wait_for_stop_while_idle(&guarded) => {
                         (None, taken.slot.close_facts(CloseReason::Stopping))
                     }
                     // Errors here are the peer's: it disconnected, or sent invalid HTTP.
                     _ = served.as_mut() => {
-                        if taken.slot.stage() == Stage::InWork && !taken.slot.has_left() {
+                        if taken.slot.stage() == Stage::Processing && !taken.slot.has_peer_closed() {
                             flows.closed_with_answer_pending();
                         }
                         break None;
                     }
                 };
                 if flows.close_permit(facts).is_some() {
-                    break cut;
+                    break cause;
                 }
-                taken.slot.keep();
+                taken.slot.clear_abort();
             };
             let ended = async {
-                match cut {
-                    Some(Cut::Away) => return,
-                    Some(Cut::Malformed) if !taken.slot.was_answered() => guarded.say(MALFORMED),
-                    Some(Cut::Late) if !taken.slot.was_answered() => guarded.say(LATE),
-                    Some(Cut::TooLong) if !taken.slot.was_answered() => guarded.say(TOO_LONG),
-                    None if lifecycle.closing.get() => return guarded.close().await,
+                match cause {
+                    Some(AbortCause::Discard) => return,
+                    Some(AbortCause::Malformed) if !taken.slot.has_been_answered() => {
+                        guarded.write_final(BAD_REQUEST_RESPONSE)
+                    }
+                    Some(AbortCause::Timeout) if !taken.slot.has_been_answered() => {
+                        guarded.write_final(TIMEOUT_RESPONSE)
+                    }
+                    Some(AbortCause::HeadTooLarge) if !taken.slot.has_been_answered() => {
+                        guarded.write_final(HEAD_TOO_LARGE_RESPONSE)
+                    }
+                    None if lifecycle.draining.get() => return guarded.close().await,
                     Some(_) | None => {}
                 }
-                guarded.end().await;
+                guarded.drain_and_close().await;
             };
             // Keeps to the limit on file descriptors: a connection that has had its last response does not linger when its slot
             // is needed. Dropping it closes it; no response is pending.
             tokio::select! {
                 () = ended => {}
-                () = taken.slot.until_away() => {}
+                () = taken.slot.wait_for_discard() => {}
             }
         });
     }
@@ -364,10 +375,10 @@
     async fn handle(&self, request: Request) -> Response<BoxBody> {
         let slot = request.conn_data::<Rc<ConnectionSlot>>().cloned();
         let mut response = self.respond(request, slot.clone()).await;
-        if let Some(slot) = slot.filter(|_| !passes(&response)) {
-            slot.set(Stage::Idle);
+        if let Some(slot) = slot.filter(|_| !streams_body(&response)) {
+            slot.set_stage(Stage::Idle);
         }
-        if self.lifecycle.closing.get() {
+        if self.lifecycle.draining.get() {
             response.head_mut().set_connection_type(ConnectionType::Close);
         }
         response
@@ -379,32 +390,32 @@
                 return self.pass(request, route, passing, slot).await;
             }
         }
-        self.respond_whole(request, slot.as_deref()).await.map_into_boxed_body()
+        self.respond_buffered(request, slot.as_deref()).await.map_into_boxed_body()
     }
 
-    async fn respond_whole(&self, mut request: Request, slot: Option<&ConnectionSlot>) -> Response<Bytes> {
+    async fn respond_buffered(&self, mut request: Request, slot: Option<&ConnectionSlot>) -> Response<Bytes> {
         let (get, post) = (request.method() == Method::GET, request.method() == Method::POST);
         let path = request.path().to_owned();
         match path.as_str() {
-            "/up" if get && self.lifecycle.is_ready() => plain(StatusCode::OK, "up\n"),
-            "/up" if get && self.lifecycle.closing.get() => {
-                plain(StatusCode::SERVICE_UNAVAILABLE, "stopping\n")
+            "/up" if get && self.lifecycle.is_ready() => text_response(StatusCode::OK, "up\n"),
+            "/up" if get && self.lifecycle.draining.get() => {
+                text_response(StatusCode::SERVICE_UNAVAILABLE, "stopping\n")
             }
-            "/up" if get => plain(StatusCode::SERVICE_UNAVAILABLE, "waiting for the worker list\n"),
-            "/_jobs/news" if post => match body(&mut request, slot).await {
-                Err(status) => plain(status, "no body could be read\n"),
+            "/up" if get => text_response(StatusCode::SERVICE_UNAVAILABLE, "waiting for the worker list\n"),
+            "/_jobs/news" if post => match read_body(&mut request, slot).await {
+                Err(status) => text_response(status, "no body could be read\n"),
                 Ok(body) => match serde_json::from_slice::<JobUpdate>(&body) {
-                    Err(_) => plain(StatusCode::BAD_REQUEST, "not a worker's call\n"),
+                    Err(_) => text_response(StatusCode::BAD_REQUEST, "not a worker's call\n"),
                     Ok(update) => self.job_update(update, slot).await,
                 },
             },
             "/up" | "/_jobs/news" => {
-                unwanted(request, slot, StatusCode::METHOD_NOT_ALLOWED, "method not allowed\n").await
+                reject(request, slot, StatusCode::METHOD_NOT_ALLOWED, "method not allowed\n").await
             }
             path => match Route::find(&self.routes, path) {
-                None => unwanted(request, slot, StatusCode::NOT_FOUND, "no such path\n").await,
+                None => reject(request, slot, StatusCode::NOT_FOUND, "no such path\n").await,
                 Some(_) if !post => {
-                    unwanted(request, slot, StatusCode::METHOD_NOT_ALLOWED, "jobs come by POST\n").await
+                    reject(request, slot, StatusCode::METHOD_NOT_ALLOWED, "jobs come by POST\n").await
                 }
                 Some(route) => self.job(request, route, slot).await,
             },
@@ -428,12 +439,12 @@
         };
         match delivery {
             Delivery::Accepted => {
-                slot.into_iter().for_each(ConnectionSlot::is_workers);
-                plain(StatusCode::OK, "")
+                slot.into_iter().for_each(ConnectionSlot::mark_as_worker);
+                text_response(StatusCode::OK, "")
             }
-            Delivery::Unknown => plain(StatusCode::OK, ""),
+            Delivery::Unknown => text_response(StatusCode::OK, ""),
             Delivery::Unavailable => {
-                plain(StatusCode::SERVICE_UNAVAILABLE, "tell it again: its process can't be asked\n")
+                text_response(StatusCode::SERVICE_UNAVAILABLE, "tell it again: its process can't be asked\n")
             }
         }
     }
@@ -446,21 +457,23 @@
     ) -> Response<Bytes> {
         let (mut job, budget) = match self.read_head(&request, route) {
             Ok(read) => read,
-            Err(reason) => return unwanted(request, slot, StatusCode::BAD_REQUEST, reason).await,
+            Err(reason) => return reject(request, slot, StatusCode::BAD_REQUEST, reason).await,
         };
         let arrived = slot.map_or_else(Instant::now, ConnectionSlot::arrived);
-        job.body = match body(&mut request, slot).await {
+        job.body = match read_body(&mut request, slot).await {
             Ok(body) => Body::Whole(body),
-            Err(status) => return plain(status, "no body could be read\n"),
+            Err(status) => return text_response(status, "no body could be read\n"),
+        };
+        let Ok(permit) = self.start_permit(&job.reference, slot) else {
+            return unavailable(BUSY_RETRY_AFTER);
         };
-        let Ok(permit) = self.start_permit(&job.reference, slot) else { return refused(BUSY_RETRY) };
         let budget = budget.saturating_sub(arrived.elapsed());
         match self.take(job, budget, permit).await {
-            Err(OpenError::Full) => refused(BUSY_RETRY),
-            Err(OpenError::Duplicate) => plain(StatusCode::CONFLICT, "this id is in work\n"),
+            Err(OpenError::Full) => unavailable(BUSY_RETRY_AFTER),
+            Err(OpenError::Duplicate) => text_response(StatusCode::CONFLICT, "this id is in work\n"),
             Ok(Some(Answer::Served(result))) => respond(StatusCode::OK, result, None),
-            Ok(Some(Answer::Refused(after))) => refused(after),
-            Ok(_) => plain(StatusCode::GATEWAY_TIMEOUT, "the job was not done\n"),
+            Ok(Some(Answer::Refused(after))) => unavailable(after),
+            Ok(_) => text_response(StatusCode::GATEWAY_TIMEOUT, "the job was not done\n"),
         }
     }
 
@@ -470,7 +483,7 @@
         reference: &str,
         slot: Option<&ConnectionSlot>,
     ) -> Result<StartPermit, StartRefusal> {
-        let facts = StartFacts { process: self.lifecycle.state(), client_gone: gone(slot) };
+        let facts = StartFacts { process: self.lifecycle.state(), client_gone: client_disconnected(slot) };
         self.flows.start_permit(reference, facts)
     }
 
@@ -482,10 +495,10 @@
         permit: StartPermit,
     ) -> Result<Option<Answer>, OpenError> {
         let (sender, answer) = oneshot::channel();
-        let id = self.flows.open(job, budget, permit, |_| Box::new(Waiting(sender)))?;
-        let mut claim = Claim { flows: self.flows.clone(), id, answered: false };
+        let id = self.flows.open(job, budget, permit, |_| Box::new(ResponseChannel(sender)))?;
+        let mut guard = FlowGuard { flows: self.flows.clone(), id, answered: false };
         let answer = answer.await;
-        claim.answered = answer.is_ok();
+        guard.answered = answer.is_ok();
         Ok(answer.ok())
     }
 
@@ -495,7 +508,7 @@
         route: &Route,
     ) -> Result<(Job, Duration), &'static str> {
         let headers = request.headers();
-        let id = match text(headers, "x-call-id")? {
+        let id = match header_text(headers, "x-call-id")? {
             Some(id) => id.to_owned(),
             // Routes with a class set by the operator also serve clients that don't send the platform's headers.
             None if route.class.is_some() => {
@@ -505,31 +518,31 @@
             None => return Err("X-Call-Id is missing\n"),
         };
         let plain_id = id.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.:~".contains(&b));
-        if id.is_empty() || id.len() > LONGEST_ID || !plain_id {
+        if id.is_empty() || id.len() > MAX_ID_LENGTH || !plain_id {
             return Err("X-Call-Id is not a plain word of 1 to 128 characters\n");
         }
-        let class = match (route.class, text(headers, "x-call-class")?) {
+        let class = match (route.class, header_text(headers, "x-call-class")?) {
             (Some(class), _) => class,
             (None, Some(name)) => self.names.class(name).ok_or("X-Call-Class is no class\n")?,
             (None, None) => return Err("X-Call-Class is missing\n"),
         };
-        let tenant = match text(headers, "x-caller")? {
+        let tenant = match header_text(headers, "x-caller")? {
             Some(name) => Some(self.names.tenant(name).ok_or("X-Caller is no tenant\n")?),
             None => None,
         };
         let longest = route.budget.unwrap_or(self.names.classes[class].1);
-        let budget = match text(headers, "x-budget-ms")? {
+        let budget = match header_text(headers, "x-budget-ms")? {
             Some(ms) => ms.trim().parse().map_err(|_| "X-Budget-Ms is not a whole number\n")?,
             None => longest.as_millis() as u64,
         };
-        let info = text(headers, "x-call-info")?.unwrap_or_default();
+        let info = header_text(headers, "x-call-info")?.unwrap_or_default();
         let slots = info.split(',').filter_map(|pair| pair.trim().split_once('='));
         let slots = slots.filter(|(name, _)| *name == "width").find_map(|(_, v)| v.parse::<f64>().ok());
         let slots = slots.filter(|s| s.is_finite() && *s > 0.0).unwrap_or(1.0);
         // An unreadable estimate is ignored: it must not make the job fail.
-        let work = text(headers, "x-call-cost")?.and_then(|us| us.trim().parse::<f64>().ok());
-        let work = work.filter(|us| us.is_finite() && *us >= 1.0).map(|us| us.min(LONGEST_WORK_US));
-        let owned = |name| Ok::<_, &'static str>(text(headers, name)?.map(str::to_owned));
+        let work = header_text(headers, "x-call-cost")?.and_then(|us| us.trim().parse::<f64>().ok());
+        let work = work.filter(|us| us.is_finite() && *us >= 1.0).map(|us| us.min(MAX_WORK_US));
+        let owned = |name| Ok::<_, &'static str>(header_text(headers, name)?.map(str::to_owned));
         let job = Job {
             reference: id,
             class,
@@ -548,39 +561,39 @@
 
 /// Whether the client disconnected while its request was read. If so, the connection is aborted: the request is not
 /// forwarded, and nobody would read a response.
-pub(super) fn gone(slot: Option<&ConnectionSlot>) -> bool {
+pub(super) fn client_disconnected(slot: Option<&ConnectionSlot>) -> bool {
     slot.is_some_and(|slot| {
-        let gone = slot.has_left();
+        let gone = slot.has_peer_closed();
         if gone {
-            slot.cut(Cut::Away);
+            slot.abort(AbortCause::Discard);
         }
         gone
     })
 }
 
 /// Whether the response body is streamed; then the end of the body makes the slot idle.
-fn passes(response: &Response<BoxBody>) -> bool {
-    response.extensions().contains::<Passes>()
+fn streams_body(response: &Response<BoxBody>) -> bool {
+    response.extensions().contains::<StreamedBody>()
 }
 
 /// Marks a response whose body is streamed.
-pub(super) struct Passes;
+pub(super) struct StreamedBody;
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, &'static str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, &'static str> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     value.to_str().map(Some).map_err(|_| "a header is not plain text\n")
 }
 
 /// Rejects a request by its head alone. Its body is read first, within bounds: the server closes a connection whose body was
 /// not read, and requests that the client had sent after it would be lost unanswered.
-async fn unwanted(
+async fn reject(
     mut request: Request,
     slot: Option<&ConnectionSlot>,
     status: StatusCode,
-    words: &'static str,
+    message: &'static str,
 ) -> Response<Bytes> {
-    if !is_long(&request) {
-        slot.into_iter().for_each(|s| s.set(Stage::Body));
+    if !declares_too_long(&request) {
+        slot.into_iter().for_each(|s| s.set_stage(Stage::Body));
         let mut payload = request.take_payload();
         let read = async {
             let mut count = 0;
@@ -592,25 +605,28 @@
             }
         };
         // If the body is late or broken, the connection is closed after the response.
-        let _ = tokio::time::timeout(UNWANTED_WITHIN, read).await;
-        slot.into_iter().for_each(|s| s.set(Stage::InWork));
+        let _ = tokio::time::timeout(REJECTED_BODY_TIMEOUT, read).await;
+        slot.into_iter().for_each(|s| s.set_stage(Stage::Processing));
     }
-    plain(status, words)
+    text_response(status, message)
 }
 
 /// Whether `Content-Length` exceeds the limit.
-fn is_long(request: &Request) -> bool {
+fn declares_too_long(request: &Request) -> bool {
     let length =
         request.headers().get(header::CONTENT_LENGTH).and_then(|l| l.to_str().ok()?.trim().parse().ok());
     length.is_some_and(|l: u64| l > MAX_BODY as u64)
 }
 
 /// Reads the whole body and marks the request as being processed. A body that is declared too long is not read at all.
-pub(super) async fn body(request: &mut Request, slot: Option<&ConnectionSlot>) -> Result<Bytes, StatusCode> {
-    if is_long(request) {
+pub(super) async fn read_body(
+    request: &mut Request,
+    slot: Option<&ConnectionSlot>,
+) -> Result<Bytes, StatusCode> {
+    if declares_too_long(request) {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
-    slot.into_iter().for_each(|s| s.set(Stage::Body));
+    slot.into_iter().for_each(|s| s.set_stage(Stage::Body));
     let mut payload = request.take_payload();
     let read = async {
         let mut body = BytesMut::new();
@@ -623,10 +639,11 @@
         }
         Ok(body.freeze())
     };
-    let by = slot.map_or_else(|| std::time::Instant::now() + WHOLE_WITHIN, ConnectionSlot::whole_by);
+    let by =
+        slot.map_or_else(|| std::time::Instant::now() + REQUEST_TIMEOUT, ConnectionSlot::receive_deadline);
     let read = tokio::time::timeout_at(by.into(), read).await;
     let body = read.unwrap_or(Err(StatusCode::REQUEST_TIMEOUT))?;
-    slot.into_iter().for_each(|s| s.set(Stage::InWork));
+    slot.into_iter().for_each(|s| s.set_stage(Stage::Processing));
     Ok(body)
 }
 
@@ -642,10 +659,10 @@
     response
 }
 
-pub(super) fn refused(after: Duration) -> Response<Bytes> {
+pub(super) fn unavailable(after: Duration) -> Response<Bytes> {
     respond(StatusCode::SERVICE_UNAVAILABLE, Bytes::from_static(b"not now\n"), Some(after))
 }
 
-pub(super) fn plain(status: StatusCode, words: &'static str) -> Response<Bytes> {
-    respond(status, Bytes::from_static(words.as_bytes()), None)
+pub(super) fn text_response(status: StatusCode, message: &'static str) -> Response<Bytes> {
+    respond(status, Bytes::from_static(message.as_bytes()), None)
 }
--- a/dispatcher/src/listeners/pass.rs
+++ b/dispatcher/src/listeners/pass.rs
@@ -1,7 +1,7 @@
 //! Proxying of requests to plain HTTP workers: any method and path, with bodies forwarded unchanged.
 
 use super::connection_slots::{ConnectionSlot, Stage};
-use super::http::{plain, refused, HttpListener, Passes, BUSY_RETRY};
+use super::http::{text_response, unavailable, HttpListener, StreamedBody, BUSY_RETRY_AFTER};
 use crate::body::{Body, Ended, Reader, Upload, Writer};
 use crate::config::{PassingRoute, Route};
 use crate::flow::{Answer, OpenError};
@@ -20,21 +20,21 @@
 use std::time::Instant;
 
 /// Body of a proxied response. If it breaks off, the connection is closed, so that the client can tell it is incomplete.
-struct PassingBody {
+struct ProxiedBody {
     reader: Reader,
     size: BodySize,
     broken: bool,
     slot: Option<Rc<ConnectionSlot>>,
 }
 
-impl Drop for PassingBody {
+impl Drop for ProxiedBody {
     fn drop(&mut self) {
         // The response is complete, or can't be completed any more.
-        self.slot.iter().for_each(|slot| slot.set(Stage::Idle));
+        self.slot.iter().for_each(|slot| slot.set_stage(Stage::Idle));
     }
 }
 
-impl MessageBody for PassingBody {
+impl MessageBody for ProxiedBody {
     type Error = io::Error;
 
     fn size(&self) -> BodySize {
@@ -66,13 +66,13 @@
         passing: &PassingRoute,
         slot: Option<Rc<ConnectionSlot>>,
     ) -> Response<BoxBody> {
-        let text = |status, words| plain(status, words).map_into_boxed_body();
+        let text = |status, words| text_response(status, words).map_into_boxed_body();
         let (mut job, budget) = match self.read_head(&request, route) {
             Ok(read) => read,
             Err(reason) => return text(StatusCode::BAD_REQUEST, reason),
         };
         let arrived = slot.as_deref().map_or_else(Instant::now, ConnectionSlot::arrived);
-        let Some(head) = asked_head(&request) else {
+        let Some(head) = request_head(&request) else {
             return text(StatusCode::BAD_REQUEST, "the request can't be passed on\n");
         };
         let field = |name| request.headers().get(name).and_then(|v| v.to_str().ok());
@@ -82,23 +82,25 @@
             return text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n");
         }
         if self.lifecycle.is_stopping() {
-            return refused(BUSY_RETRY).map_into_boxed_body();
+            return unavailable(BUSY_RETRY_AFTER).map_into_boxed_body();
         }
-        let Some(answer) = self.budgets.stream() else { return refused(BUSY_RETRY).map_into_boxed_body() };
+        let Some(answer) = self.budgets.stream() else {
+            return unavailable(BUSY_RETRY_AFTER).map_into_boxed_body();
+        };
         let too_large = Rc::new(Cell::new(false));
         if has_body && passing.stream {
             let Some((writer, reader)) = self.budgets.stream() else {
-                return refused(BUSY_RETRY).map_into_boxed_body();
+                return unavailable(BUSY_RETRY_AFTER).map_into_boxed_body();
             };
             if let Some(slot) = &slot {
-                slot.set(Stage::Streaming);
+                slot.set_stage(Stage::Streaming);
             }
             job.body = Body::Stream(Upload::new(reader, passing.replay));
             let pump =
-                Pump { writer, slot: slot.clone(), left: passing.max_body, too_large: too_large.clone() };
+                BodyPump { writer, slot: slot.clone(), left: passing.max_body, too_large: too_large.clone() };
             actix_rt::spawn(pump.run(request.take_payload()));
         } else {
-            match super::http::body(&mut request, slot.as_deref()).await {
+            match super::http::read_body(&mut request, slot.as_deref()).await {
                 Ok(body) if body.len() as u64 > passing.max_body => {
                     return text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n")
                 }
@@ -108,7 +110,7 @@
         }
         // While the body was read the process may have begun to stop, or the client may have left.
         let Ok(permit) = self.start_permit(&job.reference, slot.as_deref()) else {
-            return refused(BUSY_RETRY).map_into_boxed_body();
+            return unavailable(BUSY_RETRY_AFTER).map_into_boxed_body();
         };
         let method = head.method.clone();
         let client = request.peer_addr().map(|p| p.ip());
@@ -117,16 +119,16 @@
             Some(Rc::new(RequestContext { head, client, length, pace: passing.pace, answer }));
         let budget = budget.saturating_sub(arrived.elapsed());
         match self.take(job, budget, permit).await {
-            Err(OpenError::Full) => refused(BUSY_RETRY).map_into_boxed_body(),
+            Err(OpenError::Full) => unavailable(BUSY_RETRY_AFTER).map_into_boxed_body(),
             Err(OpenError::Duplicate) => text(StatusCode::CONFLICT, "this id is in work\n"),
             Ok(Some(Answer::Passing(passed))) => match passed.head.downcast::<ResponseHead>() {
-                Ok(head) => passed_on(*head, passed.body, &method, slot),
+                Ok(head) => proxied_response(*head, passed.body, &method, slot),
                 Err(_) => text(StatusCode::BAD_GATEWAY, "the answer can't be passed on\n"),
             },
             Ok(Some(Answer::Served(result))) => {
                 Response::with_body(StatusCode::OK, result).map_into_boxed_body()
             }
-            Ok(Some(Answer::Refused(after))) => refused(after).map_into_boxed_body(),
+            Ok(Some(Answer::Refused(after))) => unavailable(after).map_into_boxed_body(),
             Ok(Some(Answer::Failed) | None) if too_large.get() => {
                 text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n")
             }
@@ -136,7 +138,7 @@
 }
 
 /// The head of the request to forward, before the proxy changes any headers.
-fn asked_head(request: &Request) -> Option<RequestHead> {
+fn request_head(request: &Request) -> Option<RequestHead> {
     let mut headers = HeaderMap::new();
     for (name, value) in request.headers() {
         let name = HeaderName::from_bytes(name.as_str().as_bytes()).ok()?;
@@ -147,7 +149,7 @@
     Some(RequestHead { method, target, headers })
 }
 
-fn passed_on(
+fn proxied_response(
     head: ResponseHead,
     reader: Reader,
     method: &Method,
@@ -163,7 +165,7 @@
         (Framing::Chunked | Framing::UntilClose, _) => BodySize::Stream,
     };
     let status = StatusCode::from_u16(status.as_u16()).unwrap_or(StatusCode::BAD_GATEWAY);
-    let mut response = Response::with_body(status, PassingBody { reader, size, broken: false, slot });
+    let mut response = Response::with_body(status, ProxiedBody { reader, size, broken: false, slot });
     for (name, value) in &headers {
         let name = actix_header::HeaderName::from_bytes(name.as_str().as_bytes());
         let value = actix_header::HeaderValue::from_bytes(value.as_bytes());
@@ -171,19 +173,19 @@
             response.headers_mut().append(name, value);
         }
     }
-    response.extensions_mut().insert(Passes);
+    response.extensions_mut().insert(StreamedBody);
     response.map_into_boxed_body()
 }
 
 /// Copies a client's body into its stream, as fast as the stream has room.
-struct Pump {
+struct BodyPump {
     writer: Writer,
     slot: Option<Rc<ConnectionSlot>>,
     left: u64,
     too_large: Rc<Cell<bool>>,
 }
 
-impl Pump {
+impl BodyPump {
     /// Returns at the end of the body, or when nobody reads the stream any more. Dropped earlier, it marks the stream as broken.
     async fn run(mut self, mut payload: actix_http::Payload) {
         let ended = loop {
@@ -206,7 +208,7 @@
         self.writer.end(ended);
         if let Some(slot) = self.slot.filter(|slot| ended == Ended::Whole && slot.stage() == Stage::Streaming)
         {
-            slot.set(Stage::InWork);
+            slot.set_stage(Stage::Processing);
         }
     }
 }
--- a/dispatcher/src/listeners/socket.rs
+++ b/dispatcher/src/listeners/socket.rs
@@ -11,7 +11,7 @@
 
 /// Consecutive failures of `accept` that are tolerated while the queue is drained. Single ones are expected, for example because
 /// a connection was aborted or file descriptors ran out for a moment.
-const ACCEPT_FAILURES: usize = 64;
+const MAX_ACCEPT_FAILURES: usize = 64;
 
 /// Where the listening socket comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -45,7 +45,7 @@
                 return Some(accepted);
             }
             Err(e) if e.kind() == ErrorKind::WouldBlock => return None,
-            Err(e) if failures == ACCEPT_FAILURES => {
+            Err(e) if failures == MAX_ACCEPT_FAILURES => {
                 warn!(error = %e, "accept fails repeatedly; the remaining queued connections are not served");
                 return None;
             }
