--- a/dispatcher/src/admin/auth.rs
+++ b/dispatcher/src/admin/auth.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 /// Minimum length of a key.
-const LEAST: usize = 16;
+const MIN_KEY_LENGTH: usize = 16;
 
 /// One key, or two while one is being replaced. Only their hashes are kept.
 #[derive(Clone, PartialEq)]
@@ -24,9 +24,9 @@
     pub fn parse(text: &str) -> Result<AdminKeys, String> {
         let lines = text.lines().map(str::trim).enumerate();
         let keys: Vec<_> = lines.filter(|(_, l)| !l.is_empty() && !l.starts_with('#')).collect();
-        let plain = |key: &str| key.len() >= LEAST && key.bytes().all(|b| b.is_ascii_graphic());
+        let plain = |key: &str| key.len() >= MIN_KEY_LENGTH && key.bytes().all(|b| b.is_ascii_graphic());
         if let Some((at, _)) = keys.iter().find(|(_, key)| !plain(key)) {
-            let words = format!("a key is {LEAST} or more printable characters without spaces");
+            let words = format!("a key is {MIN_KEY_LENGTH} or more printable characters without spaces");
             return Err(format!("line {} is not a valid key: {words}", at + 1));
         }
         match keys.len() {
--- a/dispatcher/src/admin/calls.rs
+++ b/dispatcher/src/admin/calls.rs
@@ -22,11 +22,11 @@
 use std::time::Duration;
 
 /// How long a response waits for the override to be synced to disk.
-const SAVED_WITHIN: Duration = Duration::from_secs(2);
+const SYNC_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long a console reply waits for the override to be appended to the log, and again as long if the siblings have not
 /// confirmed it. Replies are due within 1 s, even from a process that was stalled for a moment.
-const HOLDS_WITHIN: Duration = Duration::from_millis(300);
+const APPEND_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Author of overrides that were set over the admin console. It is stored with them and shown to operators, so it keeps its
 /// original value.
@@ -53,7 +53,7 @@
 /// A status and a JSON body.
 pub type Reply = (StatusCode, String);
 
-pub fn fault(status: StatusCode, field: Option<&str>, error: impl Into<String>) -> Reply {
+pub fn error_reply(status: StatusCode, field: Option<&str>, error: impl Into<String>) -> Reply {
     json(status, &Fault { error: error.into(), field: field.map(Into::into) })
 }
 
@@ -64,21 +64,21 @@
     }
 }
 
-fn refused(faulty: InvalidRequest) -> Reply {
-    fault(StatusCode::BAD_REQUEST, Some(faulty.field), faulty.to_string())
+fn invalid_request(error: InvalidRequest) -> Reply {
+    error_reply(StatusCode::BAD_REQUEST, Some(error.field), error.to_string())
 }
 
 /// Parses a JSON body; the error response names the field.
-fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, Reply> {
+fn parse_body<T: DeserializeOwned>(body: &[u8]) -> Result<T, Reply> {
     let mut json = serde_json::Deserializer::from_slice(body);
     let value = serde_path_to_error::deserialize(&mut json).map_err(|e| {
         let path = e.path().to_string();
         let words = e.into_inner().to_string();
         let named = words.split('`').nth(1).filter(|_| path == ".").map(str::to_owned);
         let field = named.unwrap_or(path);
-        fault(StatusCode::BAD_REQUEST, Some(&field), format!("{field}: {words}"))
+        error_reply(StatusCode::BAD_REQUEST, Some(&field), format!("{field}: {words}"))
     })?;
-    json.end().map_err(|e| fault(StatusCode::BAD_REQUEST, None, format!("the body: {e}")))?;
+    json.end().map_err(|e| error_reply(StatusCode::BAD_REQUEST, None, format!("the body: {e}")))?;
     Ok(value)
 }
 
@@ -88,41 +88,41 @@
         let id = path.strip_prefix("/overrides/").map(unescape);
         match (path, method, id) {
             ("/workers", &Method::GET, _) => json(StatusCode::OK, &self.workers()),
-            ("/overrides", &Method::GET, _) => json(StatusCode::OK, &self.listed()),
-            ("/overrides", &Method::POST, _) => self.set(body).await.unwrap_or_else(|fault| fault),
-            ("/flows", &Method::GET, _) => json(StatusCode::OK, &self.counts()),
+            ("/overrides", &Method::GET, _) => json(StatusCode::OK, &self.override_list()),
+            ("/overrides", &Method::POST, _) => self.set(body).await.unwrap_or_else(|reply| reply),
+            ("/flows", &Method::GET, _) => json(StatusCode::OK, &self.flow_counts()),
             ("/fleet", &Method::GET, _) => match &self.fleet {
                 Some(fleet) => json(StatusCode::OK, &fleet.view()),
-                None => fault(StatusCode::NOT_FOUND, None, "the operator's file names no fleet"),
+                None => error_reply(StatusCode::NOT_FOUND, None, "the operator's file names no fleet"),
             },
-            ("/fleet/voters", &Method::POST, _) => self.replace(body).unwrap_or_else(|fault| fault),
-            (_, &Method::DELETE, Some(id)) => self.clear(&id, body).await.unwrap_or_else(|fault| fault),
+            ("/fleet/voters", &Method::POST, _) => self.replace(body).unwrap_or_else(|reply| reply),
+            (_, &Method::DELETE, Some(id)) => self.clear(&id, body).await.unwrap_or_else(|reply| reply),
             ("/workers" | "/overrides" | "/flows" | "/fleet" | "/fleet/voters", ..) | (_, _, Some(_)) => {
-                fault(StatusCode::METHOD_NOT_ALLOWED, None, format!("{method} does not go with {path}"))
+                error_reply(StatusCode::METHOD_NOT_ALLOWED, None, format!("{method} does not go with {path}"))
             }
             _ => {
                 let words = "no such path; there are /workers, /overrides, /overrides/ID, /flows, /fleet and /fleet/voters";
-                fault(StatusCode::NOT_FOUND, None, words)
+                error_reply(StatusCode::NOT_FOUND, None, words)
             }
         }
     }
 
     /// Replaces a voter of the fleet by another member.
     fn replace(&self, body: &[u8]) -> Result<Reply, Reply> {
-        let order: ReplaceOrder = read(body)?;
+        let order: ReplaceOrder = parse_body(body)?;
         let Some(fleet) = &self.fleet else {
-            return Err(fault(StatusCode::NOT_FOUND, None, "the operator's file names no fleet"));
+            return Err(error_reply(StatusCode::NOT_FOUND, None, "the operator's file names no fleet"));
         };
         let done = fleet.replace(&order.replace, &order.by);
-        done.map_err(|words| fault(StatusCode::CONFLICT, None, words))?;
+        done.map_err(|words| error_reply(StatusCode::CONFLICT, None, words))?;
         Ok(json(StatusCode::OK, &order))
     }
 
     fn workers(&self) -> Workers {
-        let forces = self.overrides.in_force();
+        let in_force = self.overrides.in_force();
         let workers = self.flows.listed_targets().into_iter().map(|seen| {
-            let weight = forces.weights.iter().find(|w| *w.0 == *seen.name).map_or(1.0, |w| w.1);
-            let pins = forces.pins.iter().filter(|p| *p.worker == *seen.name);
+            let weight = in_force.weights.iter().find(|w| *w.0 == *seen.name).map_or(1.0, |w| w.1);
+            let pins = in_force.pins.iter().filter(|p| *p.worker == *seen.name);
             WorkerStatus {
                 addr: seen.addr.to_string(),
                 zone: seen.zone.to_string(),
@@ -130,7 +130,7 @@
                 state: if seen.stage == Stage::Ready { "up" } else { "draining" }.into(),
                 forwards: seen.in_flight,
                 weight,
-                out_of_service: forces.out_of_service.iter().any(|w| **w == *seen.name),
+                out_of_service: in_force.out_of_service.iter().any(|w| **w == *seen.name),
                 pinned: pins
                     .map(|p| p.tenant.as_ref().map_or(p.class.to_string(), |t| format!("{}/{t}", p.class)))
                     .collect(),
@@ -140,14 +140,14 @@
         Workers { dispatcher: self.dispatcher.clone(), workers: workers.collect() }
     }
 
-    fn listed(&self) -> OverrideList {
+    fn override_list(&self) -> OverrideList {
         let now = now();
         let lines = self.overrides.lines();
         let overrides = lines.iter().map(|line| OverrideStatus::from_entry(line, now)).collect();
         OverrideList { dispatcher: self.dispatcher.clone(), overrides }
     }
 
-    fn counts(&self) -> FlowCounts {
+    fn flow_counts(&self) -> FlowCounts {
         let totals = self.flows.flow_totals(self.classes.len());
         let peers = self.peers.as_ref().map(|peers| {
             let Counts { sent, taken, learnt, malformed, unauthentic, replayed, strangers, refused } =
@@ -164,14 +164,14 @@
             forwards: totals.in_flight,
             bytes: totals.bytes,
             classes: self.classes.iter().cloned().zip(totals.classes).collect(),
-            list: self.list(),
-            permits: self.permits(),
+            list: self.worker_list_status(),
+            permits: self.permit_counts(),
             job_updates: self.targets.update_counts(),
             peers,
         }
     }
 
-    fn list(&self) -> WorkerListStatus {
+    fn worker_list_status(&self) -> WorkerListStatus {
         let list = self.flows.list_report();
         WorkerListStatus {
             state: list.state.to_string(),
@@ -184,24 +184,23 @@
         }
     }
 
-    fn permits(&self) -> PermitCounts {
+    fn permit_counts(&self) -> PermitCounts {
         let PermitStatsReport { sent, sent_on_invalid_list, refused, violations } = self.flows.permit_stats();
         PermitCounts { sent, sent_on_invalid_list, refused, violations }
     }
 
     async fn set(&self, body: &[u8]) -> Result<Reply, Reply> {
-        let SetOrder { worker, weight, out_of_service, pin, until_ms, by, why } = read(body)?;
+        let SetOrder { worker, weight, out_of_service, pin, until_ms, by, why } = parse_body(body)?;
         let kinds = [weight.is_some(), out_of_service, pin.is_some()];
         if kinds.iter().filter(|given| **given).count() != 1 {
             let words = "weight, out_of_service, pin: exactly one of them says what to set";
-            return Err(fault(StatusCode::BAD_REQUEST, Some("weight"), words));
+            return Err(error_reply(StatusCode::BAD_REQUEST, Some("weight"), words));
         }
         let scope = match pin {
             Some(pin) => {
-                let (class, tenant) = self
-                    .overrides
-                    .flows_of(&pin)
-                    .map_err(|words| fault(StatusCode::BAD_REQUEST, Some("pin"), format!("pin: {words}")))?;
+                let (class, tenant) = self.overrides.flows_of(&pin).map_err(|words| {
+                    error_reply(StatusCode::BAD_REQUEST, Some("pin"), format!("pin: {words}"))
+                })?;
                 Scope::Pinned { class: class.into(), tenant: tenant.map(Into::into) }
             }
             None if out_of_service => Scope::OutOfService,
@@ -209,28 +208,28 @@
         };
         let slot = Slot { worker: worker.into(), scope };
         let order = OverrideRequest { slot, weight, until: until_ms, by, why };
-        let record = self.overrides.set(order).map_err(refused)?;
-        let saved = self.saved().await;
+        let record = self.overrides.set(order).map_err(invalid_request)?;
+        let saved = self.wait_until_synced().await;
         let lines = self.overrides.lines();
         let set = lines.iter().find(|l| l.record == record).map(|l| OverrideStatus::from_entry(l, now()));
         Ok(json(StatusCode::CREATED, &Done { id: record.stamp.to_string(), saved, set }))
     }
 
     async fn clear(&self, id: &str, body: &[u8]) -> Result<Reply, Reply> {
-        let ClearOrder { by, why } = if body.is_empty() { ClearOrder::default() } else { read(body)? };
+        let ClearOrder { by, why } = if body.is_empty() { ClearOrder::default() } else { parse_body(body)? };
         if Stamp::parse(id).is_none() {
-            return Err(fault(
+            return Err(error_reply(
                 StatusCode::BAD_REQUEST,
                 Some("id"),
                 format!("id: {id:?} is not the id of an override"),
             ));
         }
         let cleared = self.overrides.clear(id, &by, &why);
-        cleared.map_err(|faulty| match faulty.field {
-            "id" => fault(StatusCode::NOT_FOUND, Some("id"), faulty.to_string()),
-            _ => refused(faulty),
+        cleared.map_err(|error| match error.field {
+            "id" => error_reply(StatusCode::NOT_FOUND, Some("id"), error.to_string()),
+            _ => invalid_request(error),
         })?;
-        Ok(json(StatusCode::OK, &Done { id: id.into(), saved: self.saved().await, set: None }))
+        Ok(json(StatusCode::OK, &Done { id: id.into(), saved: self.wait_until_synced().await, set: None }))
     }
 
     /// Takes a worker out of service until [`AdminService::uncordon`]. Sets the same out-of-service override as `/overrides`, with
@@ -256,10 +255,10 @@
                 by: CONSOLE_AUTHOR.into(),
                 why: "cordon".into(),
             };
-            self.overrides.set(order).map_err(|faulty| faulty.to_string())?;
+            self.overrides.set(order).map_err(|error| error.to_string())?;
             "cordoned"
         };
-        self.holds_everywhere(&slot).await?;
+        self.confirm_everywhere(&slot).await?;
         Ok(done)
     }
 
@@ -272,12 +271,12 @@
         self.flows.refresh_operator_state();
         let slot = out_of_service(worker);
         let cleared = self.overrides.clear_slot(&slot, CONSOLE_AUTHOR, "uncordon");
-        let done = match cleared.map_err(|faulty| faulty.to_string())? {
+        let done = match cleared.map_err(|error| error.to_string())? {
             Some(_) => "uncordoned",
             None if self.flows.was_listed(worker) => "not cordoned",
             None => return Err(format!("no worker {worker} was ever listed")),
         };
-        self.holds_everywhere(&slot).await?;
+        self.confirm_everywhere(&slot).await?;
         Ok(done)
     }
 
@@ -288,7 +287,7 @@
 
     /// Waits until the override in force in a slot is also in force in the dispatcher's other processes: they read it from the
     /// log, or have confirmed it when called.
-    async fn holds_everywhere(&self, slot: &Slot) -> Result<(), String> {
+    async fn confirm_everywhere(&self, slot: &Slot) -> Result<(), String> {
         let Some(store) = &self.store else { return Ok(()) };
         let (revision, record) = self.overrides.with(|table| (table.revision(), table.latest(slot)));
         let share = async {
@@ -297,8 +296,8 @@
                 _ => false,
             }
         };
-        let (is_appended, is_shared) = tokio::join!(store.is_appended(revision, HOLDS_WITHIN), share);
-        match is_appended || is_shared || store.is_appended(revision, HOLDS_WITHIN).await {
+        let (is_appended, is_shared) = tokio::join!(store.is_appended(revision, APPEND_TIMEOUT), share);
+        match is_appended || is_shared || store.is_appended(revision, APPEND_TIMEOUT).await {
             true => Ok(()),
             false => {
                 Err("in force in this process, but not written down: another process may not know".into())
@@ -307,9 +306,9 @@
     }
 
     /// Waits until the latest change is synced to disk.
-    async fn saved(&self) -> Option<bool> {
+    async fn wait_until_synced(&self) -> Option<bool> {
         let revision = self.overrides.with(|table| table.revision());
-        Some(self.store.as_ref()?.is_saved(revision, SAVED_WITHIN).await)
+        Some(self.store.as_ref()?.is_synced(revision, SYNC_TIMEOUT).await)
     }
 }
 
--- a/dispatcher/src/admin/console.rs
+++ b/dispatcher/src/admin/console.rs
@@ -9,7 +9,7 @@
 use crate::accept::AcceptRetry;
 use crate::local_faults::open_patiently;
 use crate::siblings::protocol::{MAX_CALL, PREFIX};
-use crate::siblings::ProcessParts;
+use crate::siblings::ProcessContext;
 use lineroute_control::admin_console::{parse, Command, Parsed, MAX_LINE};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -20,9 +20,9 @@
 use tracing::info;
 
 /// Time limit for receiving a complete line, from the start of the connection.
-const LINE_WITHIN: Duration = Duration::from_secs(3);
+const READ_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time limit for writing the reply.
-const WRITE_WITHIN: Duration = Duration::from_secs(1);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Concurrent connections; further callers get an error and are closed. Counted in the limit on sockets.
 pub const MAX_CONNECTIONS: usize = 48;
 
@@ -54,7 +54,7 @@
         let full = open.get() >= MAX_CONNECTIONS;
         open.set(open.get() + 1);
         actix_rt::spawn(async move {
-            serve_call(stream, &calls, full).await;
+            serve_connection(stream, &calls, full).await;
             open.set(open.get() - 1);
         });
         // Lets a rejected connection close before the next accept, which keeps to the limit on file descriptors.
@@ -62,22 +62,22 @@
     }
 }
 
-async fn serve_call(mut stream: TcpStream, calls: &AdminService, full: bool) {
+async fn serve_connection(mut stream: TcpStream, calls: &AdminService, full: bool) {
     let answer = match full {
         true => "ERR busy: too many calls at once, come again in 1 s".to_owned(),
-        false => match tokio::time::timeout(LINE_WITHIN, line(&mut stream)).await {
+        false => match tokio::time::timeout(READ_TIMEOUT, read_line(&mut stream)).await {
             Ok(Some(Line::Operator(Ok(command)))) => answer(command, calls).await,
             Ok(Some(Line::Operator(Err(reason)))) => format!("ERR {reason}"),
             Ok(Some(Line::Sibling(call))) => answer_sibling(&call, calls),
             Ok(None) => return,
-            Err(_) => format!("ERR no whole line in {} s", LINE_WITHIN.as_secs()),
+            Err(_) => format!("ERR no whole line in {} s", READ_TIMEOUT.as_secs()),
         },
     };
     let write = async {
         stream.write_all(format!("{answer}\n").as_bytes()).await?;
         stream.shutdown().await
     };
-    let _ = tokio::time::timeout(WRITE_WITHIN, write).await;
+    let _ = tokio::time::timeout(WRITE_TIMEOUT, write).await;
 }
 
 /// A complete line.
@@ -89,7 +89,7 @@
 }
 
 /// Reads one line; `None` if the caller disconnected first, or sent more than a sibling may.
-async fn line(stream: &mut TcpStream) -> Option<Line> {
+async fn read_line(stream: &mut TcpStream) -> Option<Line> {
     let mut bytes = Vec::with_capacity(64);
     let mut chunk = [0u8; MAX_LINE];
     loop {
@@ -113,13 +113,13 @@
 
 fn answer_sibling(call: &str, calls: &AdminService) -> String {
     let Some(siblings) = &calls.siblings else { return "ERR no siblings are known here".into() };
-    let parts = ProcessParts {
+    let context = ProcessContext {
         overrides: &calls.overrides,
         targets: &calls.targets,
         is_up: calls.lifecycle.is_ready(),
     };
     let answered = siblings
-        .answer(call, &parts)
+        .answer(call, &context)
         .and_then(|answer| serde_json::to_string(&answer).map_err(|e| e.to_string()));
     match answered {
         Ok(json) => format!("OK {json}"),
--- a/dispatcher/src/admin/mod.rs
+++ b/dispatcher/src/admin/mod.rs
@@ -17,9 +17,9 @@
 use actix_service::{IntoServiceFactory, Service, ServiceFactory};
 use auth::AdminKeys;
 use bytes::{Bytes, BytesMut};
-use calls::{fault, Reply};
+use calls::{error_reply, Reply};
 use futures_util::StreamExt;
-use refusals::WordedRefusals;
+use refusals::JsonErrorBodies;
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
 use std::os::unix::fs::{FileTypeExt, PermissionsExt};
@@ -33,10 +33,10 @@
 /// The largest request body that is accepted.
 const MAX_BODY: usize = 16 << 10;
 /// Time limit for receiving a request.
-const WHOLE_WITHIN: Duration = Duration::from_millis(2500);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Time limit for a connection as a whole. Longer than that for the request, since the response may wait for the disk.
-const CALL_WITHIN: Duration = Duration::from_secs(6);
-const NO_ROOM: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 1\r\n\
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(6);
+const TOO_MANY_CALLS_RESPONSE: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 1\r\n\
     Content-Type: application/json\r\nContent-Length: 44\r\n\r\n{\"error\":\"too many admin calls are in hand\"}\n";
 
 /// Handle to the running listener.
@@ -112,27 +112,27 @@
     let socket = Socket::bind(&config.listen).await?;
     info!(addr = %socket.addr(&config.listen), "admin listens");
     let keys = Rc::new(RefCell::new(config.keys));
-    let front = Rc::new(Front { keys: keys.clone(), calls, open: Cell::new(0) });
-    actix_rt::spawn(front.serve(socket, config.max_connections));
+    let listener = Rc::new(AdminListener { keys: keys.clone(), calls, open: Cell::new(0) });
+    actix_rt::spawn(listener.serve(socket, config.max_connections));
     Ok(Handle(keys))
 }
 
-struct Front {
+struct AdminListener {
     keys: Rc<RefCell<Option<AdminKeys>>>,
     calls: Rc<AdminService>,
     open: Cell<usize>,
 }
 
-impl Front {
-    async fn serve(self: Rc<Self>, socket: Socket, most: usize) {
+impl AdminListener {
+    async fn serve(self: Rc<Self>, socket: Socket, max_connections: usize) {
         let this = self.clone();
         let service = move |request: Request| {
             let this = this.clone();
             async move { Ok::<_, Infallible>(this.handle(request).await) }
         };
-        let factory = HttpService::<WordedRefusals<Box<dyn Io>>, _, _>::build()
+        let factory = HttpService::<JsonErrorBodies<Box<dyn Io>>, _, _>::build()
             .keep_alive(KeepAlive::Disabled)
-            .client_request_timeout(WHOLE_WITHIN)
+            .client_request_timeout(REQUEST_TIMEOUT)
             .on_connect_ext(|_, data| {
                 data.insert(Instant::now());
             })
@@ -151,20 +151,20 @@
             };
             retry.succeeded();
             let (this, service) = (self.clone(), service.clone());
-            let taken = self.open.get() < most;
+            let taken = self.open.get() < max_connections;
             // The first connection over the limit gets an error response; further ones are closed.
-            if self.open.get() > most {
+            if self.open.get() > max_connections {
                 continue;
             }
             self.open.set(self.open.get() + 1);
             actix_rt::spawn(async move {
                 let served = async {
                     match taken {
-                        true => drop(service.call((WordedRefusals::new(stream), None)).await),
-                        false => drop(stream.write_all(NO_ROOM).await),
+                        true => drop(service.call((JsonErrorBodies::new(stream), None)).await),
+                        false => drop(stream.write_all(TOO_MANY_CALLS_RESPONSE).await),
                     }
                 };
-                let _ = tokio::time::timeout(CALL_WITHIN, served).await;
+                let _ = tokio::time::timeout(CONNECTION_TIMEOUT, served).await;
                 this.open.set(this.open.get() - 1);
             });
         }
@@ -184,7 +184,7 @@
         let admitted = self.keys.borrow().as_ref().is_none_or(|keys| keys.accepts(given));
         if !admitted {
             warn!("admin: rejected a call with a wrong or missing key");
-            return fault(
+            return error_reply(
                 StatusCode::UNAUTHORIZED,
                 Some("Authorization"),
                 "Authorization: Bearer KEY is wrong or missing",
@@ -196,19 +196,19 @@
         let read = async {
             let mut body = BytesMut::new();
             while let Some(chunk) = payload.next().await {
-                let chunk =
-                    chunk.map_err(|e| fault(StatusCode::BAD_REQUEST, None, format!("the body: {e}")))?;
+                let chunk = chunk
+                    .map_err(|e| error_reply(StatusCode::BAD_REQUEST, None, format!("the body: {e}")))?;
                 if body.len() + chunk.len() > MAX_BODY {
                     let words = format!("the body holds more than {MAX_BODY} bytes");
-                    return Err(fault(StatusCode::PAYLOAD_TOO_LARGE, None, words));
+                    return Err(error_reply(StatusCode::PAYLOAD_TOO_LARGE, None, words));
                 }
                 body.extend_from_slice(&chunk);
             }
             Ok(body)
         };
         // Counted from the start of the connection: head and body share the time limit.
-        let by = request_start + WHOLE_WITHIN;
-        let late = || Err(fault(StatusCode::REQUEST_TIMEOUT, None, "the body did not come in time"));
+        let by = request_start + REQUEST_TIMEOUT;
+        let late = || Err(error_reply(StatusCode::REQUEST_TIMEOUT, None, "the body did not come in time"));
         match tokio::time::timeout_at(by.into(), read).await.unwrap_or_else(|_| late()) {
             Ok(body) => self.calls.handle(&method, &path, &body).await,
             Err(reply) => reply,
