--- a/dispatcher/src/siblings/client.rs
+++ b/dispatcher/src/siblings/client.rs
@@ -8,29 +8,29 @@
 use tokio::net::TcpStream;
 
 /// Pause before a retry after a busy reply.
-const BUSY_PAUSE: Duration = Duration::from_millis(20);
+const BUSY_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Prefix of the console's reply when it has too many connections.
-const BUSY: &str = "ERR busy";
+const BUSY_PREFIX: &str = "ERR busy";
 
 /// Why a call failed.
 #[derive(Debug, Error)]
 pub enum CallError {
     /// The kernel refused the connection, or another process listens there: the sibling has exited.
     #[error("the process has exited")]
-    Gone,
+    Exited,
     /// No answer in time: the process may be alive but stalled.
     #[error("no answer in time")]
-    Silent,
+    TimedOut,
     /// The connection failed, or the reply is invalid.
     #[error("the call failed: {0}")]
-    Broken(String),
+    Failed(String),
 }
 
 impl From<io::Error> for CallError {
     fn from(error: io::Error) -> Self {
         match error.kind() {
-            io::ErrorKind::ConnectionRefused => CallError::Gone,
-            _ => CallError::Broken(error.to_string()),
+            io::ErrorKind::ConnectionRefused => CallError::Exited,
+            _ => CallError::Failed(error.to_string()),
         }
     }
 }
@@ -41,18 +41,18 @@
 /// There was no valid answer in time.
 pub async fn call(to: &Introduction, request: Request, within: Duration) -> Result<Answer, CallError> {
     let call = Call { token: to.token.clone(), request };
-    let call = serde_json::to_string(&call).map_err(|e| CallError::Broken(e.to_string()))?;
+    let call = serde_json::to_string(&call).map_err(|e| CallError::Failed(e.to_string()))?;
     let line = format!("{PREFIX}{call}\n");
     let answered = async {
         loop {
             let answer = exchange(to, &line).await?;
-            if !answer.starts_with(BUSY) {
+            if !answer.starts_with(BUSY_PREFIX) {
                 return parse(&answer);
             }
-            tokio::time::sleep(BUSY_PAUSE).await;
+            tokio::time::sleep(BUSY_RETRY_DELAY).await;
         }
     };
-    tokio::time::timeout(within, answered).await.unwrap_or(Err(CallError::Silent))
+    tokio::time::timeout(within, answered).await.unwrap_or(Err(CallError::TimedOut))
 }
 
 async fn exchange(to: &Introduction, line: &str) -> Result<String, CallError> {
@@ -65,9 +65,9 @@
 
 fn parse(answer: &str) -> Result<Answer, CallError> {
     match answer.trim_end().split_once(' ') {
-        Some(("OK", json)) => serde_json::from_str(json).map_err(|e| CallError::Broken(e.to_string())),
+        Some(("OK", json)) => serde_json::from_str(json).map_err(|e| CallError::Failed(e.to_string())),
         // A process with another token is not the intended one, which must have exited.
-        Some(("ERR", reason)) if reason == super::WRONG_TOKEN => Err(CallError::Gone),
-        _ => Err(CallError::Broken(format!("{answer:.80}"))),
+        Some(("ERR", reason)) if reason == super::WRONG_TOKEN => Err(CallError::Exited),
+        _ => Err(CallError::Failed(format!("{answer:.80}"))),
     }
 }
--- a/dispatcher/src/siblings/mod.rs
+++ b/dispatcher/src/siblings/mod.rs
@@ -27,9 +27,9 @@
 use tracing::{info, warn};
 
 /// How long a sibling may take to answer. Short, because it runs on this machine.
-const ANSWER_WITHIN: Duration = Duration::from_millis(300);
+const CALL_TIMEOUT: Duration = Duration::from_millis(300);
 /// Interval between attempts to publish this process while writing to the registry fails.
-const PUBLISH_AGAIN: Duration = Duration::from_millis(250);
+const PUBLISH_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 /// Concurrent calls to siblings; each takes a file descriptor.
 const MAX_CALLS: usize = 16;
 /// Bytes of a token.
@@ -69,7 +69,7 @@
         let token = token.iter().map(|byte| format!("{byte:02x}")).collect();
         Ok(Rc::new(Siblings {
             own: Introduction { process: std::process::id(), console, token },
-            registry: Registry::below(state_dir),
+            registry: Registry::in_state_dir(state_dir),
             introduced: RefCell::default(),
             calls: Semaphore::new(MAX_CALLS),
             is_stopping: Cell::new(false),
@@ -81,26 +81,27 @@
     pub async fn announce(self: &Rc<Self>, overrides: &Overrides) {
         if let Err(e) = self.registry.publish(&self.own) {
             warn!(error = %e, "siblings: can't publish this process in the registry; retrying");
-            actix_rt::spawn(self.clone().publish_later());
+            actix_rt::spawn(self.clone().retry_publishing());
         }
         let others = self.others().unwrap_or_default();
-        let introduce = others.iter().map(|other| self.ask(other, Request::Introduce(self.own.clone())));
+        let introduce =
+            others.iter().map(|other| self.call_sibling(other, Request::Introduce(self.own.clone())));
         for (other, answer) in others.iter().zip(join_all(introduce).await) {
             match answer {
                 Ok(Answer::Overrides(lines)) => {
-                    let taken = restore(overrides, &lines);
+                    let taken = merge_overrides(overrides, &lines);
                     info!(sibling = other.process, overrides = lines.len(), taken, "siblings: found one");
                 }
-                Ok(_) | Err(CallError::Gone) => {}
+                Ok(_) | Err(CallError::Exited) => {}
                 Err(e) => warn!(sibling = other.process, error = %e, "siblings: introduction failed"),
             }
         }
     }
 
     /// Retries publishing until it succeeds. If dropped, processes that start later won't find this one; nothing else is lost.
-    async fn publish_later(self: Rc<Self>) {
+    async fn retry_publishing(self: Rc<Self>) {
         while self.registry.publish(&self.own).is_err() {
-            tokio::time::sleep(PUBLISH_AGAIN).await;
+            tokio::time::sleep(PUBLISH_RETRY_INTERVAL).await;
         }
         info!("siblings: published this process in the registry");
     }
@@ -118,16 +119,16 @@
     /// The other processes that may be running.
     fn others(&self) -> std::io::Result<Vec<Introduction>> {
         let mut others = self.introduced.borrow().clone();
-        others.extend(self.registry.all()?.into_iter().map(|known| (known.process, known)));
+        others.extend(self.registry.processes()?.into_iter().map(|known| (known.process, known)));
         others.remove(&self.own.process);
         Ok(others.into_values().collect())
     }
 
-    async fn ask(&self, other: &Introduction, request: Request) -> Result<Answer, CallError> {
+    async fn call_sibling(&self, other: &Introduction, request: Request) -> Result<Answer, CallError> {
         // The semaphore is never closed.
-        let _turn = self.calls.acquire().await;
-        let answer = call(other, request, ANSWER_WITHIN).await;
-        if matches!(answer, Err(CallError::Gone)) {
+        let _permit = self.calls.acquire().await;
+        let answer = call(other, request, CALL_TIMEOUT).await;
+        if matches!(answer, Err(CallError::Exited)) {
             info!(sibling = other.process, "siblings: one is gone");
             self.introduced.borrow_mut().retain(|_, known| known != other);
             self.registry.remove(other);
@@ -138,12 +139,12 @@
     /// Forwards a worker's update to the process that has the job.
     pub async fn forward_update(&self, update: &JobUpdate) -> Delivery {
         let Ok(others) = self.others() else { return Delivery::Unavailable };
-        let asked = others.iter().map(|other| self.ask(other, Request::JobUpdate(update.clone())));
+        let calls = others.iter().map(|other| self.call_sibling(other, Request::JobUpdate(update.clone())));
         let mut delivery = Delivery::Unknown;
-        for (other, answer) in others.iter().zip(join_all(asked).await) {
+        for (other, answer) in others.iter().zip(join_all(calls).await) {
             match answer {
                 Ok(Answer::Taken) => return Delivery::Accepted,
-                Ok(_) | Err(CallError::Gone) => {}
+                Ok(_) | Err(CallError::Exited) => {}
                 Err(e) => {
                     let (reference, state) = (&*update.id, &*update.state);
                     info!(sibling = other.process, reference, state, error = %e, "siblings: can't forward a job status update; refusing it");
@@ -158,15 +159,16 @@
     pub async fn replicate_override(&self, record: &Record) -> bool {
         let Ok(others) = self.others() else { return false };
         let line = log_line(record);
-        let told = others.iter().map(|other| self.ask(other, Request::Overrides(vec![line.clone()])));
-        let answers = join_all(told).await;
-        answers.iter().all(|answer| matches!(answer, Ok(Answer::Merged) | Err(CallError::Gone)))
+        let calls =
+            others.iter().map(|other| self.call_sibling(other, Request::Overrides(vec![line.clone()])));
+        let answers = join_all(calls).await;
+        answers.iter().all(|answer| matches!(answer, Ok(Answer::Merged) | Err(CallError::Exited)))
     }
 
     /// The states of the other processes that answer.
     pub async fn states(&self) -> Vec<State> {
         let others = self.others().unwrap_or_default();
-        let answers = join_all(others.iter().map(|other| self.ask(other, Request::State))).await;
+        let answers = join_all(others.iter().map(|other| self.call_sibling(other, Request::State))).await;
         let state = |answer| match answer {
             Ok(Answer::State(state)) => Some(state),
             _ => None,
@@ -178,7 +180,7 @@
     ///
     /// # Errors
     /// The reason, to be sent after `ERR`.
-    pub fn answer(&self, line: &str, process: &ProcessParts) -> Result<Answer, String> {
+    pub fn answer(&self, line: &str, process: &ProcessContext) -> Result<Answer, String> {
         let Call { token, request } = serde_json::from_str(line).map_err(|e| format!("not a call: {e}"))?;
         if token != self.own.token {
             return Err(WRONG_TOKEN.into());
@@ -193,7 +195,7 @@
                 Answer::Overrides(lines)
             }
             Request::Overrides(lines) => {
-                let taken = restore(process.overrides, &lines);
+                let taken = merge_overrides(process.overrides, &lines);
                 info!(overrides = lines.len(), taken, "siblings: received overrides");
                 Answer::Merged
             }
@@ -209,7 +211,7 @@
 }
 
 /// The state of this process that calls from siblings read or change.
-pub struct ProcessParts<'a> {
+pub struct ProcessContext<'a> {
     /// Overrides set by operators.
     pub overrides: &'a Overrides,
     /// The HTTP targets, with the attempts in progress.
@@ -219,7 +221,7 @@
 }
 
 /// Merges a sibling's overrides into the table; returns how many were new.
-fn restore(overrides: &Overrides, lines: &[String]) -> usize {
+fn merge_overrides(overrides: &Overrides, lines: &[String]) -> usize {
     let mut reader = LogReader::default();
     let records = lines.iter().flat_map(|line| reader.feed(line.as_bytes())).collect();
     overrides.restore(records)
--- a/dispatcher/src/siblings/registry.rs
+++ b/dispatcher/src/siblings/registry.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-const FOLDER: &str = "processes";
+const DIRECTORY: &str = "processes";
 /// Larger files are ignored.
 const MAX_BYTES: u64 = 4096;
 
@@ -15,8 +15,8 @@
 
 impl Registry {
     /// The registry below the dispatcher's state directory.
-    pub fn below(dir: &Path) -> Registry {
-        Registry(dir.join(FOLDER))
+    pub fn in_state_dir(dir: &Path) -> Registry {
+        Registry(dir.join(DIRECTORY))
     }
 
     fn file(&self, process: u32) -> PathBuf {
@@ -42,7 +42,7 @@
     ///
     /// # Errors
     /// The directory can't be read.
-    pub fn all(&self) -> io::Result<Vec<Introduction>> {
+    pub fn processes(&self) -> io::Result<Vec<Introduction>> {
         let entries = match fs::read_dir(&self.0) {
             Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(Vec::new()),
             entries => entries?,
