--- a/dispatcher/src/store/log_file.rs
+++ b/dispatcher/src/store/log_file.rs
@@ -11,12 +11,12 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-const LOG: &str = "overrides.log";
-const LOCK: &str = "overrides.lock";
+const LOG_NAME: &str = "overrides.log";
+const LOCK_NAME: &str = "overrides.lock";
 /// Maximum size of the log; nothing is appended to a larger one.
 const MAX_BYTES: u64 = 16 << 20;
 /// Size of the read buffer.
-const PIECE: usize = 64 << 10;
+const READ_BUFFER_SIZE: usize = 64 << 10;
 
 /// The log, opened by this process.
 #[derive(Debug)]
@@ -25,7 +25,7 @@
     lock: Arc<File>,
     path: PathBuf,
     /// Bytes read so far.
-    read: u64,
+    read_offset: u64,
     reader: LogReader,
 }
 
@@ -37,15 +37,15 @@
     pub fn open(dir: &Path) -> io::Result<LogFile> {
         fs::create_dir_all(dir)?;
         let open = |name| OpenOptions::new().read(true).append(true).create(true).open(dir.join(name));
-        let lock = open(LOCK)?;
+        let lock = open(LOCK_NAME)?;
         // Held exclusively only while the log is compacted, which is short unless that process is stalled meanwhile.
         lock.try_lock_shared().map_err(io::Error::from)?;
-        let file = open(LOG)?;
+        let file = open(LOG_NAME)?;
         Ok(LogFile {
             file: Arc::new(file),
             lock: Arc::new(lock),
-            path: dir.join(LOG),
-            read: 0,
+            path: dir.join(LOG_NAME),
+            read_offset: 0,
             reader: LogReader::default(),
         })
     }
@@ -56,20 +56,20 @@
     /// The file can't be read, or was replaced and has to be reopened.
     pub fn read_new(&mut self) -> io::Result<Vec<Record>> {
         let state = self.file.metadata()?;
-        if state.nlink() == 0 || state.len() < self.read {
+        if state.nlink() == 0 || state.len() < self.read_offset {
             return Err(io::ErrorKind::NotFound.into());
         }
         let mut records = Vec::new();
-        let mut piece = [0; PIECE];
-        while self.read < state.len().min(MAX_BYTES) {
-            let count = match self.file.read_at(&mut piece, self.read) {
+        let mut buffer = [0; READ_BUFFER_SIZE];
+        while self.read_offset < state.len().min(MAX_BYTES) {
+            let count = match self.file.read_at(&mut buffer, self.read_offset) {
                 Ok(0) => break,
                 Ok(count) => count,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => continue,
                 Err(e) => return Err(e),
             };
-            records.extend(self.reader.feed(&piece[..count]));
-            self.read += count as u64;
+            records.extend(self.reader.feed(&buffer[..count]));
+            self.read_offset += count as u64;
         }
         Ok(records)
     }
@@ -81,7 +81,7 @@
 
     /// Number of bytes read.
     pub fn size(&self) -> u64 {
-        self.read
+        self.read_offset
     }
 
     /// Handle for appending to it on another thread.
@@ -95,7 +95,7 @@
             lock: self.lock.clone(),
             file: self.file.clone(),
             path: self.path.clone(),
-            read: self.read,
+            read_offset: self.read_offset,
         }
     }
 }
@@ -132,7 +132,7 @@
     lock: Arc<File>,
     file: Arc<File>,
     path: PathBuf,
-    read: u64,
+    read_offset: u64,
 }
 
 impl Compactor {
@@ -155,7 +155,7 @@
 
     fn replace(&self, records: &[Record]) -> io::Result<bool> {
         let state = self.file.metadata()?;
-        if state.nlink() == 0 || state.len() != self.read {
+        if state.nlink() == 0 || state.len() != self.read_offset {
             return Ok(false);
         }
         let next = self.path.with_extension(format!("log.{}", std::process::id()));
--- a/dispatcher/src/store/mod.rs
+++ b/dispatcher/src/store/mod.rs
@@ -24,14 +24,14 @@
 use tracing::{error, info, warn};
 
 /// Interval between reads of the log, in addition to those before the first byte of each forward.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// How long opening the log is retried at process start, when nothing is served yet.
-const START_WITHIN: Duration = Duration::from_millis(300);
+const OPEN_RETRY_PERIOD: Duration = Duration::from_millis(300);
 /// Initial and maximum delay before a failed write is retried.
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// A log of at least this many bytes is compacted if less than half of its records are current.
-const COMPACT_FROM: u64 = 256 << 10;
+const MIN_COMPACTION_BYTES: u64 = 256 << 10;
 
 /// The log of a dispatcher's overrides, shared by the tasks of this process.
 #[derive(Clone)]
@@ -41,10 +41,10 @@
     dir: PathBuf,
     log: Option<LogFile>,
     /// Fingerprints of the records in the log.
-    logged: FxHashSet<u64>,
+    logged_fingerprints: FxHashSet<u64>,
     /// Number of malformed lines that were reported already.
     malformed: u64,
-    reads_fail: bool,
+    read_error_logged: bool,
 }
 
 /// The revisions of the table that have reached the log.
@@ -65,17 +65,21 @@
 impl Handle {
     /// Waits until a revision of the table is appended to the log; false if that takes longer than `within`.
     pub async fn is_appended(&self, revision: u64, within: Duration) -> bool {
-        self.reaches(within, |progress| progress.appended >= revision).await
+        self.wait_for_progress(within, |progress| progress.appended >= revision).await
     }
 
     /// Waits until a revision of the table is synced to disk; false if that takes longer than `within`.
-    pub async fn is_saved(&self, revision: u64, within: Duration) -> bool {
-        self.reaches(within, |progress| progress.synced >= revision).await
+    pub async fn is_synced(&self, revision: u64, within: Duration) -> bool {
+        self.wait_for_progress(within, |progress| progress.synced >= revision).await
     }
 
-    async fn reaches(&self, within: Duration, mut is_far: impl FnMut(&Progress) -> bool) -> bool {
+    async fn wait_for_progress(
+        &self,
+        within: Duration,
+        mut is_reached: impl FnMut(&Progress) -> bool,
+    ) -> bool {
         let mut progress = self.progress.subscribe();
-        let done = async { progress.wait_for(|at| is_far(at)).await.is_ok() };
+        let done = async { progress.wait_for(|at| is_reached(at)).await.is_ok() };
         tokio::time::timeout(within, done).await.unwrap_or(false)
     }
 }
@@ -98,9 +102,9 @@
         Store(Rc::new(RefCell::new(Inner {
             dir: dir.into(),
             log: None,
-            logged: FxHashSet::default(),
+            logged_fingerprints: FxHashSet::default(),
             malformed: 0,
-            reads_fail: false,
+            read_error_logged: false,
         })))
     }
 
@@ -118,10 +122,10 @@
         let since = Instant::now();
         loop {
             let records = self.read_new();
-            if self.0.borrow().log.is_some() || since.elapsed() >= START_WITHIN {
+            if self.0.borrow().log.is_some() || since.elapsed() >= OPEN_RETRY_PERIOD {
                 return records;
             }
-            std::thread::sleep(FIRST_PAUSE);
+            std::thread::sleep(INITIAL_RETRY_DELAY);
         }
     }
 
@@ -130,14 +134,14 @@
         let inner = &mut *self.0.borrow_mut();
         match inner.read_new() {
             Ok(records) => {
-                inner.reads_fail = false;
+                inner.read_error_logged = false;
                 records
             }
             Err(e) => {
                 // The next call reopens the log and reads it from its beginning.
                 inner.log = None;
-                inner.logged.clear();
-                if !std::mem::replace(&mut inner.reads_fail, true) {
+                inner.logged_fingerprints.clear();
+                if !std::mem::replace(&mut inner.read_error_logged, true) {
                     warn!(error = %e, dir = %inner.dir.display(), "can't read the overrides log; retrying");
                 }
                 Vec::new()
@@ -162,7 +166,7 @@
     pub fn start(&self, overrides: Overrides) -> Handle {
         let handle = Handle { progress: Arc::default() };
         actix_rt::spawn(follow(self.clone(), overrides.clone()));
-        actix_rt::spawn(write_down(self.clone(), overrides, handle.progress.clone()));
+        actix_rt::spawn(append_changes(self.clone(), overrides, handle.progress.clone()));
         handle
     }
 
@@ -175,12 +179,13 @@
     ) -> io::Result<()> {
         let (appender, missing) = {
             let inner = &mut *self.0.borrow_mut();
-            let log = inner.opened()?;
+            let log = inner.open_log()?;
             let appender = log.appender();
-            let is_missing = |record: &Record| !inner.logged.contains(&record_fingerprint(record));
+            let is_missing =
+                |record: &Record| !inner.logged_fingerprints.contains(&record_fingerprint(record));
             (appender, records.into_iter().filter(is_missing).collect::<Vec<_>>())
         };
-        let prints: Vec<u64> = missing.iter().map(record_fingerprint).collect();
+        let fingerprints: Vec<u64> = missing.iter().map(record_fingerprint).collect();
         let since = Instant::now();
         let written = tokio::task::spawn_blocking(move || {
             if !missing.is_empty() {
@@ -192,11 +197,11 @@
             io::Result::Ok(())
         });
         written.await.map_err(io::Error::other)??;
-        if !prints.is_empty() {
+        if !fingerprints.is_empty() {
             let took_ms = since.elapsed().as_millis() as u64;
-            info!(records = prints.len(), revision, took_ms, "overrides appended to the log");
+            info!(records = fingerprints.len(), revision, took_ms, "overrides appended to the log");
         }
-        self.0.borrow_mut().logged.extend(prints);
+        self.0.borrow_mut().logged_fingerprints.extend(fingerprints);
         Ok(())
     }
 
@@ -204,8 +209,10 @@
     async fn compact(&self, records: Vec<Record>) {
         let compactor = {
             let inner = self.0.borrow();
-            let Some(log) = inner.log.as_ref().filter(|log| log.size() >= COMPACT_FROM) else { return };
-            if inner.logged.len() < 2 * records.len() {
+            let Some(log) = inner.log.as_ref().filter(|log| log.size() >= MIN_COMPACTION_BYTES) else {
+                return;
+            };
+            if inner.logged_fingerprints.len() < 2 * records.len() {
                 return;
             }
             log.compactor()
@@ -216,7 +223,7 @@
             Ok(true) => {
                 let inner = &mut *self.0.borrow_mut();
                 (inner.log, inner.malformed) = (None, 0);
-                inner.logged.clear();
+                inner.logged_fingerprints.clear();
                 info!("compacted the overrides log");
             }
             Err(e) => warn!(error = %e, "can't compact the overrides log"),
@@ -225,7 +232,7 @@
 }
 
 impl Inner {
-    fn opened(&mut self) -> io::Result<&mut LogFile> {
+    fn open_log(&mut self) -> io::Result<&mut LogFile> {
         if self.log.is_none() {
             self.log = Some(LogFile::open(&self.dir)?);
         }
@@ -233,13 +240,13 @@
     }
 
     fn read_new(&mut self) -> io::Result<Vec<Record>> {
-        let log = self.opened()?;
+        let log = self.open_log()?;
         let records = log.read_new()?;
         let malformed = log.malformed();
         if malformed > std::mem::replace(&mut self.malformed, malformed) {
             error!(malformed, dir = %self.dir.display(), "the log of overrides has lines that are no records");
         }
-        self.logged.extend(records.iter().map(record_fingerprint));
+        self.logged_fingerprints.extend(records.iter().map(record_fingerprint));
         Ok(records)
     }
 }
@@ -247,23 +254,23 @@
 /// Reads records that other processes append. Never returns; cancel-safe.
 async fn follow(store: Store, overrides: Overrides) {
     loop {
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         store.refresh(&overrides);
     }
 }
 
 /// Appends the table's new records whenever it changes, until the table is dropped. A write in progress when this is dropped
 /// still completes.
-async fn write_down(store: Store, overrides: Overrides, progress: Arc<watch::Sender<Progress>>) {
+async fn append_changes(store: Store, overrides: Overrides, progress: Arc<watch::Sender<Progress>>) {
     let mut revisions = overrides.revisions();
-    let mut pause = FIRST_PAUSE;
+    let mut retry_delay = INITIAL_RETRY_DELAY;
     loop {
         let revision = *revisions.borrow_and_update();
         let records =
             || overrides.with(|table| table.by_fingerprint().values().map(|r| (**r).clone()).collect());
         match store.append_missing(records(), revision, progress.clone()).await {
             Ok(()) => {
-                pause = FIRST_PAUSE;
+                retry_delay = INITIAL_RETRY_DELAY;
                 store.compact(records()).await;
                 if revisions.changed().await.is_err() {
                     return;
@@ -272,8 +279,8 @@
             Err(e) => {
                 let dir = store.0.borrow().dir.display().to_string();
                 warn!(error = %e, dir, "overrides can't be written down");
-                tokio::time::sleep(pause).await;
-                pause = (pause * 2).min(LONGEST_PAUSE);
+                tokio::time::sleep(retry_delay).await;
+                retry_delay = (retry_delay * 2).min(MAX_RETRY_DELAY);
             }
         }
     }
--- a/dispatcher/src/store/tests.rs
+++ b/dispatcher/src/store/tests.rs
@@ -7,7 +7,7 @@
 use std::io::Write;
 
 /// Path of a directory that does not exist.
-pub fn folder(name: &str) -> PathBuf {
+pub fn temp_dir(name: &str) -> PathBuf {
     let dir = std::env::temp_dir().join(format!("lineroute-store-{}-{name}", std::process::id()));
     let _ = fs::remove_dir_all(&dir);
     dir
@@ -32,7 +32,7 @@
 
 fn read_back(dir: &Path) -> Table {
     let mut table = Table::new("n1", 3_600_000);
-    Store::open(dir).expect("a folder").load(&mut table);
+    Store::open(dir).expect("a directory").load(&mut table);
     table
 }
 
@@ -41,8 +41,8 @@
 }
 
 #[test]
-fn what_was_appended_is_read_back() {
-    let dir = folder("back");
+fn appended_records_are_read_back() {
+    let dir = temp_dir("back");
     assert!(read_back(&dir).by_fingerprint().is_empty(), "nothing was written yet");
     LogFile::open(&dir).expect("a log").appender().append(&records(2)).expect("appended");
     assert_eq!(workers_out(&read_back(&dir)), ["w0", "w1"]);
@@ -51,8 +51,8 @@
 
 /// With two processes that have the log open, each reads every record that the other has appended, exactly once.
 #[test]
-fn each_sees_what_the_other_has_appended() {
-    let dir = folder("both");
+fn each_process_reads_records_that_the_other_appended() {
+    let dir = temp_dir("both");
     let (mut one, mut other) = (LogFile::open(&dir).expect("a log"), LogFile::open(&dir).expect("a log"));
     let records = records(3);
     one.appender().append(&records[..1]).expect("appended");
@@ -67,8 +67,8 @@
 /// Guards against losing records next to a line that was truncated when its writer was killed: those before it and those
 /// appended after it must be read.
 #[test]
-fn a_torn_line_costs_no_other() {
-    let dir = folder("torn-line");
+fn a_truncated_line_does_not_affect_other_records() {
+    let dir = temp_dir("torn-line");
     let records = records(3);
     LogFile::open(&dir).expect("a log").appender().append(&records[..2]).expect("appended");
     let path = dir.join("overrides.log");
@@ -83,8 +83,8 @@
 }
 
 #[test]
-fn what_is_no_text_is_passed_over() {
-    let dir = folder("no-text");
+fn binary_data_is_skipped() {
+    let dir = temp_dir("no-text");
     let records = records(1);
     LogFile::open(&dir).expect("a log").appender().append(&records).expect("appended");
     let mut file = OpenOptions::new().append(true).open(dir.join("overrides.log")).expect("a file");
@@ -96,8 +96,8 @@
 
 /// The log is compacted only by a process that has read all of it, while no other process has it open.
 #[test]
-fn a_log_is_replaced_by_whoever_has_it_alone() {
-    let dir = folder("compact");
+fn only_a_process_with_exclusive_access_compacts_the_log() {
+    let dir = temp_dir("compact");
     let records = records(4);
     let mut one = LogFile::open(&dir).expect("a log");
     one.appender().append(&records).expect("appended");
@@ -114,9 +114,9 @@
 }
 
 #[test]
-fn a_folder_that_cannot_be_used_is_named() {
-    let dir = folder("file");
+fn an_unusable_directory_is_reported_by_setting() {
+    let dir = temp_dir("file");
     fs::write(&dir, "a file").expect("a file");
-    assert!(Store::open(&dir).err().expect("no folder").contains("state_dir"));
+    assert!(Store::open(&dir).err().expect("an error").contains("state_dir"));
     let _ = fs::remove_file(dir);
 }
