--- a/dispatcher/src/listeners/socket.rs
+++ b/dispatcher/src/listeners/socket.rs
@@ -46,7 +46,7 @@
             }
             Err(e) if e.kind() == ErrorKind::WouldBlock => return None,
             Err(e) if failures == MAX_ACCEPT_FAILURES => {
-                warn!(error = %e, "accept fails repeatedly; the remaining queued connections are not served");
+                warn!(error = %e, "accept: too many consecutive failures; the remaining queued connections are not served");
                 return None;
             }
             Err(_) => failures += 1,
