--- a/dispatcher/src/admin/auth.rs
+++ b/dispatcher/src/admin/auth.rs
@@ -26,8 +26,8 @@
         let keys: Vec<_> = lines.filter(|(_, l)| !l.is_empty() && !l.starts_with('#')).collect();
         let plain = |key: &str| key.len() >= MIN_KEY_LENGTH && key.bytes().all(|b| b.is_ascii_graphic());
         if let Some((at, _)) = keys.iter().find(|(_, key)| !plain(key)) {
-            let words = format!("a key is {MIN_KEY_LENGTH} or more printable characters without spaces");
-            return Err(format!("line {} is not a valid key: {words}", at + 1));
+            let message = format!("a key is {MIN_KEY_LENGTH} or more printable characters without spaces");
+            return Err(format!("line {} is not a valid key: {message}", at + 1));
         }
         match keys.len() {
             1 | 2 => Ok(AdminKeys(keys.iter().map(|(_, key)| blake3::hash(key.as_bytes())).collect())),
@@ -39,8 +39,8 @@
     /// Whether this is one of the keys. Takes the same time for wrong and right ones: all hashes are compared, each in
     /// constant time.
     pub fn accepts(&self, key: &str) -> bool {
-        let given = blake3::hash(key.as_bytes());
-        self.0.iter().fold(false, |admitted, own| admitted | (*own == given))
+        let provided = blake3::hash(key.as_bytes());
+        self.0.iter().fold(false, |admitted, own| admitted | (*own == provided))
     }
 }
 
@@ -59,7 +59,7 @@
     use super::*;
 
     #[test]
-    fn one_key_or_two_are_admitted_and_nothing_else() {
+    fn accepts_one_or_two_keys_and_nothing_else() {
         let keys = AdminKeys::parse("# old\nabcdefghijklmnop\n\nponmlkjihgfedcba\n").expect("keys");
         assert!(keys.accepts("abcdefghijklmnop") && keys.accepts("ponmlkjihgfedcba"));
         for wrong in ["", "abcdefghijklmno", "abcdefghijklmnopq", "# old"] {
--- a/dispatcher/src/admin/calls.rs
+++ b/dispatcher/src/admin/calls.rs
@@ -73,10 +73,10 @@
     let mut json = serde_json::Deserializer::from_slice(body);
     let value = serde_path_to_error::deserialize(&mut json).map_err(|e| {
         let path = e.path().to_string();
-        let words = e.into_inner().to_string();
-        let named = words.split('`').nth(1).filter(|_| path == ".").map(str::to_owned);
+        let message = e.into_inner().to_string();
+        let named = message.split('`').nth(1).filter(|_| path == ".").map(str::to_owned);
         let field = named.unwrap_or(path);
-        error_reply(StatusCode::BAD_REQUEST, Some(&field), format!("{field}: {words}"))
+        error_reply(StatusCode::BAD_REQUEST, Some(&field), format!("{field}: {message}"))
     })?;
     json.end().map_err(|e| error_reply(StatusCode::BAD_REQUEST, None, format!("the body: {e}")))?;
     Ok(value)
@@ -101,8 +101,8 @@
                 error_reply(StatusCode::METHOD_NOT_ALLOWED, None, format!("{method} does not go with {path}"))
             }
             _ => {
-                let words = "no such path; there are /workers, /overrides, /overrides/ID, /flows, /fleet and /fleet/voters";
-                error_reply(StatusCode::NOT_FOUND, None, words)
+                let message = "no such path; there are /workers, /overrides, /overrides/ID, /flows, /fleet and /fleet/voters";
+                error_reply(StatusCode::NOT_FOUND, None, message)
             }
         }
     }
@@ -114,7 +114,7 @@
             return Err(error_reply(StatusCode::NOT_FOUND, None, "the operator's file names no fleet"));
         };
         let done = fleet.replace(&order.replace, &order.by);
-        done.map_err(|words| error_reply(StatusCode::CONFLICT, None, words))?;
+        done.map_err(|message| error_reply(StatusCode::CONFLICT, None, message))?;
         Ok(json(StatusCode::OK, &order))
     }
 
@@ -193,13 +193,13 @@
         let SetOrder { worker, weight, out_of_service, pin, until_ms, by, why } = parse_body(body)?;
         let kinds = [weight.is_some(), out_of_service, pin.is_some()];
         if kinds.iter().filter(|given| **given).count() != 1 {
-            let words = "weight, out_of_service, pin: exactly one of them says what to set";
-            return Err(error_reply(StatusCode::BAD_REQUEST, Some("weight"), words));
+            let message = "weight, out_of_service, pin: exactly one of them says what to set";
+            return Err(error_reply(StatusCode::BAD_REQUEST, Some("weight"), message));
         }
         let scope = match pin {
             Some(pin) => {
-                let (class, tenant) = self.overrides.flows_of(&pin).map_err(|words| {
-                    error_reply(StatusCode::BAD_REQUEST, Some("pin"), format!("pin: {words}"))
+                let (class, tenant) = self.overrides.flows_of(&pin).map_err(|message| {
+                    error_reply(StatusCode::BAD_REQUEST, Some("pin"), format!("pin: {message}"))
                 })?;
                 Scope::Pinned { class: class.into(), tenant: tenant.map(Into::into) }
             }
--- a/dispatcher/src/admin/console.rs
+++ b/dispatcher/src/admin/console.rs
@@ -136,11 +136,11 @@
     };
     let took_ms = since.elapsed().as_millis() as u64;
     match done {
-        Ok(words) => {
+        Ok(message) => {
             if !matches!(command, Command::Health) {
-                info!(?command, answer = words, took_ms, "admin console");
+                info!(?command, answer = message, took_ms, "admin console");
             }
-            format!("OK {words}")
+            format!("OK {message}")
         }
         Err(reason) => {
             info!(?command, %reason, took_ms, "admin console: not done");
--- a/dispatcher/src/admin/mod.rs
+++ b/dispatcher/src/admin/mod.rs
@@ -179,9 +179,9 @@
     }
 
     async fn reply(&self, mut request: Request) -> Reply {
-        let given = request.headers().get(header::AUTHORIZATION).and_then(|v| v.to_str().ok());
-        let given = given.and_then(|v| v.strip_prefix("Bearer ")).unwrap_or_default();
-        let admitted = self.keys.borrow().as_ref().is_none_or(|keys| keys.accepts(given));
+        let provided = request.headers().get(header::AUTHORIZATION).and_then(|v| v.to_str().ok());
+        let provided = provided.and_then(|v| v.strip_prefix("Bearer ")).unwrap_or_default();
+        let admitted = self.keys.borrow().as_ref().is_none_or(|keys| keys.accepts(provided));
         if !admitted {
             warn!("admin: rejected a call with a wrong or missing key");
             return error_reply(
@@ -199,8 +199,8 @@
                 let chunk = chunk
                     .map_err(|e| error_reply(StatusCode::BAD_REQUEST, None, format!("the body: {e}")))?;
                 if body.len() + chunk.len() > MAX_BODY {
-                    let words = format!("the body holds more than {MAX_BODY} bytes");
-                    return Err(error_reply(StatusCode::PAYLOAD_TOO_LARGE, None, words));
+                    let message = format!("the body holds more than {MAX_BODY} bytes");
+                    return Err(error_reply(StatusCode::PAYLOAD_TOO_LARGE, None, message));
                 }
                 body.extend_from_slice(&chunk);
             }
--- a/dispatcher/src/listeners/connection_slots.rs
+++ b/dispatcher/src/listeners/connection_slots.rs
@@ -325,16 +325,16 @@
     /// Guards against idle connections filling all slots: a new connection must still get one, and no connection with a
     /// pending response may lose its own.
     #[test]
-    fn idle_connections_give_way_oldest_first_and_those_in_work_never() {
+    fn idle_connections_are_evicted_oldest_first_and_busy_ones_never() {
         let slots = ConnectionSlots::new(3, Rc::new(ArrivalClock::new(Instant::now())));
         let taken: Vec<_> = (0..3).filter_map(|_| slots.acquire()).collect();
         taken[0].slot.set_stage(Stage::Processing);
         taken[1].slot.set_stage(Stage::Idle);
         taken[2].slot.set_stage(Stage::Idle);
-        let newcomer = slots.acquire().expect("a slot");
+        let new_connection = slots.acquire().expect("a slot");
         assert_eq!(taken[1].slot.abort.get(), Some(AbortCause::Discard));
-        assert_eq!([&taken[0], &taken[2], &newcomer].map(|t| t.slot.abort.get()), [None; 3]);
-        newcomer.slot.set_stage(Stage::Processing);
+        assert_eq!([&taken[0], &taken[2], &new_connection].map(|t| t.slot.abort.get()), [None; 3]);
+        new_connection.slot.set_stage(Stage::Processing);
         taken[2].slot.set_stage(Stage::Processing);
         assert!(slots.acquire().is_none());
     }
--- a/dispatcher/src/listeners/guard.rs
+++ b/dispatcher/src/listeners/guard.rs
@@ -233,7 +233,7 @@
     /// Guards against a wrong arrival time: right after `accept` the event loop reports nothing to read, although bytes that
     /// waited in the queue are there. They must keep the time since which they may have been waiting.
     #[test]
-    fn bytes_that_stood_in_the_queue_keep_their_time_until_they_are_read() {
+    fn queued_bytes_keep_their_arrival_time_until_they_are_read() {
         actix_rt::System::new().block_on(async {
             let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a socket");
             let mut client = std::net::TcpStream::connect(listener.local_addr().expect("bound")).expect("up");
--- a/dispatcher/src/listeners/http.rs
+++ b/dispatcher/src/listeners/http.rs
@@ -262,13 +262,13 @@
                 }
             }
             // A connection that is accepted without waiting was in the queue.
-            let looked = Instant::now();
-            let at_once = socket.accept().now_or_never();
-            let queued = at_once.is_some();
-            let accepted = match at_once {
+            let checked_at = Instant::now();
+            let immediate = socket.accept().now_or_never();
+            let queued = immediate.is_some();
+            let accepted = match immediate {
                 Some(accepted) => accepted,
                 None => {
-                    arrivals.queue_is_empty(looked);
+                    arrivals.queue_is_empty(checked_at);
                     // Cancel-safe: a connection that is not accepted stays in the queue.
                     let accepted = tokio::select! {
                         accepted = socket.accept() => accepted,
--- a/dispatcher/src/store/snapshot.rs
+++ b/dispatcher/src/store/snapshot.rs
@@ -61,7 +61,7 @@
     }
 
     #[test]
-    fn what_an_earlier_release_wrote_is_read_back() {
+    fn snapshots_of_earlier_releases_are_read() {
         let dir = temp_dir("snapshot");
         fs::create_dir_all(&dir).expect("a folder");
         assert!(load(&dir).is_empty(), "nothing was written yet");
@@ -78,7 +78,7 @@
     #[case::empty(|_: &str| String::new())]
     #[case::other_format(|text: &str| text.replacen("overrides 1", "overrides 9", 1))]
     #[case::not_text(|_: &str| "\u{0}".repeat(100))]
-    fn a_torn_or_corrupt_snapshot_is_set_aside(#[case] corrupt: fn(&str) -> String) {
+    fn a_truncated_or_corrupt_snapshot_is_set_aside(#[case] corrupt: fn(&str) -> String) {
         let dir = temp_dir(&format!("torn-{:?}", std::thread::current().id()));
         fs::create_dir_all(&dir).expect("a folder");
         fs::write(dir.join(FILE_NAME), corrupt(&text(&records(2)))).expect("a file");
