--- a/dispatcher/src/admin/api.rs
+++ b/dispatcher/src/admin/api.rs
@@ -1,24 +1,24 @@
-//! What goes over the admin listener, as JSON: the listener writes it, the command line reads it.
+//! JSON types of the admin API, shared by the admin listener and the command line.
 
 use crate::targets::http::UpdateCounts;
 use lineroute_control::overrides::{Effect, OverrideEntry, Scope, Standing};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A worker and what is in force for it.
+/// A worker, and the overrides in force for it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct WorkerLine {
+pub struct WorkerStatus {
     pub worker: String,
     pub addr: String,
     pub zone: String,
     pub kind: String,
     /// `up` or `draining`.
     pub state: String,
-    /// Forwards of this dispatcher that are out there.
+    /// Forwards of this dispatcher that the worker has not answered yet.
     pub forwards: usize,
     pub weight: f64,
     pub out_of_service: bool,
-    /// `CLASS` or `CLASS/TENANT`, for each pin that leads here.
+    /// `CLASS` or `CLASS/TENANT`, for each pin to this worker.
     pub pinned: Vec<String>,
 }
 
@@ -26,12 +26,12 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Workers {
     pub dispatcher: String,
-    pub workers: Vec<WorkerLine>,
+    pub workers: Vec<WorkerStatus>,
 }
 
-/// An override and how it stands. Times are Unix time in milliseconds.
+/// An override and whether it is in force. Times are Unix time in milliseconds.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct OverrideLine {
+pub struct OverrideStatus {
     pub id: String,
     pub worker: String,
     /// `weight`, `out-of-service` or `pinned`.
@@ -52,20 +52,20 @@
     /// `in force`, `no such worker`, `worker out of service` or `beaten`.
     pub standing: String,
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub beaten: Option<Beaten>,
+    pub beaten: Option<SupersededBy>,
 }
 
-/// What has beaten an override.
+/// The override that supersedes another one.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Beaten {
+pub struct SupersededBy {
     pub id: String,
     pub by: String,
     pub at_ms: u64,
 }
 
-impl OverrideLine {
-    /// A line of the table, as seen at that moment.
-    pub fn of(line: &OverrideEntry, now: u64) -> OverrideLine {
+impl OverrideStatus {
+    /// Describes an entry of the table at the time `now`.
+    pub fn from_entry(line: &OverrideEntry, now: u64) -> OverrideStatus {
         let record = &line.record;
         let (class, tenant) = match &record.slot.scope {
             Scope::Pinned { class, tenant } => {
@@ -78,10 +78,10 @@
             Standing::UnknownWorker => ("no such worker", None),
             Standing::WorkerOutOfService => ("worker out of service", None),
             Standing::Superseded { id, by, at } => {
-                ("beaten", Some(Beaten { id: id.clone(), by: by.to_string(), at_ms: *at }))
+                ("beaten", Some(SupersededBy { id: id.clone(), by: by.to_string(), at_ms: *at }))
             }
         };
-        OverrideLine {
+        OverrideStatus {
             id: record.stamp.to_string(),
             worker: record.slot.worker.to_string(),
             kind: record.slot.scope.word().into(),
@@ -105,9 +105,9 @@
 
 /// `GET /overrides`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Overridden {
+pub struct OverrideList {
     pub dispatcher: String,
-    pub overrides: Vec<OverrideLine>,
+    pub overrides: Vec<OverrideStatus>,
 }
 
 /// `POST /overrides`: one of `weight`, `out_of_service` and `pin`.
@@ -141,65 +141,65 @@
     }
 }
 
-/// What a `POST` or `DELETE` has done.
+/// Response to `POST /overrides` and `DELETE /overrides/ID`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Done {
     pub id: String,
-    /// It is on the disk; `None` where there is no `state_dir`.
+    /// Whether it was synced to disk in time; `None` without an overrides log.
     pub saved: Option<bool>,
-    /// How what was set stands.
+    /// The override that was set, and whether it is in force.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub set: Option<OverrideLine>,
+    pub set: Option<OverrideStatus>,
 }
 
 /// `GET /flows`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct FlowCounts {
     pub dispatcher: String,
-    /// Owed an answer.
+    /// Flows that are not answered yet.
     pub open: usize,
-    /// Forwards that are out.
+    /// Forwards that are not answered yet.
     pub forwards: usize,
-    /// Bytes of bodies held.
+    /// Bytes of buffered bodies.
     pub bytes: usize,
-    /// Bodies in passage, and the bytes of them that are held.
+    /// Bodies being streamed, and the bytes of them that are buffered.
     pub streams: usize,
     pub stream_bytes: usize,
-    /// Answers that broke off while they passed, since the start.
+    /// Responses that broke off while they were streamed, since the start.
     pub cut_short: u64,
     /// Open flows by class.
     pub classes: BTreeMap<String, usize>,
-    /// How far the worker list can be relied on.
-    pub list: ListLine,
-    /// What may be done, and what was done all the same.
+    /// State of the worker list.
+    pub list: WorkerListStatus,
+    /// Permits, and violations of their rules.
     pub permits: PermitCounts,
     /// Job status updates of the platform's workers.
     #[serde(default)]
     pub job_updates: UpdateCounts,
-    /// Datagrams of the talk with peers, where it is on.
+    /// Datagrams exchanged with peers, if that is configured.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub peers: Option<PeerCounts>,
 }
 
 /// The state of the worker list.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct ListLine {
+pub struct WorkerListStatus {
     /// `unconfirmed`, `confirmed`, `watched`, `unreachable`, `turned_away` or `expired`.
     pub state: String,
     /// The version in use.
     pub version: Option<u64>,
-    /// Milliseconds since discovery answered last.
+    /// Milliseconds since the last answer from discovery.
     pub confirmed_ms_ago: Option<u64>,
-    /// Times that the list stopped being valid, since the start.
+    /// How often the list has stopped being valid, since the start.
     pub expired: u64,
-    /// The shortest call that did not wait for news: what a turn costs at discovery, at most. Times the size of the tier it is how
-    /// long a crowd of all its dispatchers lasts there.
+    /// The shortest call to discovery that was answered without waiting for a change: an upper bound for what one call costs
+    /// there. Multiplied by the number of dispatchers, it bounds how long a burst of calls from all of them lasts.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub shortest_call_ms: Option<u64>,
-    /// Reports of peers that discovery had answered them, since the start.
+    /// Reports by peers that discovery had answered them, since the start.
     #[serde(default)]
     pub peer_reports: u64,
-    /// How many of them left the list less time.
+    /// How many of these reports shortened the validity of the list.
     #[serde(default)]
     pub shortened_by_peers: u64,
 }
@@ -207,13 +207,13 @@
 /// Permits since the start.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct PermitCounts {
-    /// First bytes that were written to workers.
+    /// Permits to write the first bytes of a forward to a worker.
     pub sent: u64,
-    /// Those of them by a list that was not valid.
+    /// How many of them were used while the worker list was not valid.
     pub sent_on_invalid_list: u64,
-    /// Permits that were refused: `ACT.REASON`.
+    /// Refused permits, by `ACT.REASON`.
     pub refused: BTreeMap<String, u64>,
-    /// Rules that this process broke.
+    /// Violations of the permit rules by this process.
     pub violations: BTreeMap<String, u64>,
 }
 
@@ -230,11 +230,11 @@
     pub refused: u64,
 }
 
-/// Any other answer.
+/// An error response.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Fault {
     pub error: String,
-    /// The field that it is about.
+    /// The field that the error is about.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub field: Option<String>,
 }
--- a/dispatcher/src/admin/console.rs
+++ b/dispatcher/src/admin/console.rs
@@ -1,15 +1,15 @@
-//! The line-protocol admin console at `admin_addr`: one command a connection, `health`, `cordon ID`, `uncordon ID`,
-//! answered with a line that begins with `OK` or `ERR`. Cordons are out-of-service overrides, set and lifted
-//! through the same [`Calls`] as the JSON listener: one core of commands.
+//! The line-protocol admin console at `admin_addr`: one command per connection, `health`, `cordon ID` or `uncordon ID`,
+//! answered with one line that begins with `OK` or `ERR`. Cordons are out-of-service overrides, set and lifted
+//! through the same [`AdminService`] as on the JSON listener.
 //!
-//! Protected against: callers that never finish their line (closed 3 s after they came), floods of connections
-//! (a bound; those beyond it hear `ERR` at once), lines that are long or not text (`ERR` and a reason).
+//! Protected against callers that never finish their line (closed after 3 s), floods of connections
+//! (those beyond the limit get `ERR` at once), and lines that are too long or not text (`ERR` and a reason).
 
-use super::Calls;
+use super::AdminService;
 use crate::accept::AcceptRetry;
 use crate::local_faults::open_patiently;
 use crate::siblings::protocol::{MAX_CALL, PREFIX};
-use crate::siblings::ProcessParts;
+use crate::siblings::ProcessContext;
 use lineroute_control::admin_console::{parse, Command, Parsed, MAX_LINE};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -19,26 +19,26 @@
 use tokio::net::{TcpListener, TcpStream};
 use tracing::info;
 
-/// A line must be whole this long after the connection came.
-const LINE_WITHIN: Duration = Duration::from_secs(3);
-/// An answer that the caller does not take in this time is given up.
-const WRITE_WITHIN: Duration = Duration::from_secs(1);
-/// Connections at once; beyond these a caller is told so and closed. The sockets' budget counts them.
+/// Time limit for receiving a complete line, from the start of the connection.
+const READ_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time limit for writing the reply.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Concurrent connections; further callers get an error and are closed. Counted in the limit on sockets.
 pub const MAX_CONNECTIONS: usize = 48;
 
-/// Binds the console. What comes before [`serve`] waits in the queue of the socket.
+/// Binds the console. Connections made before [`serve`] wait in the queue of the socket.
 ///
 /// # Errors
 /// The address can't be bound.
 pub async fn bind(at: SocketAddr) -> Result<TcpListener, String> {
     let socket =
         open_patiently(|| TcpListener::bind(at)).await.map_err(|e| format!("admin_addr: {at}: {e}"))?;
-    info!(addr = %at, "the admin console listens");
+    info!(addr = %at, "listening for admin console connections");
     Ok(socket)
 }
 
-/// Serves the console on this thread. Never ends; dropped, calls that were accepted go on.
-pub async fn serve(socket: TcpListener, calls: Rc<Calls>) {
+/// Serves the console on this thread. Never returns; calls that were accepted continue if it is dropped.
+pub async fn serve(socket: TcpListener, calls: Rc<AdminService>) {
     let open = Rc::new(Cell::new(0usize));
     let mut retry = AcceptRetry::new("admin console");
     loop {
@@ -54,42 +54,42 @@
         let full = open.get() >= MAX_CONNECTIONS;
         open.set(open.get() + 1);
         actix_rt::spawn(async move {
-            serve_call(stream, &calls, full).await;
+            serve_connection(stream, &calls, full).await;
             open.set(open.get() - 1);
         });
-        // One that finds no room ends before the next comes: guards the bound on descriptors.
+        // Lets a rejected connection close before the next accept, which keeps to the limit on file descriptors.
         tokio::task::yield_now().await;
     }
 }
 
-async fn serve_call(mut stream: TcpStream, calls: &Calls, full: bool) {
+async fn serve_connection(mut stream: TcpStream, calls: &AdminService, full: bool) {
     let answer = match full {
         true => "ERR busy: too many calls at once, come again in 1 s".to_owned(),
-        false => match tokio::time::timeout(LINE_WITHIN, line(&mut stream)).await {
+        false => match tokio::time::timeout(READ_TIMEOUT, read_line(&mut stream)).await {
             Ok(Some(Line::Operator(Ok(command)))) => answer(command, calls).await,
             Ok(Some(Line::Operator(Err(reason)))) => format!("ERR {reason}"),
             Ok(Some(Line::Sibling(call))) => answer_sibling(&call, calls),
             Ok(None) => return,
-            Err(_) => format!("ERR no whole line in {} s", LINE_WITHIN.as_secs()),
+            Err(_) => format!("ERR no whole line in {} s", READ_TIMEOUT.as_secs()),
         },
     };
     let write = async {
         stream.write_all(format!("{answer}\n").as_bytes()).await?;
         stream.shutdown().await
     };
-    let _ = tokio::time::timeout(WRITE_WITHIN, write).await;
+    let _ = tokio::time::timeout(WRITE_TIMEOUT, write).await;
 }
 
-/// A whole line.
+/// A complete line.
 enum Line {
-    /// Of an operator.
+    /// An operator's command, or why it is invalid.
     Operator(Result<Command, String>),
-    /// Of a sibling process, without its first word.
+    /// A call from a sibling process, without its prefix.
     Sibling(String),
 }
 
-/// Reads until a whole line; `None` if the caller left first, or sent more than a sibling may.
-async fn line(stream: &mut TcpStream) -> Option<Line> {
+/// Reads one line; `None` if the caller disconnected first, or sent more than a sibling may.
+async fn read_line(stream: &mut TcpStream) -> Option<Line> {
     let mut bytes = Vec::with_capacity(64);
     let mut chunk = [0u8; MAX_LINE];
     loop {
@@ -111,12 +111,15 @@
     }
 }
 
-fn answer_sibling(call: &str, calls: &Calls) -> String {
+fn answer_sibling(call: &str, calls: &AdminService) -> String {
     let Some(siblings) = &calls.siblings else { return "ERR no siblings are known here".into() };
-    let parts =
-        ProcessParts { overrides: &calls.overrides, targets: &calls.targets, is_up: calls.phase.is_up() };
+    let context = ProcessContext {
+        overrides: &calls.overrides,
+        targets: &calls.targets,
+        is_up: calls.lifecycle.is_ready(),
+    };
     let answered = siblings
-        .answer(call, &parts)
+        .answer(call, &context)
         .and_then(|answer| serde_json::to_string(&answer).map_err(|e| e.to_string()));
     match answered {
         Ok(json) => format!("OK {json}"),
@@ -124,7 +127,7 @@
     }
 }
 
-async fn answer(command: Command, calls: &Calls) -> String {
+async fn answer(command: Command, calls: &AdminService) -> String {
     let since = Instant::now();
     let done = match &command {
         Command::Health => Ok("serving"),
@@ -133,11 +136,11 @@
     };
     let took_ms = since.elapsed().as_millis() as u64;
     match done {
-        Ok(words) => {
+        Ok(message) => {
             if !matches!(command, Command::Health) {
-                info!(?command, answer = words, took_ms, "admin console");
+                info!(?command, answer = message, took_ms, "admin console");
             }
-            format!("OK {words}")
+            format!("OK {message}")
         }
         Err(reason) => {
             info!(?command, %reason, took_ms, "admin console: not done");
--- a/dispatcher/src/admin/mod.rs
+++ b/dispatcher/src/admin/mod.rs
@@ -1,6 +1,6 @@
-//! The admin listener: where operators see this dispatcher and steer it. JSON over HTTP, on a loopback address
-//! or a Unix socket. Bounded in calls, bytes and time; a call at a time on a connection, so that nothing is
-//! kept for operators that clients need.
+//! The admin listener, where operators inspect and control this dispatcher. JSON over HTTP, on a loopback address
+//! or a Unix socket. Calls, bytes and time are bounded, and each connection carries a single call, so that operators
+//! don't take up resources that clients need.
 
 pub mod api;
 pub mod auth;
@@ -8,7 +8,7 @@
 pub mod console;
 mod refusals;
 
-pub use calls::Calls;
+pub use calls::AdminService;
 
 use crate::accept::AcceptRetry;
 use crate::config::{Admin, AdminAddr};
@@ -17,9 +17,9 @@
 use actix_service::{IntoServiceFactory, Service, ServiceFactory};
 use auth::AdminKeys;
 use bytes::{Bytes, BytesMut};
-use calls::{fault, Reply};
+use calls::{error_reply, Reply};
 use futures_util::StreamExt;
-use refusals::WordedRefusals;
+use refusals::JsonErrorBodies;
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
 use std::os::unix::fs::{FileTypeExt, PermissionsExt};
@@ -30,22 +30,22 @@
 use tokio::net::{TcpListener, UnixListener, UnixStream};
 use tracing::{info, warn};
 
-/// A body holds so much at most.
+/// The largest request body that is accepted.
 const MAX_BODY: usize = 16 << 10;
-/// A request must be whole in this time.
-const WHOLE_WITHIN: Duration = Duration::from_millis(2500);
-/// A connection ends after this, whatever is on it: the answer may wait for the disk.
-const CALL_WITHIN: Duration = Duration::from_secs(6);
-const NO_ROOM: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 1\r\n\
+/// Time limit for receiving a request.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Time limit for a connection as a whole. Longer than that for the request, since the response may wait for the disk.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(6);
+const TOO_MANY_CALLS_RESPONSE: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 1\r\n\
     Content-Type: application/json\r\nContent-Length: 44\r\n\r\n{\"error\":\"too many admin calls are in hand\"}\n";
 
-/// The listener as `main` holds it.
+/// Handle to the running listener.
 #[derive(Clone)]
 pub struct Handle(Rc<RefCell<Option<AdminKeys>>>);
 
 impl Handle {
-    /// Goes over to other keys.
-    pub fn rekey(&self, keys: Option<AdminKeys>) {
+    /// Replaces the keys.
+    pub fn set_keys(&self, keys: Option<AdminKeys>) {
         *self.0.borrow_mut() = keys;
     }
 }
@@ -89,7 +89,7 @@
     }
 }
 
-/// Takes away the socket of a process that is gone. Anything else at the path stays.
+/// Removes the socket file of a process that no longer runs. Any other file at the path is left alone.
 async fn remove_stale(path: &Path) -> Result<(), String> {
     let is_socket = std::fs::symlink_metadata(path).is_ok_and(|m| m.file_type().is_socket());
     if !is_socket {
@@ -108,31 +108,31 @@
 ///
 /// # Errors
 /// The address can't be bound.
-pub async fn start(config: Admin, calls: Rc<Calls>) -> Result<Handle, String> {
+pub async fn start(config: Admin, calls: Rc<AdminService>) -> Result<Handle, String> {
     let socket = Socket::bind(&config.listen).await?;
     info!(addr = %socket.addr(&config.listen), "admin listens");
     let keys = Rc::new(RefCell::new(config.keys));
-    let front = Rc::new(Front { keys: keys.clone(), calls, open: Cell::new(0) });
-    actix_rt::spawn(front.serve(socket, config.max_connections));
+    let listener = Rc::new(AdminListener { keys: keys.clone(), calls, open: Cell::new(0) });
+    actix_rt::spawn(listener.serve(socket, config.max_connections));
     Ok(Handle(keys))
 }
 
-struct Front {
+struct AdminListener {
     keys: Rc<RefCell<Option<AdminKeys>>>,
-    calls: Rc<Calls>,
+    calls: Rc<AdminService>,
     open: Cell<usize>,
 }
 
-impl Front {
-    async fn serve(self: Rc<Self>, socket: Socket, most: usize) {
+impl AdminListener {
+    async fn serve(self: Rc<Self>, socket: Socket, max_connections: usize) {
         let this = self.clone();
         let service = move |request: Request| {
             let this = this.clone();
             async move { Ok::<_, Infallible>(this.handle(request).await) }
         };
-        let factory = HttpService::<WordedRefusals<Box<dyn Io>>, _, _>::build()
+        let factory = HttpService::<JsonErrorBodies<Box<dyn Io>>, _, _>::build()
             .keep_alive(KeepAlive::Disabled)
-            .client_request_timeout(WHOLE_WITHIN)
+            .client_request_timeout(REQUEST_TIMEOUT)
             .on_connect_ext(|_, data| {
                 data.insert(Instant::now());
             })
@@ -151,20 +151,20 @@
             };
             retry.succeeded();
             let (this, service) = (self.clone(), service.clone());
-            let taken = self.open.get() < most;
-            // One more than there is room for is told so; those beyond it are closed.
-            if self.open.get() > most {
+            let taken = self.open.get() < max_connections;
+            // The first connection over the limit gets an error response; further ones are closed.
+            if self.open.get() > max_connections {
                 continue;
             }
             self.open.set(self.open.get() + 1);
             actix_rt::spawn(async move {
                 let served = async {
                     match taken {
-                        true => drop(service.call((WordedRefusals::new(stream), None)).await),
-                        false => drop(stream.write_all(NO_ROOM).await),
+                        true => drop(service.call((JsonErrorBodies::new(stream), None)).await),
+                        false => drop(stream.write_all(TOO_MANY_CALLS_RESPONSE).await),
                     }
                 };
-                let _ = tokio::time::timeout(CALL_WITHIN, served).await;
+                let _ = tokio::time::timeout(CONNECTION_TIMEOUT, served).await;
                 this.open.set(this.open.get() - 1);
             });
         }
@@ -179,12 +179,12 @@
     }
 
     async fn reply(&self, mut request: Request) -> Reply {
-        let given = request.headers().get(header::AUTHORIZATION).and_then(|v| v.to_str().ok());
-        let given = given.and_then(|v| v.strip_prefix("Bearer ")).unwrap_or_default();
-        let admitted = self.keys.borrow().as_ref().is_none_or(|keys| keys.admits(given));
+        let provided = request.headers().get(header::AUTHORIZATION).and_then(|v| v.to_str().ok());
+        let provided = provided.and_then(|v| v.strip_prefix("Bearer ")).unwrap_or_default();
+        let admitted = self.keys.borrow().as_ref().is_none_or(|keys| keys.accepts(provided));
         if !admitted {
-            warn!("admin: a call without the key");
-            return fault(
+            warn!("admin: rejected a call with a wrong or missing key");
+            return error_reply(
                 StatusCode::UNAUTHORIZED,
                 Some("Authorization"),
                 "Authorization: Bearer KEY is wrong or missing",
@@ -196,21 +196,21 @@
         let read = async {
             let mut body = BytesMut::new();
             while let Some(chunk) = payload.next().await {
-                let chunk =
-                    chunk.map_err(|e| fault(StatusCode::BAD_REQUEST, None, format!("the body: {e}")))?;
+                let chunk = chunk
+                    .map_err(|e| error_reply(StatusCode::BAD_REQUEST, None, format!("the body: {e}")))?;
                 if body.len() + chunk.len() > MAX_BODY {
-                    let words = format!("the body holds more than {MAX_BODY} bytes");
-                    return Err(fault(StatusCode::PAYLOAD_TOO_LARGE, None, words));
+                    let message = format!("the body holds more than {MAX_BODY} bytes");
+                    return Err(error_reply(StatusCode::PAYLOAD_TOO_LARGE, None, message));
                 }
                 body.extend_from_slice(&chunk);
             }
             Ok(body)
         };
-        // Counted from the connection's start: head and body share the time.
-        let by = request_start + WHOLE_WITHIN;
-        let late = || Err(fault(StatusCode::REQUEST_TIMEOUT, None, "the body did not come in time"));
+        // Counted from the start of the connection: head and body share the time limit.
+        let by = request_start + REQUEST_TIMEOUT;
+        let late = || Err(error_reply(StatusCode::REQUEST_TIMEOUT, None, "the body did not come in time"));
         match tokio::time::timeout_at(by.into(), read).await.unwrap_or_else(|_| late()) {
-            Ok(body) => self.calls.answer(&method, &path, &body).await,
+            Ok(body) => self.calls.handle(&method, &path, &body).await,
             Err(reply) => reply,
         }
     }
--- a/dispatcher/src/listeners/beanstalkd/mod.rs
+++ b/dispatcher/src/listeners/beanstalkd/mod.rs
@@ -1,6 +1,6 @@
-//! The beanstalkd front. A job put into a tube of the operator's file is a flow of the core, on the same
-//! decisions and rules as any other; its one final answer is a job in the answers tube of that tube. What is
-//! open belongs to nobody's connection: a client may go and come back.
+//! The beanstalkd listener. A job put into a tube of the operator's file becomes a flow of the core, subject to the same
+//! decisions and rules as any other; its single final answer becomes a job in the answers tube that belongs to that tube.
+//! Open jobs are not tied to a connection: a client may disconnect and come back.
 
 mod command;
 mod tubes;
@@ -26,40 +26,41 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 use tracing::warn;
-use tubes::{Client, Found, Tubes};
+use tubes::{Client, JobFilter, Tubes};
 
-/// Answers are made urgent for nobody, and stay with who reserved them for so long.
+/// Priority of answers: not urgent, which beanstalkd counts priorities below 1024 as. And how long a client may keep an
+/// answer reserved.
 const ANSWER_PRIORITY: u32 = 1024;
 const ANSWER_TTR: Duration = Duration::from_secs(60);
 
-/// The front, shared by its connections.
+/// The listener, shared by its connections.
 pub struct BeanstalkdListener {
     flows: Flows,
     settings: BeanstalkdFront,
     tubes: RefCell<Tubes>,
-    /// Something became ready, or was taken.
+    /// Signalled when a job becomes ready or is taken.
     changed: Notify,
     stopping: Cell<bool>,
     slots: Rc<ConnectionSlots>,
-    /// Makes references that no other dispatcher, and no earlier life of this one, has used.
+    /// Prefix of flow references; unique among dispatchers and among earlier runs of this one.
     prefix: String,
 }
 
-/// The client's side of a flow that was put: its answer becomes a job.
-struct Put {
-    front: Rc<BeanstalkdListener>,
+/// Receives the answer of a flow that was put, and adds it to the answers tube as a job.
+struct AnswerReceiver {
+    listener: Rc<BeanstalkdListener>,
     id: u64,
     answers: String,
 }
 
-impl Listener for Put {
+impl Listener for AnswerReceiver {
     fn answer(self: Box<Self>, answer: Answer) {
-        self.front.answer(self.id, &self.answers, &answer);
+        self.listener.answer(self.id, &self.answers, &answer);
     }
 }
 
 impl BeanstalkdListener {
-    /// A front that begins with no job and no connection.
+    /// Creates a listener without jobs or connections.
     pub fn new(
         flows: Flows,
         settings: BeanstalkdFront,
@@ -79,19 +80,19 @@
         })
     }
 
-    /// From here on nothing is taken; what is ready can still be fetched.
+    /// From now on no jobs are accepted; answers can still be fetched.
     pub fn stop(&self) {
         self.stopping.set(true);
     }
 
-    /// Jobs that are open, and answers that nobody has fetched and deleted.
-    pub fn left(&self) -> usize {
+    /// Number of open jobs, and of answers that were not fetched and deleted yet.
+    pub fn unfinished_jobs(&self) -> usize {
         self.tubes.borrow().len()
     }
 
-    /// Accepts and serves connections. Never ends.
+    /// Accepts and serves connections. Never returns.
     pub async fn serve(self: Rc<Self>, socket: TcpListener) {
-        actix_rt::spawn(self.slots.clone().watch());
+        actix_rt::spawn(self.slots.clone().enforce_timeouts());
         let mut retry = AcceptRetry::new("beanstalkd");
         loop {
             let stream = match socket.accept().await {
@@ -102,40 +103,43 @@
                 }
             };
             retry.succeeded();
-            let Some(taken) = self.slots.take() else {
-                warn!(in_use = self.slots.count(), "beanstalkd: no slot: a connection was closed");
+            let Some(taken) = self.slots.acquire() else {
+                warn!(
+                    in_use = self.slots.count(),
+                    "beanstalkd: all connection slots are in use; closed a new connection"
+                );
                 continue;
             };
-            // Clients of this protocol may connect long before they have anything to say.
-            taken.slot.set(Stage::Idle);
+            // Clients of this protocol may connect long before they send a command.
+            taken.slot.set_stage(Stage::Idle);
             let _ = stream.set_nodelay(true);
-            let front = self.clone();
+            let listener = self.clone();
             actix_rt::spawn(async move {
-                let client = front.tubes.borrow_mut().connect();
-                let connection = Connection::new(front.clone(), client, stream, taken.slot.clone());
+                let client = listener.tubes.borrow_mut().connect();
+                let connection = Connection::new(listener.clone(), client, stream, taken.slot.clone());
                 let mut served = pin!(connection.run());
                 loop {
-                    // The connection is kept over the loop; dropped behind it, it ends, and what its client held is
-                    // released below.
-                    let cut = tokio::select! {
-                        cut = taken.slot.until_cut() => cut,
-                        // Errors here are those of the peer.
+                    // The connection future survives the loop's iterations. It is dropped after the loop, which closes the
+                    // connection; the client's reservations are released below.
+                    let cause = tokio::select! {
+                        cause = taken.slot.wait_for_abort() => cause,
+                        // Errors here are the peer's.
                         _ = served.as_mut() => break,
                     };
-                    if front.flows.close_permit(taken.slot.cut_facts(cut)).is_some() {
+                    if listener.flows.close_permit(taken.slot.abort_facts(cause)).is_some() {
                         break;
                     }
-                    taken.slot.keep();
+                    taken.slot.clear_abort();
                 }
-                front.tubes.borrow_mut().disconnect(client, Instant::now());
-                front.changed.notify_waiters();
+                listener.tubes.borrow_mut().disconnect(client, Instant::now());
+                listener.changed.notify_waiters();
             });
-            // One that gave way ends before the next comes: guards the bound on descriptors.
+            // Lets an evicted connection close before the next accept, which keeps to the limit on file descriptors.
             tokio::task::yield_now().await;
         }
     }
 
-    /// Takes a job in; the words for the client.
+    /// Accepts a job; returns the reply for the client.
     fn put(self: &Rc<Self>, tube: &str, pri: u32, delay: Duration, ttr: Duration, body: Bytes) -> String {
         let Some(mapped) = self.settings.tubes.iter().find(|t| t.tube == tube) else {
             return "NOT_FOUND".into();
@@ -161,7 +165,7 @@
         };
         let (budget, answers) = (mapped.budget, mapped.answers.clone());
         if delay.is_zero() {
-            return match self.begin(id, job, budget, answers) {
+            return match self.start_flow(id, job, budget, answers) {
                 true => format!("INSERTED {id}"),
                 false => {
                     self.tubes.borrow_mut().close(id);
@@ -169,23 +173,23 @@
                 }
             };
         }
-        let front = self.clone();
+        let listener = self.clone();
         actix_rt::spawn(async move {
             tokio::time::sleep_until((now + delay).into()).await;
-            // It may have been deleted meanwhile.
-            if front.tubes.borrow().is_open(id) && !front.begin(id, job, budget, answers.clone()) {
-                front.answer(id, &answers, &Answer::Refused(Duration::from_secs(1)));
+            // The job may have been deleted during its delay.
+            if listener.tubes.borrow().is_open(id) && !listener.start_flow(id, job, budget, answers.clone()) {
+                listener.answer(id, &answers, &Answer::Refused(Duration::from_secs(1)));
             }
         });
         format!("INSERTED {id}")
     }
 
-    fn begin(self: &Rc<Self>, id: u64, job: Job, budget: Duration, answers: String) -> bool {
+    fn start_flow(self: &Rc<Self>, id: u64, job: Job, budget: Duration, answers: String) -> bool {
         let put = |flow: FlowId| -> Box<dyn Listener> {
-            self.tubes.borrow_mut().begun(id, flow);
-            Box::new(Put { front: self.clone(), id, answers })
+            self.tubes.borrow_mut().set_flow(id, flow);
+            Box::new(AnswerReceiver { listener: self.clone(), id, answers })
         };
-        // What was answered `INSERTED` is owed its answer, also where its delay ends after SIGTERM.
+        // A job that was replied to with `INSERTED` must get an answer, even if its delay ends after SIGTERM.
         let process = if self.stopping.get() { ProcessState::Draining } else { ProcessState::Serving };
         let facts = StartFacts { process, client_gone: false };
         let Ok(permit) = self.flows.start_permit(&job.reference, facts) else { return false };
@@ -195,7 +199,7 @@
     fn answer(&self, id: u64, answers: &str, answer: &Answer) {
         {
             let mut tubes = self.tubes.borrow_mut();
-            // Deleted in this very moment: the client has been told that it is gone.
+            // Already deleted: the client was told `DELETED`.
             if !tubes.close(id) {
                 return;
             }
@@ -205,7 +209,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Deletes a job: an answer, or an open job, which is then called off. The second time it is not found.
+    /// Deletes an answer or an open job; the flow of an open job is cancelled. A second delete finds nothing.
     fn delete(&self, client: Client, id: u64) -> bool {
         let flow = {
             let mut tubes = self.tubes.borrow_mut();
@@ -225,7 +229,7 @@
 }
 
 struct Connection {
-    front: Rc<BeanstalkdListener>,
+    listener: Rc<BeanstalkdListener>,
     client: Client,
     input: BufReader<OwnedReadHalf>,
     output: OwnedWriteHalf,
@@ -235,31 +239,31 @@
 
 impl Connection {
     fn new(
-        front: Rc<BeanstalkdListener>,
+        listener: Rc<BeanstalkdListener>,
         client: Client,
         stream: TcpStream,
         slot: Rc<ConnectionSlot>,
     ) -> Self {
         let (input, output) = stream.into_split();
-        Connection { front, client, input: BufReader::new(input), output, used: "default".into(), slot }
+        Connection { listener, client, input: BufReader::new(input), output, used: "default".into(), slot }
     }
 
-    /// Waits for a command to begin. From there it has so long to come whole and for its reply to be read.
-    /// Whoever holds a job does not give way.
-    async fn hears(&mut self) -> io::Result<bool> {
-        let holds = self.front.tubes.borrow().holds(self.client);
-        self.slot.set(if holds { Stage::InWork } else { Stage::Idle });
+    /// Waits for the first byte of a command; false at the end of the connection. From then on the slot's time limit covers
+    /// receiving the command and writing its reply. Connections that have a job reserved are not evicted.
+    async fn wait_for_command(&mut self) -> io::Result<bool> {
+        let holds = self.listener.tubes.borrow().has_reservation(self.client);
+        self.slot.set_stage(if holds { Stage::Processing } else { Stage::Idle });
         let more = !self.input.fill_buf().await?.is_empty();
-        self.slot.set(Stage::Head);
+        self.slot.set_stage(Stage::Head);
         Ok(more)
     }
 
     async fn run(mut self) -> io::Result<()> {
-        while self.hears().await? {
+        while self.wait_for_command().await? {
             let line = match read_line(&mut self.input).await? {
                 Line::Text(line) => line,
                 Line::Bad => {
-                    self.say("BAD_FORMAT").await?;
+                    self.write_line("BAD_FORMAT").await?;
                     continue;
                 }
                 Line::End => return Ok(()),
@@ -269,65 +273,65 @@
                 Ok(Command::Quit) => return Ok(()),
                 Ok(Command::Put { pri, delay, ttr, bytes }) => {
                     if bytes > MAX_JOB as u64 {
-                        // Real clients send the body before they read what is said of it.
+                        // Clients send the body before they read the reply.
                         skip(&mut self.input, bytes + 2).await?;
                         "JOB_TOO_BIG".into()
                     } else {
                         match read_body(&mut self.input, bytes as usize).await? {
-                            Some(body) => self.front.put(&self.used, pri, delay, ttr, body),
+                            Some(body) => self.listener.put(&self.used, pri, delay, ttr, body),
                             None => "EXPECTED_CRLF".into(),
                         }
                     }
                 }
                 Ok(Command::Reserve { within }) => {
-                    self.slot.set(Stage::InWork);
+                    self.slot.set_stage(Stage::Processing);
                     let reserved = self.reserve(within).await?;
-                    self.slot.set(Stage::Head);
+                    self.slot.set_stage(Stage::Head);
                     match reserved {
                         None => return Ok(()),
                         Some(Reserved::Job(id, body)) => {
-                            self.job("RESERVED", id, &body).await?;
+                            self.write_job("RESERVED", id, &body).await?;
                             continue;
                         }
                         Some(Reserved::Word(word)) => word.into(),
                     }
                 }
-                Ok(command) => match self.act(command) {
+                Ok(command) => match self.execute(command) {
                     Reply::Line(line) => line,
                     Reply::Job(word, id, body) => {
-                        self.job(word, id, &body).await?;
+                        self.write_job(word, id, &body).await?;
                         continue;
                     }
                     Reply::Text(text) => format!("OK {}\r\n{text}", text.len()),
                 },
             };
-            self.say(&reply).await?;
+            self.write_line(&reply).await?;
         }
         Ok(())
     }
 
-    async fn say(&mut self, line: &str) -> io::Result<()> {
+    async fn write_line(&mut self, line: &str) -> io::Result<()> {
         self.output.write_all(format!("{line}\r\n").as_bytes()).await
     }
 
-    async fn job(&mut self, word: &str, id: u64, body: &Bytes) -> io::Result<()> {
+    async fn write_job(&mut self, word: &str, id: u64, body: &Bytes) -> io::Result<()> {
         let mut reply = format!("{word} {id} {}\r\n", body.len()).into_bytes();
         reply.extend_from_slice(body);
         reply.extend_from_slice(b"\r\n");
         self.output.write_all(&reply).await
     }
 
-    /// Waits for a job; nothing where the client has gone.
+    /// Waits for a job; `None` if the client has disconnected.
     async fn reserve(&mut self, within: Option<Duration>) -> io::Result<Option<Reserved>> {
         let until = within.map(|w| Instant::now() + w);
         let mut more = false;
         loop {
-            let changed = self.front.changed.notified();
+            let changed = self.listener.changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
             let now = Instant::now();
             let next = {
-                let mut tubes = self.front.tubes.borrow_mut();
+                let mut tubes = self.listener.tubes.borrow_mut();
                 if tubes.deadline_soon(self.client, now) {
                     return Ok(Some(Reserved::Word("DEADLINE_SOON")));
                 }
@@ -344,7 +348,7 @@
             tokio::select! {
                 () = changed => {}
                 () = tokio::time::sleep_until(wake.into()) => {}
-                // The end of the connection ends the wait; a command that comes early has to wait.
+                // Disconnecting ends the wait; a pipelined command has to wait until it is over.
                 read = self.input.fill_buf(), if !more => match read?.is_empty() {
                     true => return Ok(None),
                     false => more = true,
@@ -353,8 +357,8 @@
         }
     }
 
-    fn act(&mut self, command: Command) -> Reply {
-        let (now, client, front) = (Instant::now(), self.client, &self.front);
+    fn execute(&mut self, command: Command) -> Reply {
+        let (now, client, listener) = (Instant::now(), self.client, &self.listener);
         let line = |words: &str| Reply::Line(words.into());
         let found = |found: bool, word: &str| line(if found { word } else { "NOT_FOUND" });
         let job = |word, found: Option<(u64, Bytes)>| match found {
@@ -363,9 +367,9 @@
         };
         let text = |text: Option<String>| text.map_or_else(|| line("NOT_FOUND"), Reply::Text);
         if let Command::Delete(id) = command {
-            return found(front.delete(client, id), "DELETED");
+            return found(listener.delete(client, id), "DELETED");
         }
-        let mut tubes = front.tubes.borrow_mut();
+        let mut tubes = listener.tubes.borrow_mut();
         tubes.advance(now);
         let reply = match command {
             Command::Use(tube) => {
@@ -391,28 +395,30 @@
             Command::KickJob(id) => found(tubes.kick_job(id), "KICKED"),
             Command::PauseTube { tube, delay } => found(tubes.pause(&tube, delay, now), "PAUSED"),
             Command::Peek(id) => job("FOUND", tubes.peek(id)),
-            Command::PeekReady => job("FOUND", tubes.peek_first(&self.used, Found::Ready)),
-            Command::PeekDelayed => job("FOUND", tubes.peek_first(&self.used, Found::Delayed)),
-            Command::PeekBuried => job("FOUND", tubes.peek_first(&self.used, Found::Buried)),
+            Command::PeekReady => job("FOUND", tubes.peek_first(&self.used, JobFilter::Ready)),
+            Command::PeekDelayed => job("FOUND", tubes.peek_first(&self.used, JobFilter::Delayed)),
+            Command::PeekBuried => job("FOUND", tubes.peek_first(&self.used, JobFilter::Buried)),
             Command::StatsJob(id) => text(tubes.stats_job(id, now)),
             Command::StatsTube(tube) => {
-                let mapped = front.settings.tubes.iter().any(|t| t.tube == tube || t.answers == tube);
+                let mapped = listener.settings.tubes.iter().any(|t| t.tube == tube || t.answers == tube);
                 text(tubes.stats_tube(&tube, mapped, now))
             }
-            Command::Stats => Reply::Text(tubes.stats(MAX_JOB, front.slots.count(), front.stopping.get())),
+            Command::Stats => {
+                Reply::Text(tubes.stats(MAX_JOB, listener.slots.count(), listener.stopping.get()))
+            }
             Command::ListTubes => {
-                let mapped = front.settings.tubes.iter().flat_map(|t| [t.tube.as_str(), &t.answers]);
+                let mapped = listener.settings.tubes.iter().flat_map(|t| [t.tube.as_str(), &t.answers]);
                 Reply::Text(tubes.list(mapped))
             }
             Command::ListTubeUsed => Reply::Line(format!("USING {}", self.used)),
             Command::ListTubesWatched => Reply::Text(tubes.watched(client)),
-            // Answered where bodies are read and waits are made, or above.
+            // Handled in `run`, or above.
             Command::Put { .. } | Command::Reserve { .. } | Command::Delete(_) | Command::Quit => {
                 line("INTERNAL_ERROR")
             }
         };
         drop(tubes);
-        front.changed.notify_waiters();
+        listener.changed.notify_waiters();
         reply
     }
 }
--- a/dispatcher/src/listeners/http.rs
+++ b/dispatcher/src/listeners/http.rs
@@ -1,8 +1,8 @@
-//! The platform's front: jobs by `POST`, each on a connection that waits for its answer; the workers' calls;
-//! and `/up`. Thin: what a header means is settled here, everything else in the core.
+//! The HTTP listener: jobs submitted by `POST`, each answered on the connection it came on; job status updates
+//! from workers; and the readiness check `/up`. It only parses requests and headers; all decisions are made in the core.
 
-use super::connection_slots::{ConnectionSlot, ConnectionSlots, Cut, Stage, WHOLE_WITHIN};
-use super::guard::{write_now, Guarded};
+use super::connection_slots::{AbortCause, ConnectionSlot, ConnectionSlots, Stage, REQUEST_TIMEOUT};
+use super::guard::{write_without_waiting, GuardedStream};
 use super::socket::queued;
 use crate::accept::AcceptRetry;
 use crate::body::{Body, Budgets};
@@ -32,32 +32,35 @@
 use tokio::sync::{oneshot, Notify};
 use tracing::info;
 
-/// A body holds so much at most.
+/// The largest request body that is accepted.
 pub const MAX_BODY: usize = 64 << 10;
-/// Idle connections of clients are kept so long.
-const KEEP_ALIVE: Duration = Duration::from_secs(120);
-/// What a client is told that this dispatcher can't take on: others may have room at once.
-pub(super) const BUSY_RETRY: Duration = Duration::from_millis(250);
-const LONGEST_ID: usize = 128;
-/// The body of a request that is turned away unread is usually on its way: it is let come for so long.
-const UNWANTED_WITHIN: Duration = Duration::from_millis(250);
-/// More than a day of work is no guess.
-const LONGEST_WORK_US: f64 = 86_400e6;
-/// What is said to those whom the server never came to speak with.
-const NO_SLOT: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 0.250\r\n\
+/// How long an idle client connection is kept open.
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(120);
+/// `Retry-After` for a client that this dispatcher has no capacity for. Short, because other dispatchers may have capacity now.
+pub(super) const BUSY_RETRY_AFTER: Duration = Duration::from_millis(250);
+const MAX_ID_LENGTH: usize = 128;
+/// How long to read the body of a request that is rejected by its head: the body is usually in transit already.
+const REJECTED_BODY_TIMEOUT: Duration = Duration::from_millis(250);
+/// Upper bound for the client's estimate of a job's run time: one day.
+const MAX_WORK_US: f64 = 86_400e6;
+/// Responses written to the socket directly, for connections that the HTTP server can't answer itself.
+const NO_SLOT_RESPONSE: &[u8] =
+    b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 0.250\r\n\
     Content-Length: 0\r\n\r\n";
-const LATE: &[u8] = b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-const MALFORMED: &[u8] = b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-const TOO_LONG: &[u8] =
+const TIMEOUT_RESPONSE: &[u8] =
+    b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+const BAD_REQUEST_RESPONSE: &[u8] =
+    b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+const HEAD_TOO_LARGE_RESPONSE: &[u8] =
     b"HTTP/1.1 431 Request Header Fields Too Large\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-/// A class or tenant as the settings name it, and a class's own deadline.
-pub struct Vocabulary {
+/// Names of the configured classes, each with its default deadline, and of the configured tenants.
+pub struct WorkloadNames {
     pub classes: Vec<(String, Duration)>,
     pub tenants: Vec<String>,
 }
 
-impl Vocabulary {
+impl WorkloadNames {
     pub fn class(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|c| c.0 == name)
     }
@@ -67,111 +70,115 @@
     }
 }
 
-/// A process says that it is up once its worker list was confirmed, or so long after its start without one: until then it
-/// can't serve what is sent to it, and others can.
-const UP_WITHOUT_LIST: Duration = Duration::from_secs(4);
-
-/// A process whose socket was inherited may have a sibling that it knows nothing of for so long: the one that it replaces.
-const SIBLING_WITHIN: Duration = Duration::from_secs(15);
-
-/// What the front has come to, between start and exit.
-pub struct Phase {
-    /// Others may accept from the socket too, and what stands in its queue is theirs as well.
-    shared: bool,
-    /// What stands in the queue is left to them.
-    leaves_queue: Cell<bool>,
-    queue_changed: Notify,
-    /// The worker list was valid once, or was waited for long enough.
-    up: Cell<bool>,
+/// How long after its start a process without a confirmed worker list reports that it is ready all the same. Before that it can't
+/// serve what is sent to it, while other dispatchers can.
+const READY_WITHOUT_LIST_AFTER: Duration = Duration::from_secs(4);
+
+/// How long after its start a process with an inherited socket assumes that the process it replaces may still run without
+/// being known as a sibling.
+const REPLACEMENT_OVERLAP: Duration = Duration::from_secs(15);
+
+/// Lifecycle of the HTTP listener: readiness, draining and stopping.
+pub struct ListenerLifecycle {
+    /// Other processes may accept from the same socket, so connections in its queue are not this process's alone.
+    socket_shared: bool,
+    /// Queued connections are left to the other processes.
+    accepting_paused: Cell<bool>,
+    accepting_changed: Notify,
+    /// The worker list has been valid at least once, or [`READY_WITHOUT_LIST_AFTER`] has passed.
+    ready: Cell<bool>,
     list: Rc<ListMonitor>,
-    began: Instant,
-    /// Answers carry `Connection: close`.
-    closing: Cell<bool>,
-    /// New jobs are refused.
-    shut: Cell<bool>,
-    idle: Notify,
-    /// Nobody is let in.
-    over: Notify,
+    started_at: Instant,
+    /// Responses carry `Connection: close`.
+    draining: Cell<bool>,
+    /// New requests are refused.
+    stopping: Cell<bool>,
+    stop_notify: Notify,
+    /// The listening socket is to be closed.
+    close_notify: Notify,
 }
 
-impl Phase {
-    /// A front at its start, which waits for this list. `shared`: others may accept from its socket too.
+impl ListenerLifecycle {
+    /// The state at process start. Readiness waits for a valid worker list. `shared`: other processes may accept from the
+    /// same socket.
     pub fn new(list: Rc<ListMonitor>, shared: bool) -> Self {
-        Phase {
-            shared,
-            leaves_queue: Cell::default(),
-            queue_changed: Notify::new(),
-            up: Cell::default(),
+        ListenerLifecycle {
+            socket_shared: shared,
+            accepting_paused: Cell::default(),
+            accepting_changed: Notify::new(),
+            ready: Cell::default(),
             list,
-            began: Instant::now(),
-            closing: Cell::default(),
-            shut: Cell::default(),
-            idle: Notify::new(),
-            over: Notify::new(),
+            started_at: Instant::now(),
+            draining: Cell::default(),
+            stopping: Cell::default(),
+            stop_notify: Notify::new(),
+            close_notify: Notify::new(),
         }
     }
 
-    /// Whether another process may accept from the same socket that this one has no way to ask.
+    /// Whether a process that is not known as a sibling, and so can't be called, may accept from the same socket.
     fn may_have_sibling(&self) -> bool {
-        self.shared && (self.closing.get() || self.began.elapsed() < SIBLING_WITHIN)
+        self.socket_shared && (self.draining.get() || self.started_at.elapsed() < REPLACEMENT_OVERLAP)
     }
 
-    /// Whether others may accept from the socket too.
-    pub fn is_shared(&self) -> bool {
-        self.shared
+    /// Whether other processes may accept from the same socket.
+    pub fn is_socket_shared(&self) -> bool {
+        self.socket_shared
     }
 
-    /// Leaves what stands in the socket's queue to the others that accept from it, or takes part again.
-    pub fn leave_queue(&self, leaves: bool) {
-        if self.leaves_queue.replace(leaves) != leaves {
+    /// Pauses accepting, which leaves queued connections to the other processes on the socket, or resumes it.
+    pub fn pause_accepting(&self, leaves: bool) {
+        if self.accepting_paused.replace(leaves) != leaves {
             info!(leaves, "new connections are left to another process");
-            self.queue_changed.notify_one();
+            self.accepting_changed.notify_one();
         }
     }
 
-    /// Whether clients may be sent here. Once they may, they may until the stop.
-    pub fn is_up(&self) -> bool {
-        let up = self.up.get() || self.list.state().is_valid() || self.began.elapsed() >= UP_WITHOUT_LIST;
-        self.up.set(up);
-        up && !self.closing.get()
+    /// Whether clients may be routed here. Once true, it stays true until draining starts.
+    pub fn is_ready(&self) -> bool {
+        let ready = self.ready.get()
+            || self.list.state().is_valid()
+            || self.started_at.elapsed() >= READY_WITHOUT_LIST_AFTER;
+        self.ready.set(ready);
+        ready && !self.draining.get()
     }
 
-    /// From here on every answer ends its connection.
-    pub fn close(&self) {
-        self.closing.set(true);
+    /// From now on every response closes its connection.
+    pub fn start_draining(&self) {
+        self.draining.set(true);
     }
 
-    /// From here on nothing new is taken, and connections at rest end.
-    pub fn shut(&self) {
-        self.shut.set(true);
-        self.idle.notify_waiters();
+    /// From now on new requests are refused, and idle connections are closed.
+    pub fn start_stopping(&self) {
+        self.stopping.set(true);
+        self.stop_notify.notify_waiters();
     }
 
-    /// Nothing is owed any more, and no calls are to come: the listening socket closes.
-    pub fn end(&self) {
-        self.over.notify_one();
+    /// Closes the listening socket. Called once all requests are answered and no further calls from workers are expected.
+    pub fn close_socket(&self) {
+        self.close_notify.notify_one();
     }
 
-    pub fn is_shut(&self) -> bool {
-        self.shut.get()
+    pub fn is_stopping(&self) -> bool {
+        self.stopping.get()
     }
 
-    /// What the process is at.
+    /// The state of the process, as the permit rules see it.
     pub fn state(&self) -> ProcessState {
-        match (self.shut.get(), self.closing.get()) {
+        match (self.stopping.get(), self.draining.get()) {
             (true, _) => ProcessState::Stopping,
             (false, true) => ProcessState::Draining,
             (false, false) => ProcessState::Serving,
         }
     }
 
-    /// For one connection, from its start: resolves when it ends for the stop, at rest. One that has begun a request is
-    /// answered, and its answer ends it. One that comes later is not ended so: workers still have calls to make of the
-    /// flows that are being finished.
-    async fn until_ended(&self, guarded: &Guarded) {
-        if !self.shut.get() {
-            self.idle.notified().await;
-            if guarded.is_at_rest() {
+    /// Resolves when the connection has to be closed because the process stops, which happens only while it is idle. A request
+    /// in progress is answered, and its response closes the connection. Connections accepted after the stop has begun are not
+    /// closed here: workers still send updates for the flows that are being finished.
+    async fn wait_for_stop_while_idle(&self, guarded: &GuardedStream) {
+        if !self.stopping.get() {
+            self.stop_notify.notified().await;
+            if guarded.is_idle_and_empty() {
                 return;
             }
         }
@@ -182,37 +189,37 @@
 pub struct HttpListener {
     pub flows: Flows,
     pub targets: HttpTargets,
-    pub words: Rc<Vocabulary>,
+    pub names: Rc<WorkloadNames>,
     pub routes: Vec<Route>,
-    pub phase: Rc<Phase>,
+    pub lifecycle: Rc<ListenerLifecycle>,
     pub slots: Rc<ConnectionSlots>,
-    /// The memory that bodies in passage share.
+    /// Memory shared by all bodies that are being streamed.
     pub budgets: Budgets,
-    /// The other processes of this dispatcher, where there may be some.
+    /// The other processes of this dispatcher; `None` if there can't be any.
     pub siblings: Option<Rc<Siblings>>,
-    /// Begins the ids of jobs that came without one; how many have.
-    pub prefix: String,
-    pub made: Cell<u64>,
+    /// Prefix of the ids generated for jobs that came without one, and how many were generated.
+    pub id_prefix: String,
+    pub generated_ids: Cell<u64>,
 }
 
-/// Hands the answer to the task that holds the connection.
-struct Waiting(oneshot::Sender<Answer>);
+/// Passes the answer to the task that serves the connection.
+struct ResponseChannel(oneshot::Sender<Answer>);
 
-impl Listener for Waiting {
+impl Listener for ResponseChannel {
     fn answer(self: Box<Self>, answer: Answer) {
-        // A client that has gone in this very moment has been told of by its connection.
+        // If the receiver is gone, the client has disconnected, and its connection has already reported that.
         let _ = self.0.send(answer);
     }
 }
 
-/// The connection's claim on a flow. When the client goes, the task ends where it waits, and this tells.
-struct Claim {
+/// Reports to the core that the client has left if the waiting task is dropped before the flow is answered.
+struct FlowGuard {
     flows: Flows,
     id: FlowId,
     answered: bool,
 }
 
-impl Drop for Claim {
+impl Drop for FlowGuard {
     fn drop(&mut self) {
         if !self.answered {
             self.flows.client_left(self.id);
@@ -221,54 +228,54 @@
 }
 
 impl HttpListener {
-    /// Accepts and serves connections, until the phase has come to its end.
+    /// Accepts and serves connections until the listening socket is to be closed.
     pub async fn serve(self: Rc<Self>, socket: TcpListener) {
         let this = self.clone();
         let service = move |request: Request| {
             let this = this.clone();
             async move { Ok::<_, Infallible>(this.handle(request).await) }
         };
-        let factory = HttpService::<Guarded, _, _>::build()
-            .keep_alive(KeepAlive::Timeout(KEEP_ALIVE))
-            // Both are the slots' and the guard's.
+        let factory = HttpService::<GuardedStream, _, _>::build()
+            .keep_alive(KeepAlive::Timeout(KEEP_ALIVE_TIMEOUT))
+            // Both time-outs are enforced by the connection slots and the guarded stream.
             .client_request_timeout(Duration::ZERO)
             .client_disconnect_timeout(Duration::ZERO)
-            // What can't be read behind a request in hand must not end that one: the guard sees clients go.
+            // Unreadable data after a request must not abort that request; the guarded stream detects disconnects.
             .h1_allow_half_closed(true)
-            .on_connect_ext(|io: &Guarded, data| drop(data.insert(io.slot.clone())))
+            .on_connect_ext(|io: &GuardedStream, data| drop(data.insert(io.slot.clone())))
             .h1(actix_service::fn_service(service).into_factory());
         let Ok(service) = factory.new_service(()).await else { return };
         let service = Rc::new(service);
-        actix_rt::spawn(self.slots.clone().watch());
+        actix_rt::spawn(self.slots.clone().enforce_timeouts());
         let arrivals = &self.slots.arrivals;
         let mut retry = AcceptRetry::new("http");
         loop {
-            // The end comes first: there may be somebody in the queue for ever.
-            if self.phase.over.notified().now_or_never().is_some() {
+            // Checked first: the accept queue may never become empty.
+            if self.lifecycle.close_notify.notified().now_or_never().is_some() {
                 break;
             }
-            if self.phase.leaves_queue.get() {
-                // Nothing is lost with the one that is dropped: a notice that nobody waits for is kept.
+            if self.lifecycle.accepting_paused.get() {
+                // Dropping the losing branch loses nothing: `Notify` keeps a permit that nobody waited for.
                 tokio::select! {
-                    () = self.phase.over.notified() => break,
-                    () = self.phase.queue_changed.notified() => continue,
+                    () = self.lifecycle.close_notify.notified() => break,
+                    () = self.lifecycle.accepting_changed.notified() => continue,
                 }
             }
-            // One that need not be waited for stood in the queue.
-            let looked = Instant::now();
-            let at_once = socket.accept().now_or_never();
-            let queued = at_once.is_some();
-            let accepted = match at_once {
+            // A connection that is accepted without waiting was in the queue.
+            let checked_at = Instant::now();
+            let immediate = socket.accept().now_or_never();
+            let queued = immediate.is_some();
+            let accepted = match immediate {
                 Some(accepted) => accepted,
                 None => {
-                    arrivals.queue_is_empty(looked);
-                    // Both can be dropped here: a connection that is not accepted stands in the queue.
+                    arrivals.queue_is_empty(checked_at);
+                    // Cancel-safe: a connection that is not accepted stays in the queue.
                     let accepted = tokio::select! {
                         accepted = socket.accept() => accepted,
-                        () = self.phase.over.notified() => break,
-                        () = self.phase.queue_changed.notified() => continue,
+                        () = self.lifecycle.close_notify.notified() => break,
+                        () = self.lifecycle.accepting_changed.notified() => continue,
                     };
-                    // It was empty until this one came: those behind it came no sooner.
+                    // The queue was empty until this connection came, so connections behind it came no earlier.
                     arrivals.queue_is_empty(arrivals.earliest(Instant::now()));
                     accepted
                 }
@@ -283,13 +290,13 @@
                 }
                 Err(e) => retry.failed(&e).await,
             }
-            // One that gave way ends before the next comes: guards the bound on descriptors.
+            // Lets an evicted connection close before the next accept, which keeps to the limit on file descriptors.
             tokio::task::yield_now().await;
         }
         stops::at("stop.over");
-        // A socket that closes resets what stands in its queue. The kernel is asked, since the event loop may not have
-        // heard; nothing is awaited until it is closed.
-        if self.phase.shared {
+        // Closing the socket resets the connections in its queue, so they are accepted first. The kernel is asked directly, since
+        // the event loop may not know of them yet, and nothing is awaited before the socket is closed.
+        if self.lifecycle.socket_shared {
             return;
         }
         for (stream, peer) in queued(&socket) {
@@ -298,63 +305,69 @@
         }
     }
 
-    /// Serves one connection. What came with it came after `since`.
+    /// Serves one connection. Bytes that are already in its socket arrived after `since`.
     fn admit<S>(&self, service: Rc<S>, stream: TcpStream, peer: SocketAddr, since: Instant)
     where
-        S: Service<(Guarded, Option<SocketAddr>)> + 'static,
+        S: Service<(GuardedStream, Option<SocketAddr>)> + 'static,
     {
         let _ = stream.set_nodelay(true);
-        let Some(taken) = self.slots.take() else {
-            // All slots are in work. Nothing was taken, so nothing is lost.
-            write_now(&stream, NO_SLOT);
+        let Some(taken) = self.slots.acquire() else {
+            // Every slot is processing a request. Nothing was read from this connection, so the client can safely retry.
+            write_without_waiting(&stream, NO_SLOT_RESPONSE);
             return;
         };
-        taken.slot.has_unread(since);
-        let screened = self.routes.iter().any(|r| r.passing.is_some());
-        let (phase, flows) = (self.phase.clone(), self.flows.clone());
+        taken.slot.mark_unread_since(since);
+        let proxied = self.routes.iter().any(|r| r.passing.is_some());
+        let (lifecycle, flows) = (self.lifecycle.clone(), self.flows.clone());
         actix_rt::spawn(async move {
-            let guarded = Guarded::new(stream, taken.slot.clone(), screened);
+            let guarded = GuardedStream::new(stream, taken.slot.clone(), proxied);
             let mut served = pin!(service.call((guarded.clone(), Some(peer))));
-            let cut = loop {
-                // In this order: a request that is read in the moment of its client's end must not be taken. Whoever is
-                // dropped behind the loop holds nothing but a flow's claim, which tells the core; what is dropped in it
-                // looks at the connection's state anew.
-                let (cut, facts) = tokio::select! {
+            let cause = loop {
+                // Order matters: a request that is read just as its client disconnects must not be accepted. Futures dropped
+                // after the loop hold only a flow guard, which reports to the core; those dropped inside it check the
+                // connection's state again in the next round.
+                let (cause, facts) = tokio::select! {
                     biased;
-                    cut = taken.slot.until_cut() => (Some(cut), taken.slot.cut_facts(cut)),
-                    () = guarded.watch() => (None, taken.slot.close_facts(CloseReason::ClientClosed)),
-                    () = phase.until_ended(&guarded) => {
+                    cause = taken.slot.wait_for_abort() => (Some(cause), taken.slot.abort_facts(cause)),
+                    () = guarded.watch_for_close() => (None, taken.slot.close_facts(CloseReason::ClientClosed)),
+                    () = lifecycle.wait_for_stop_while_idle(&guarded) => {
                         (None, taken.slot.close_facts(CloseReason::Stopping))
                     }
-                    // Errors here are those of the peer: it went, or what it sent was no HTTP.
+                    // Errors here are the peer's: it disconnected, or sent invalid HTTP.
                     _ = served.as_mut() => {
-                        if taken.slot.stage() == Stage::InWork && !taken.slot.has_left() {
+                        if taken.slot.stage() == Stage::Processing && !taken.slot.has_peer_closed() {
                             flows.closed_with_answer_pending();
                         }
                         break None;
                     }
                 };
                 if flows.close_permit(facts).is_some() {
-                    break cut;
+                    break cause;
                 }
-                taken.slot.keep();
+                taken.slot.clear_abort();
             };
             let ended = async {
-                match cut {
-                    Some(Cut::Away) => return,
-                    Some(Cut::Malformed) if !taken.slot.was_answered() => guarded.say(MALFORMED),
-                    Some(Cut::Late) if !taken.slot.was_answered() => guarded.say(LATE),
-                    Some(Cut::TooLong) if !taken.slot.was_answered() => guarded.say(TOO_LONG),
-                    None if phase.closing.get() => return guarded.close().await,
+                match cause {
+                    Some(AbortCause::Discard) => return,
+                    Some(AbortCause::Malformed) if !taken.slot.has_been_answered() => {
+                        guarded.write_final(BAD_REQUEST_RESPONSE)
+                    }
+                    Some(AbortCause::Timeout) if !taken.slot.has_been_answered() => {
+                        guarded.write_final(TIMEOUT_RESPONSE)
+                    }
+                    Some(AbortCause::HeadTooLarge) if !taken.slot.has_been_answered() => {
+                        guarded.write_final(HEAD_TOO_LARGE_RESPONSE)
+                    }
+                    None if lifecycle.draining.get() => return guarded.close().await,
                     Some(_) | None => {}
                 }
-                guarded.end().await;
+                guarded.drain_and_close().await;
             };
-            // Guards the bound on descriptors: one whose last words are said is not lingered on where its slot is needed.
-            // Dropped, the connection closes; nothing is owed on it.
+            // Keeps to the limit on file descriptors: a connection that has had its last response does not linger when its slot
+            // is needed. Dropping it closes it; no response is pending.
             tokio::select! {
                 () = ended => {}
-                () = taken.slot.until_away() => {}
+                () = taken.slot.wait_for_discard() => {}
             }
         });
     }
@@ -362,10 +375,10 @@
     async fn handle(&self, request: Request) -> Response<BoxBody> {
         let slot = request.conn_data::<Rc<ConnectionSlot>>().cloned();
         let mut response = self.respond(request, slot.clone()).await;
-        if let Some(slot) = slot.filter(|_| !passes(&response)) {
-            slot.set(Stage::Idle);
+        if let Some(slot) = slot.filter(|_| !streams_body(&response)) {
+            slot.set_stage(Stage::Idle);
         }
-        if self.phase.closing.get() {
+        if self.lifecycle.draining.get() {
             response.head_mut().set_connection_type(ConnectionType::Close);
         }
         response
@@ -377,59 +390,61 @@
                 return self.pass(request, route, passing, slot).await;
             }
         }
-        self.respond_whole(request, slot.as_deref()).await.map_into_boxed_body()
+        self.respond_buffered(request, slot.as_deref()).await.map_into_boxed_body()
     }
 
-    async fn respond_whole(&self, mut request: Request, slot: Option<&ConnectionSlot>) -> Response<Bytes> {
+    async fn respond_buffered(&self, mut request: Request, slot: Option<&ConnectionSlot>) -> Response<Bytes> {
         let (get, post) = (request.method() == Method::GET, request.method() == Method::POST);
         let path = request.path().to_owned();
         match path.as_str() {
-            "/up" if get && self.phase.is_up() => plain(StatusCode::OK, "up\n"),
-            "/up" if get && self.phase.closing.get() => plain(StatusCode::SERVICE_UNAVAILABLE, "stopping\n"),
-            "/up" if get => plain(StatusCode::SERVICE_UNAVAILABLE, "waiting for the worker list\n"),
-            "/_jobs/news" if post => match body(&mut request, slot).await {
-                Err(status) => plain(status, "no body could be read\n"),
+            "/up" if get && self.lifecycle.is_ready() => text_response(StatusCode::OK, "up\n"),
+            "/up" if get && self.lifecycle.draining.get() => {
+                text_response(StatusCode::SERVICE_UNAVAILABLE, "stopping\n")
+            }
+            "/up" if get => text_response(StatusCode::SERVICE_UNAVAILABLE, "waiting for the worker list\n"),
+            "/_jobs/news" if post => match read_body(&mut request, slot).await {
+                Err(status) => text_response(status, "no body could be read\n"),
                 Ok(body) => match serde_json::from_slice::<JobUpdate>(&body) {
-                    Err(_) => plain(StatusCode::BAD_REQUEST, "not a worker's call\n"),
+                    Err(_) => text_response(StatusCode::BAD_REQUEST, "not a worker's call\n"),
                     Ok(update) => self.job_update(update, slot).await,
                 },
             },
             "/up" | "/_jobs/news" => {
-                unwanted(request, slot, StatusCode::METHOD_NOT_ALLOWED, "method not allowed\n").await
+                reject(request, slot, StatusCode::METHOD_NOT_ALLOWED, "method not allowed\n").await
             }
             path => match Route::find(&self.routes, path) {
-                None => unwanted(request, slot, StatusCode::NOT_FOUND, "no such path\n").await,
+                None => reject(request, slot, StatusCode::NOT_FOUND, "no such path\n").await,
                 Some(_) if !post => {
-                    unwanted(request, slot, StatusCode::METHOD_NOT_ALLOWED, "jobs come by POST\n").await
+                    reject(request, slot, StatusCode::METHOD_NOT_ALLOWED, "jobs come by POST\n").await
                 }
                 Some(route) => self.job(request, route, slot).await,
             },
         }
     }
 
-    /// A worker's job status update: of a job here, or of one that a sibling process has. It is answered well only where one of
-    /// them has taken it or none has the job; else the worker tells it again.
+    /// Handles a worker's job status update, for a job of this process or of a sibling. Answered with 200 only if one of them
+    /// has accepted it or none has the job; otherwise with 503, so that the worker sends it again.
     async fn job_update(&self, update: JobUpdate, slot: Option<&ConnectionSlot>) -> Response<Bytes> {
         let delivery = if self.targets.has_attempt(&update) {
             self.targets.apply_update(update);
-            Delivery::Taken
+            Delivery::Accepted
         } else {
             let delivery = match &self.siblings {
-                Some(siblings) => siblings.deliver(&update).await,
-                None if self.phase.may_have_sibling() => Delivery::NotNow,
+                Some(siblings) => siblings.forward_update(&update).await,
+                None if self.lifecycle.may_have_sibling() => Delivery::Unavailable,
                 None => Delivery::Unknown,
             };
             self.targets.count_foreign_update(&update, delivery);
             delivery
         };
         match delivery {
-            Delivery::Taken => {
-                slot.into_iter().for_each(ConnectionSlot::is_workers);
-                plain(StatusCode::OK, "")
+            Delivery::Accepted => {
+                slot.into_iter().for_each(ConnectionSlot::mark_as_worker);
+                text_response(StatusCode::OK, "")
             }
-            Delivery::Unknown => plain(StatusCode::OK, ""),
-            Delivery::NotNow => {
-                plain(StatusCode::SERVICE_UNAVAILABLE, "tell it again: its process can't be asked\n")
+            Delivery::Unknown => text_response(StatusCode::OK, ""),
+            Delivery::Unavailable => {
+                text_response(StatusCode::SERVICE_UNAVAILABLE, "tell it again: its process can't be asked\n")
             }
         }
     }
@@ -442,35 +457,37 @@
     ) -> Response<Bytes> {
         let (mut job, budget) = match self.read_head(&request, route) {
             Ok(read) => read,
-            Err(reason) => return unwanted(request, slot, StatusCode::BAD_REQUEST, reason).await,
+            Err(reason) => return reject(request, slot, StatusCode::BAD_REQUEST, reason).await,
         };
         let arrived = slot.map_or_else(Instant::now, ConnectionSlot::arrived);
-        job.body = match body(&mut request, slot).await {
+        job.body = match read_body(&mut request, slot).await {
             Ok(body) => Body::Whole(body),
-            Err(status) => return plain(status, "no body could be read\n"),
+            Err(status) => return text_response(status, "no body could be read\n"),
+        };
+        let Ok(permit) = self.start_permit(&job.reference, slot) else {
+            return unavailable(BUSY_RETRY_AFTER);
         };
-        let Ok(permit) = self.start_permit(&job.reference, slot) else { return refused(BUSY_RETRY) };
         let budget = budget.saturating_sub(arrived.elapsed());
         match self.take(job, budget, permit).await {
-            Err(OpenError::Full) => refused(BUSY_RETRY),
-            Err(OpenError::Duplicate) => plain(StatusCode::CONFLICT, "this id is in work\n"),
+            Err(OpenError::Full) => unavailable(BUSY_RETRY_AFTER),
+            Err(OpenError::Duplicate) => text_response(StatusCode::CONFLICT, "this id is in work\n"),
             Ok(Some(Answer::Served(result))) => respond(StatusCode::OK, result, None),
-            Ok(Some(Answer::Refused(after))) => refused(after),
-            Ok(_) => plain(StatusCode::GATEWAY_TIMEOUT, "the job was not done\n"),
+            Ok(Some(Answer::Refused(after))) => unavailable(after),
+            Ok(_) => text_response(StatusCode::GATEWAY_TIMEOUT, "the job was not done\n"),
         }
     }
 
-    /// The permit to take a request that is whole.
+    /// The permit to accept a request that was read completely.
     pub(super) fn start_permit(
         &self,
         reference: &str,
         slot: Option<&ConnectionSlot>,
     ) -> Result<StartPermit, StartRefusal> {
-        let facts = StartFacts { process: self.phase.state(), client_gone: gone(slot) };
+        let facts = StartFacts { process: self.lifecycle.state(), client_gone: client_disconnected(slot) };
         self.flows.start_permit(reference, facts)
     }
 
-    /// Opens a flow and waits for its answer. When the client goes, the flow is left.
+    /// Opens a flow and waits for its answer. If this future is dropped because the client has gone, the core is told.
     pub(super) async fn take(
         &self,
         job: Job,
@@ -478,10 +495,10 @@
         permit: StartPermit,
     ) -> Result<Option<Answer>, OpenError> {
         let (sender, answer) = oneshot::channel();
-        let id = self.flows.open(job, budget, permit, |_| Box::new(Waiting(sender)))?;
-        let mut claim = Claim { flows: self.flows.clone(), id, answered: false };
+        let id = self.flows.open(job, budget, permit, |_| Box::new(ResponseChannel(sender)))?;
+        let mut guard = FlowGuard { flows: self.flows.clone(), id, answered: false };
         let answer = answer.await;
-        claim.answered = answer.is_ok();
+        guard.answered = answer.is_ok();
         Ok(answer.ok())
     }
 
@@ -491,41 +508,41 @@
         route: &Route,
     ) -> Result<(Job, Duration), &'static str> {
         let headers = request.headers();
-        let id = match text(headers, "x-call-id")? {
+        let id = match header_text(headers, "x-call-id")? {
             Some(id) => id.to_owned(),
-            // An operator's route is open to clients that know nothing of the platform.
+            // Routes with a class set by the operator also serve clients that don't send the platform's headers.
             None if route.class.is_some() => {
-                self.made.set(self.made.get() + 1);
-                format!("{}-h{}", self.prefix, self.made.get())
+                self.generated_ids.set(self.generated_ids.get() + 1);
+                format!("{}-h{}", self.id_prefix, self.generated_ids.get())
             }
             None => return Err("X-Call-Id is missing\n"),
         };
         let plain_id = id.bytes().all(|b| b.is_ascii_alphanumeric() || b"-_.:~".contains(&b));
-        if id.is_empty() || id.len() > LONGEST_ID || !plain_id {
+        if id.is_empty() || id.len() > MAX_ID_LENGTH || !plain_id {
             return Err("X-Call-Id is not a plain word of 1 to 128 characters\n");
         }
-        let class = match (route.class, text(headers, "x-call-class")?) {
+        let class = match (route.class, header_text(headers, "x-call-class")?) {
             (Some(class), _) => class,
-            (None, Some(name)) => self.words.class(name).ok_or("X-Call-Class is no class\n")?,
+            (None, Some(name)) => self.names.class(name).ok_or("X-Call-Class is no class\n")?,
             (None, None) => return Err("X-Call-Class is missing\n"),
         };
-        let tenant = match text(headers, "x-caller")? {
-            Some(name) => Some(self.words.tenant(name).ok_or("X-Caller is no tenant\n")?),
+        let tenant = match header_text(headers, "x-caller")? {
+            Some(name) => Some(self.names.tenant(name).ok_or("X-Caller is no tenant\n")?),
             None => None,
         };
-        let longest = route.budget.unwrap_or(self.words.classes[class].1);
-        let budget = match text(headers, "x-budget-ms")? {
+        let longest = route.budget.unwrap_or(self.names.classes[class].1);
+        let budget = match header_text(headers, "x-budget-ms")? {
             Some(ms) => ms.trim().parse().map_err(|_| "X-Budget-Ms is not a whole number\n")?,
             None => longest.as_millis() as u64,
         };
-        let info = text(headers, "x-call-info")?.unwrap_or_default();
+        let info = header_text(headers, "x-call-info")?.unwrap_or_default();
         let slots = info.split(',').filter_map(|pair| pair.trim().split_once('='));
         let slots = slots.filter(|(name, _)| *name == "width").find_map(|(_, v)| v.parse::<f64>().ok());
         let slots = slots.filter(|s| s.is_finite() && *s > 0.0).unwrap_or(1.0);
-        // A guess that can't be read is none: it must not cost the job its place.
-        let work = text(headers, "x-call-cost")?.and_then(|us| us.trim().parse::<f64>().ok());
-        let work = work.filter(|us| us.is_finite() && *us >= 1.0).map(|us| us.min(LONGEST_WORK_US));
-        let owned = |name| Ok::<_, &'static str>(text(headers, name)?.map(str::to_owned));
+        // An unreadable estimate is ignored: it must not make the job fail.
+        let work = header_text(headers, "x-call-cost")?.and_then(|us| us.trim().parse::<f64>().ok());
+        let work = work.filter(|us| us.is_finite() && *us >= 1.0).map(|us| us.min(MAX_WORK_US));
+        let owned = |name| Ok::<_, &'static str>(header_text(headers, name)?.map(str::to_owned));
         let job = Job {
             reference: id,
             class,
@@ -542,40 +559,41 @@
     }
 }
 
-/// Whether the client went while its request was read: nothing of it is sent on, and nobody reads an answer.
-pub(super) fn gone(slot: Option<&ConnectionSlot>) -> bool {
+/// Whether the client disconnected while its request was read. If so, the connection is aborted: the request is not
+/// forwarded, and nobody would read a response.
+pub(super) fn client_disconnected(slot: Option<&ConnectionSlot>) -> bool {
     slot.is_some_and(|slot| {
-        let gone = slot.has_left();
+        let gone = slot.has_peer_closed();
         if gone {
-            slot.cut(Cut::Away);
+            slot.abort(AbortCause::Discard);
         }
         gone
     })
 }
 
-/// Whether the answer's body is still to come: its end frees the slot then.
-fn passes(response: &Response<BoxBody>) -> bool {
-    response.extensions().contains::<Passes>()
+/// Whether the response body is streamed; then the end of the body makes the slot idle.
+fn streams_body(response: &Response<BoxBody>) -> bool {
+    response.extensions().contains::<StreamedBody>()
 }
 
-/// Marks an answer whose body is still to come.
-pub(super) struct Passes;
+/// Marks a response whose body is streamed.
+pub(super) struct StreamedBody;
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, &'static str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, &'static str> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     value.to_str().map(Some).map_err(|_| "a header is not plain text\n")
 }
 
-/// Turns a request away by its head alone. Its body is let come first, within bounds: the server ends a connection
-/// whose body was not read, and what its client sent behind would be lost unanswered.
-async fn unwanted(
+/// Rejects a request by its head alone. Its body is read first, within bounds: the server closes a connection whose body was
+/// not read, and requests that the client had sent after it would be lost unanswered.
+async fn reject(
     mut request: Request,
     slot: Option<&ConnectionSlot>,
     status: StatusCode,
-    words: &'static str,
+    message: &'static str,
 ) -> Response<Bytes> {
-    if !is_long(&request) {
-        slot.into_iter().for_each(|s| s.set(Stage::Body));
+    if !declares_too_long(&request) {
+        slot.into_iter().for_each(|s| s.set_stage(Stage::Body));
         let mut payload = request.take_payload();
         let read = async {
             let mut count = 0;
@@ -586,26 +604,29 @@
                 }
             }
         };
-        // Late or broken, the connection ends behind the answer.
-        let _ = tokio::time::timeout(UNWANTED_WITHIN, read).await;
-        slot.into_iter().for_each(|s| s.set(Stage::InWork));
+        // If the body is late or broken, the connection is closed after the response.
+        let _ = tokio::time::timeout(REJECTED_BODY_TIMEOUT, read).await;
+        slot.into_iter().for_each(|s| s.set_stage(Stage::Processing));
     }
-    plain(status, words)
+    text_response(status, message)
 }
 
-/// Whether the body is said to be too long.
-fn is_long(request: &Request) -> bool {
+/// Whether `Content-Length` exceeds the limit.
+fn declares_too_long(request: &Request) -> bool {
     let length =
         request.headers().get(header::CONTENT_LENGTH).and_then(|l| l.to_str().ok()?.trim().parse().ok());
     length.is_some_and(|l: u64| l > MAX_BODY as u64)
 }
 
-/// Reads the body; from here on the request is in hand. One that is said to be too long is not read at all.
-pub(super) async fn body(request: &mut Request, slot: Option<&ConnectionSlot>) -> Result<Bytes, StatusCode> {
-    if is_long(request) {
+/// Reads the whole body and marks the request as being processed. A body that is declared too long is not read at all.
+pub(super) async fn read_body(
+    request: &mut Request,
+    slot: Option<&ConnectionSlot>,
+) -> Result<Bytes, StatusCode> {
+    if declares_too_long(request) {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
-    slot.into_iter().for_each(|s| s.set(Stage::Body));
+    slot.into_iter().for_each(|s| s.set_stage(Stage::Body));
     let mut payload = request.take_payload();
     let read = async {
         let mut body = BytesMut::new();
@@ -618,17 +639,18 @@
         }
         Ok(body.freeze())
     };
-    let by = slot.map_or_else(|| std::time::Instant::now() + WHOLE_WITHIN, ConnectionSlot::whole_by);
+    let by =
+        slot.map_or_else(|| std::time::Instant::now() + REQUEST_TIMEOUT, ConnectionSlot::receive_deadline);
     let read = tokio::time::timeout_at(by.into(), read).await;
     let body = read.unwrap_or(Err(StatusCode::REQUEST_TIMEOUT))?;
-    slot.into_iter().for_each(|s| s.set(Stage::InWork));
+    slot.into_iter().for_each(|s| s.set_stage(Stage::Processing));
     Ok(body)
 }
 
 fn respond(status: StatusCode, body: Bytes, retry_after: Option<Duration>) -> Response<Bytes> {
     let mut response = Response::with_body(status, body);
     if let Some(after) = retry_after {
-        // Seconds, whole or decimal.
+        // In seconds, which may be whole or decimal.
         let seconds = format!("{:.3}", after.as_secs_f64());
         if let Ok(value) = seconds.parse() {
             response.headers_mut().insert(header::RETRY_AFTER, value);
@@ -637,10 +659,10 @@
     response
 }
 
-pub(super) fn refused(after: Duration) -> Response<Bytes> {
+pub(super) fn unavailable(after: Duration) -> Response<Bytes> {
     respond(StatusCode::SERVICE_UNAVAILABLE, Bytes::from_static(b"not now\n"), Some(after))
 }
 
-pub(super) fn plain(status: StatusCode, words: &'static str) -> Response<Bytes> {
-    respond(status, Bytes::from_static(words.as_bytes()), None)
+pub(super) fn text_response(status: StatusCode, message: &'static str) -> Response<Bytes> {
+    respond(status, Bytes::from_static(message.as_bytes()), None)
 }
--- a/dispatcher/src/listeners/pass.rs
+++ b/dispatcher/src/listeners/pass.rs
@@ -1,7 +1,7 @@
-//! Requests that pass to plain HTTP workers as they are: any method and path, bodies as they come.
+//! Proxying of requests to plain HTTP workers: any method and path, with bodies forwarded unchanged.
 
 use super::connection_slots::{ConnectionSlot, Stage};
-use super::http::{plain, refused, HttpListener, Passes, BUSY_RETRY};
+use super::http::{text_response, unavailable, HttpListener, StreamedBody, BUSY_RETRY_AFTER};
 use crate::body::{Body, Ended, Reader, Upload, Writer};
 use crate::config::{PassingRoute, Route};
 use crate::flow::{Answer, OpenError};
@@ -19,22 +19,22 @@
 use std::task::{Context, Poll};
 use std::time::Instant;
 
-/// The body of an answer that passes. One that breaks off ends the connection: the client can tell.
-struct PassingBody {
+/// Body of a proxied response. If it breaks off, the connection is closed, so that the client can tell it is incomplete.
+struct ProxiedBody {
     reader: Reader,
     size: BodySize,
     broken: bool,
     slot: Option<Rc<ConnectionSlot>>,
 }
 
-impl Drop for PassingBody {
+impl Drop for ProxiedBody {
     fn drop(&mut self) {
-        // The answer has gone out, or never will.
-        self.slot.iter().for_each(|slot| slot.set(Stage::Idle));
+        // The response is complete, or can't be completed any more.
+        self.slot.iter().for_each(|slot| slot.set_stage(Stage::Idle));
     }
 }
 
-impl MessageBody for PassingBody {
+impl MessageBody for ProxiedBody {
     type Error = io::Error;
 
     fn size(&self) -> BodySize {
@@ -44,7 +44,8 @@
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, io::Error>>> {
         let next = self.reader.poll_next(cx);
         if next == Poll::Ready(Err(Ended::Broken)) && !std::mem::replace(&mut self.broken, true) {
-            // The server writes what it has when it is told to wait, and throws it away at an error.
+            // On `Pending` the server flushes its buffer; on an error it discards it. So the first poll after the break
+            // returns `Pending`, and the error is reported with the next.
             cx.waker().wake_by_ref();
             return Poll::Pending;
         }
@@ -57,7 +58,7 @@
 }
 
 impl HttpListener {
-    /// Hands a request on and passes its answer.
+    /// Forwards a request to a worker and streams the worker's response back.
     pub(super) async fn pass(
         &self,
         mut request: Request,
@@ -65,13 +66,13 @@
         passing: &PassingRoute,
         slot: Option<Rc<ConnectionSlot>>,
     ) -> Response<BoxBody> {
-        let text = |status, words| plain(status, words).map_into_boxed_body();
+        let text = |status, words| text_response(status, words).map_into_boxed_body();
         let (mut job, budget) = match self.read_head(&request, route) {
             Ok(read) => read,
             Err(reason) => return text(StatusCode::BAD_REQUEST, reason),
         };
         let arrived = slot.as_deref().map_or_else(Instant::now, ConnectionSlot::arrived);
-        let Some(head) = asked_head(&request) else {
+        let Some(head) = request_head(&request) else {
             return text(StatusCode::BAD_REQUEST, "the request can't be passed on\n");
         };
         let field = |name| request.headers().get(name).and_then(|v| v.to_str().ok());
@@ -80,24 +81,26 @@
         if length.is_some_and(|l| l > passing.max_body) {
             return text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n");
         }
-        if self.phase.is_shut() {
-            return refused(BUSY_RETRY).map_into_boxed_body();
+        if self.lifecycle.is_stopping() {
+            return unavailable(BUSY_RETRY_AFTER).map_into_boxed_body();
         }
-        let Some(answer) = self.budgets.stream() else { return refused(BUSY_RETRY).map_into_boxed_body() };
+        let Some(answer) = self.budgets.stream() else {
+            return unavailable(BUSY_RETRY_AFTER).map_into_boxed_body();
+        };
         let too_large = Rc::new(Cell::new(false));
         if has_body && passing.stream {
             let Some((writer, reader)) = self.budgets.stream() else {
-                return refused(BUSY_RETRY).map_into_boxed_body();
+                return unavailable(BUSY_RETRY_AFTER).map_into_boxed_body();
             };
             if let Some(slot) = &slot {
-                slot.set(Stage::Streaming);
+                slot.set_stage(Stage::Streaming);
             }
             job.body = Body::Stream(Upload::new(reader, passing.replay));
             let pump =
-                Pump { writer, slot: slot.clone(), left: passing.max_body, too_large: too_large.clone() };
+                BodyPump { writer, slot: slot.clone(), left: passing.max_body, too_large: too_large.clone() };
             actix_rt::spawn(pump.run(request.take_payload()));
         } else {
-            match super::http::body(&mut request, slot.as_deref()).await {
+            match super::http::read_body(&mut request, slot.as_deref()).await {
                 Ok(body) if body.len() as u64 > passing.max_body => {
                     return text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n")
                 }
@@ -105,9 +108,9 @@
                 Err(status) => return text(status, "no body could be read\n"),
             }
         }
-        // Its body may have come when no more is taken: nobody would wait for its answer.
+        // While the body was read the process may have begun to stop, or the client may have left.
         let Ok(permit) = self.start_permit(&job.reference, slot.as_deref()) else {
-            return refused(BUSY_RETRY).map_into_boxed_body();
+            return unavailable(BUSY_RETRY_AFTER).map_into_boxed_body();
         };
         let method = head.method.clone();
         let client = request.peer_addr().map(|p| p.ip());
@@ -116,16 +119,16 @@
             Some(Rc::new(RequestContext { head, client, length, pace: passing.pace, answer }));
         let budget = budget.saturating_sub(arrived.elapsed());
         match self.take(job, budget, permit).await {
-            Err(OpenError::Full) => refused(BUSY_RETRY).map_into_boxed_body(),
+            Err(OpenError::Full) => unavailable(BUSY_RETRY_AFTER).map_into_boxed_body(),
             Err(OpenError::Duplicate) => text(StatusCode::CONFLICT, "this id is in work\n"),
             Ok(Some(Answer::Passing(passed))) => match passed.head.downcast::<ResponseHead>() {
-                Ok(head) => passed_on(*head, passed.body, &method, slot),
+                Ok(head) => proxied_response(*head, passed.body, &method, slot),
                 Err(_) => text(StatusCode::BAD_GATEWAY, "the answer can't be passed on\n"),
             },
             Ok(Some(Answer::Served(result))) => {
                 Response::with_body(StatusCode::OK, result).map_into_boxed_body()
             }
-            Ok(Some(Answer::Refused(after))) => refused(after).map_into_boxed_body(),
+            Ok(Some(Answer::Refused(after))) => unavailable(after).map_into_boxed_body(),
             Ok(Some(Answer::Failed) | None) if too_large.get() => {
                 text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n")
             }
@@ -134,8 +137,8 @@
     }
 }
 
-/// The request as the upstream is to see it, before what the proxy changes.
-fn asked_head(request: &Request) -> Option<RequestHead> {
+/// The head of the request to forward, before the proxy changes any headers.
+fn request_head(request: &Request) -> Option<RequestHead> {
     let mut headers = HeaderMap::new();
     for (name, value) in request.headers() {
         let name = HeaderName::from_bytes(name.as_str().as_bytes()).ok()?;
@@ -146,7 +149,7 @@
     Some(RequestHead { method, target, headers })
 }
 
-fn passed_on(
+fn proxied_response(
     head: ResponseHead,
     reader: Reader,
     method: &Method,
@@ -162,7 +165,7 @@
         (Framing::Chunked | Framing::UntilClose, _) => BodySize::Stream,
     };
     let status = StatusCode::from_u16(status.as_u16()).unwrap_or(StatusCode::BAD_GATEWAY);
-    let mut response = Response::with_body(status, PassingBody { reader, size, broken: false, slot });
+    let mut response = Response::with_body(status, ProxiedBody { reader, size, broken: false, slot });
     for (name, value) in &headers {
         let name = actix_header::HeaderName::from_bytes(name.as_str().as_bytes());
         let value = actix_header::HeaderValue::from_bytes(value.as_bytes());
@@ -170,20 +173,20 @@
             response.headers_mut().append(name, value);
         }
     }
-    response.extensions_mut().insert(Passes);
+    response.extensions_mut().insert(StreamedBody);
     response.map_into_boxed_body()
 }
 
-/// Brings a client's body into its stream, as there is room.
-struct Pump {
+/// Copies a client's body into its stream, as fast as the stream has room.
+struct BodyPump {
     writer: Writer,
     slot: Option<Rc<ConnectionSlot>>,
     left: u64,
     too_large: Rc<Cell<bool>>,
 }
 
-impl Pump {
-    /// Ends with the body, or when nobody reads it any more. Dropped before, it breaks the stream off.
+impl BodyPump {
+    /// Returns at the end of the body, or when nobody reads the stream any more. Dropped earlier, it marks the stream as broken.
     async fn run(mut self, mut payload: actix_http::Payload) {
         let ended = loop {
             if self.writer.room().await.is_none() {
@@ -205,7 +208,7 @@
         self.writer.end(ended);
         if let Some(slot) = self.slot.filter(|slot| ended == Ended::Whole && slot.stage() == Stage::Streaming)
         {
-            slot.set(Stage::InWork);
+            slot.set_stage(Stage::Processing);
         }
     }
 }
--- a/dispatcher/src/siblings/client.rs
+++ b/dispatcher/src/siblings/client.rs
@@ -1,4 +1,4 @@
-//! One call to a sibling process.
+//! Client for calls to a sibling process.
 
 use super::protocol::{Answer, Call, Introduction, Request, MAX_ANSWER, PREFIX};
 use std::io;
@@ -7,52 +7,52 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Behind an answer that there is no room for the call.
-const BUSY_PAUSE: Duration = Duration::from_millis(20);
-/// What the console says to callers that it has no room for.
-const BUSY: &str = "ERR busy";
+/// Pause before a retry after a busy reply.
+const BUSY_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Prefix of the console's reply when it has too many connections.
+const BUSY_PREFIX: &str = "ERR busy";
 
-/// Why a call came to no answer.
+/// Why a call failed.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// The kernel says that nobody listens there, or another process does: the sibling is no more.
-    #[error("the process is gone")]
-    Gone,
-    /// No answer in time: it may live, and stand still.
+    /// The kernel refused the connection, or another process listens there: the sibling has exited.
+    #[error("the process has exited")]
+    Exited,
+    /// No answer in time: the process may be alive but stalled.
     #[error("no answer in time")]
-    Silent,
-    /// The connection broke, or what came was no answer.
-    #[error("the call broke: {0}")]
-    Broken(String),
+    TimedOut,
+    /// The connection failed, or the reply is invalid.
+    #[error("the call failed: {0}")]
+    Failed(String),
 }
 
 impl From<io::Error> for CallError {
     fn from(error: io::Error) -> Self {
         match error.kind() {
-            io::ErrorKind::ConnectionRefused => CallError::Gone,
-            _ => CallError::Broken(error.to_string()),
+            io::ErrorKind::ConnectionRefused => CallError::Exited,
+            _ => CallError::Failed(error.to_string()),
         }
     }
 }
 
-/// Calls a sibling, within a time. Dropped, the call may have been heeded.
+/// Calls a sibling, with a time limit. If this future is dropped, the sibling may still have acted on the call.
 ///
 /// # Errors
-/// It came to no answer.
+/// There was no valid answer in time.
 pub async fn call(to: &Introduction, request: Request, within: Duration) -> Result<Answer, CallError> {
     let call = Call { token: to.token.clone(), request };
-    let call = serde_json::to_string(&call).map_err(|e| CallError::Broken(e.to_string()))?;
+    let call = serde_json::to_string(&call).map_err(|e| CallError::Failed(e.to_string()))?;
     let line = format!("{PREFIX}{call}\n");
     let answered = async {
         loop {
             let answer = exchange(to, &line).await?;
-            if !answer.starts_with(BUSY) {
+            if !answer.starts_with(BUSY_PREFIX) {
                 return parse(&answer);
             }
-            tokio::time::sleep(BUSY_PAUSE).await;
+            tokio::time::sleep(BUSY_RETRY_DELAY).await;
         }
     };
-    tokio::time::timeout(within, answered).await.unwrap_or(Err(CallError::Silent))
+    tokio::time::timeout(within, answered).await.unwrap_or(Err(CallError::TimedOut))
 }
 
 async fn exchange(to: &Introduction, line: &str) -> Result<String, CallError> {
@@ -65,9 +65,9 @@
 
 fn parse(answer: &str) -> Result<Answer, CallError> {
     match answer.trim_end().split_once(' ') {
-        Some(("OK", json)) => serde_json::from_str(json).map_err(|e| CallError::Broken(e.to_string())),
-        // A process that does not know the token is not the one that is meant.
-        Some(("ERR", reason)) if reason == super::WRONG_TOKEN => Err(CallError::Gone),
-        _ => Err(CallError::Broken(format!("{answer:.80}"))),
+        Some(("OK", json)) => serde_json::from_str(json).map_err(|e| CallError::Failed(e.to_string())),
+        // A process with another token is not the intended one, which must have exited.
+        Some(("ERR", reason)) if reason == super::WRONG_TOKEN => Err(CallError::Exited),
+        _ => Err(CallError::Failed(format!("{answer:.80}"))),
     }
 }
--- a/dispatcher/src/siblings/mod.rs
+++ b/dispatcher/src/siblings/mod.rs
@@ -1,10 +1,10 @@
-//! The other processes of this dispatcher. While the process is replaced two or more serve, and to clients, workers and operators
-//! they are one: what reaches one of them and concerns another is passed on.
+//! The other processes of this dispatcher. While the process is replaced two or more of them serve, and clients, workers and
+//! operators treat them as one, so messages that reach one process but concern another are forwarded.
 //!
-//! Each process writes down where its admin console listens ([`registry`]) and introduces itself to those that it finds there, so
-//! that they know of it even where the folder is full. Calls go to that console ([`protocol`]): no further listener is needed, and
-//! the kernel says when a process is no more, since nobody listens there then. One that stands still gives no answer, and
-//! nothing is said on its behalf.
+//! Each process publishes the address of its admin console ([`registry`]) and introduces itself to those that it finds there, so
+//! that they know of it even if it can't publish because the file system is full. Calls go to the admin console ([`protocol`]): no
+//! further listener is needed, and the kernel refuses connections to a process that has exited. A stalled process gives no answer,
+//! and no other process answers on its behalf.
 
 mod client;
 pub mod protocol;
@@ -26,108 +26,109 @@
 use tokio::sync::Semaphore;
 use tracing::{info, warn};
 
-/// How long a sibling may take to answer: it is on this machine.
-const ANSWER_WITHIN: Duration = Duration::from_millis(300);
-/// Between attempts to write this process down while the folder is full or fails.
-const PUBLISH_AGAIN: Duration = Duration::from_millis(250);
-/// Calls to siblings at a time: each takes a descriptor.
+/// How long a sibling may take to answer. Short, because it runs on this machine.
+const CALL_TIMEOUT: Duration = Duration::from_millis(300);
+/// Interval between attempts to publish this process while writing to the registry fails.
+const PUBLISH_RETRY_INTERVAL: Duration = Duration::from_millis(250);
+/// Concurrent calls to siblings; each takes a file descriptor.
 const MAX_CALLS: usize = 16;
 /// Bytes of a token.
 const TOKEN_BYTES: usize = 16;
-/// The answer to a call that is meant for another process.
+/// Reply to a call that is intended for another process.
 const WRONG_TOKEN: &str = "this is not the process that is meant";
 
-/// What became of a job status update that this process has no job for.
+/// Result of forwarding a job status update that this process has no job for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// A sibling has the job.
-    Taken,
-    /// No process has it: it is over, or was never there.
+    /// A sibling has the job and accepted the update.
+    Accepted,
+    /// No process has the job: it is over, or never existed.
     Unknown,
-    /// A sibling that may have it can't be asked now: it has to be told again.
-    NotNow,
+    /// A sibling that may have the job can't be reached now, so the worker has to send the update again.
+    Unavailable,
 }
 
-/// The other processes of this dispatcher, as this one knows them.
+/// The other processes of this dispatcher that this one knows of.
 pub struct Siblings {
     own: Introduction,
     registry: Registry,
-    /// Those that have introduced themselves here.
+    /// Processes that have introduced themselves, by process id.
     introduced: RefCell<BTreeMap<u32, Introduction>>,
     calls: Semaphore,
     is_stopping: Cell<bool>,
 }
 
 impl Siblings {
-    /// For a process whose console listens there.
+    /// Creates the state for a process whose admin console listens at this address.
     ///
     /// # Errors
-    /// The system gives no random bytes.
+    /// The operating system provides no random bytes.
     pub fn new(state_dir: &Path, console: SocketAddr) -> Result<Rc<Siblings>, String> {
         let mut token = [0; TOKEN_BYTES];
-        getrandom::fill(&mut token).map_err(|e| format!("no random bytes: {e}"))?;
+        getrandom::fill(&mut token).map_err(|e| format!("can't generate a token: no random bytes: {e}"))?;
         let token = token.iter().map(|byte| format!("{byte:02x}")).collect();
         Ok(Rc::new(Siblings {
             own: Introduction { process: std::process::id(), console, token },
-            registry: Registry::below(state_dir),
+            registry: Registry::in_state_dir(state_dir),
             introduced: RefCell::default(),
             calls: Semaphore::new(MAX_CALLS),
             is_stopping: Cell::new(false),
         }))
     }
 
-    /// Writes this process down and introduces it to the others; takes over the overrides that they have. Where the folder is full
-    /// or fails, the former is tried until it is done.
+    /// Publishes this process in the registry, introduces it to the other processes and takes over their overrides. If publishing
+    /// fails it is retried in the background until it succeeds.
     pub async fn announce(self: &Rc<Self>, overrides: &Overrides) {
         if let Err(e) = self.registry.publish(&self.own) {
-            warn!(error = %e, "siblings: this process can't be written down");
-            actix_rt::spawn(self.clone().publish_later());
+            warn!(error = %e, "siblings: can't publish this process in the registry; retrying");
+            actix_rt::spawn(self.clone().retry_publishing());
         }
         let others = self.others().unwrap_or_default();
-        let introduce = others.iter().map(|other| self.ask(other, Request::Introduce(self.own.clone())));
+        let introduce =
+            others.iter().map(|other| self.call_sibling(other, Request::Introduce(self.own.clone())));
         for (other, answer) in others.iter().zip(join_all(introduce).await) {
             match answer {
                 Ok(Answer::Overrides(lines)) => {
-                    let taken = restore(overrides, &lines);
+                    let taken = merge_overrides(overrides, &lines);
                     info!(sibling = other.process, overrides = lines.len(), taken, "siblings: found one");
                 }
-                Ok(_) | Err(CallError::Gone) => {}
-                Err(e) => warn!(sibling = other.process, error = %e, "siblings: one gives no answer"),
+                Ok(_) | Err(CallError::Exited) => {}
+                Err(e) => warn!(sibling = other.process, error = %e, "siblings: introduction failed"),
             }
         }
     }
 
-    /// Dropped, this process stays unknown to those that start later and can read the folder; nothing else is lost.
-    async fn publish_later(self: Rc<Self>) {
+    /// Retries publishing until it succeeds. If dropped, processes that start later won't find this one; nothing else is lost.
+    async fn retry_publishing(self: Rc<Self>) {
         while self.registry.publish(&self.own).is_err() {
-            tokio::time::sleep(PUBLISH_AGAIN).await;
+            tokio::time::sleep(PUBLISH_RETRY_INTERVAL).await;
         }
-        info!("siblings: this process is written down");
+        info!("siblings: published this process in the registry");
     }
 
-    /// SIGTERM has come.
+    /// Called on SIGTERM: from now on this process reports that it is stopping.
     pub fn stop(&self) {
         self.is_stopping.set(true);
     }
 
-    /// Takes this process out of the folder.
-    pub fn leave(&self) {
+    /// Removes this process from the registry.
+    pub fn unregister(&self) {
         self.registry.remove(&self.own);
     }
 
-    /// Those that may live.
+    /// The other processes that may be running.
     fn others(&self) -> std::io::Result<Vec<Introduction>> {
         let mut others = self.introduced.borrow().clone();
-        others.extend(self.registry.all()?.into_iter().map(|known| (known.process, known)));
+        others.extend(self.registry.processes()?.into_iter().map(|known| (known.process, known)));
         others.remove(&self.own.process);
         Ok(others.into_values().collect())
     }
 
-    async fn ask(&self, other: &Introduction, request: Request) -> Result<Answer, CallError> {
-        // Never closed.
-        let _turn = self.calls.acquire().await;
-        let answer = call(other, request, ANSWER_WITHIN).await;
-        if matches!(answer, Err(CallError::Gone)) {
+    async fn call_sibling(&self, other: &Introduction, request: Request) -> Result<Answer, CallError> {
+        // The semaphore is never closed.
+        let _permit = self.calls.acquire().await;
+        let answer = call(other, request, CALL_TIMEOUT).await;
+        if matches!(answer, Err(CallError::Exited)) {
             info!(sibling = other.process, "siblings: one is gone");
             self.introduced.borrow_mut().retain(|_, known| known != other);
             self.registry.remove(other);
@@ -135,38 +136,39 @@
         answer
     }
 
-    /// Passes a worker's update on to whoever has the job.
-    pub async fn deliver(&self, update: &JobUpdate) -> Delivery {
-        let Ok(others) = self.others() else { return Delivery::NotNow };
-        let asked = others.iter().map(|other| self.ask(other, Request::JobUpdate(update.clone())));
+    /// Forwards a worker's update to the process that has the job.
+    pub async fn forward_update(&self, update: &JobUpdate) -> Delivery {
+        let Ok(others) = self.others() else { return Delivery::Unavailable };
+        let calls = others.iter().map(|other| self.call_sibling(other, Request::JobUpdate(update.clone())));
         let mut delivery = Delivery::Unknown;
-        for (other, answer) in others.iter().zip(join_all(asked).await) {
+        for (other, answer) in others.iter().zip(join_all(calls).await) {
             match answer {
-                Ok(Answer::Taken) => return Delivery::Taken,
-                Ok(_) | Err(CallError::Gone) => {}
+                Ok(Answer::Taken) => return Delivery::Accepted,
+                Ok(_) | Err(CallError::Exited) => {}
                 Err(e) => {
                     let (reference, state) = (&*update.id, &*update.state);
-                    info!(sibling = other.process, reference, state, error = %e, "siblings: an update is refused");
-                    delivery = Delivery::NotNow;
+                    info!(sibling = other.process, reference, state, error = %e, "siblings: can't forward a job status update; refusing it");
+                    delivery = Delivery::Unavailable;
                 }
             }
         }
         delivery
     }
 
-    /// Tells the others of an override. True: it is in force in each of them.
-    pub async fn share(&self, record: &Record) -> bool {
+    /// Sends an override to the other processes. Returns whether it is in force in each of them.
+    pub async fn replicate_override(&self, record: &Record) -> bool {
         let Ok(others) = self.others() else { return false };
         let line = log_line(record);
-        let told = others.iter().map(|other| self.ask(other, Request::Overrides(vec![line.clone()])));
-        let answers = join_all(told).await;
-        answers.iter().all(|answer| matches!(answer, Ok(Answer::Merged) | Err(CallError::Gone)))
+        let calls =
+            others.iter().map(|other| self.call_sibling(other, Request::Overrides(vec![line.clone()])));
+        let answers = join_all(calls).await;
+        answers.iter().all(|answer| matches!(answer, Ok(Answer::Merged) | Err(CallError::Exited)))
     }
 
-    /// What the others are at, as far as they answer.
+    /// The states of the other processes that answer.
     pub async fn states(&self) -> Vec<State> {
         let others = self.others().unwrap_or_default();
-        let answers = join_all(others.iter().map(|other| self.ask(other, Request::State))).await;
+        let answers = join_all(others.iter().map(|other| self.call_sibling(other, Request::State))).await;
         let state = |answer| match answer {
             Ok(Answer::State(state)) => Some(state),
             _ => None,
@@ -174,11 +176,11 @@
         answers.into_iter().filter_map(state).collect()
     }
 
-    /// Answers a sibling's line, without its first word.
+    /// Handles a call from a sibling; `line` comes without the prefix.
     ///
     /// # Errors
-    /// A reason that can follow `ERR`.
-    pub fn answer(&self, line: &str, process: &ProcessParts) -> Result<Answer, String> {
+    /// The reason, to be sent after `ERR`.
+    pub fn answer(&self, line: &str, process: &ProcessContext) -> Result<Answer, String> {
         let Call { token, request } = serde_json::from_str(line).map_err(|e| format!("not a call: {e}"))?;
         if token != self.own.token {
             return Err(WRONG_TOKEN.into());
@@ -193,8 +195,8 @@
                 Answer::Overrides(lines)
             }
             Request::Overrides(lines) => {
-                let taken = restore(process.overrides, &lines);
-                info!(overrides = lines.len(), taken, "siblings: told of overrides");
+                let taken = merge_overrides(process.overrides, &lines);
+                info!(overrides = lines.len(), taken, "siblings: received overrides");
                 Answer::Merged
             }
             Request::JobUpdate(update) => match process.targets.apply_update(update) {
@@ -208,18 +210,18 @@
     }
 }
 
-/// The parts of this process that siblings' calls concern.
-pub struct ProcessParts<'a> {
-    /// What operators have set.
+/// The state of this process that calls from siblings read or change.
+pub struct ProcessContext<'a> {
+    /// Overrides set by operators.
     pub overrides: &'a Overrides,
-    /// The attempts that are out.
+    /// The HTTP targets, with the attempts in progress.
     pub targets: &'a HttpTargets,
-    /// It can serve clients.
+    /// Whether it is ready to serve clients.
     pub is_up: bool,
 }
 
-/// Brings a sibling's overrides into the table; how many were new.
-fn restore(overrides: &Overrides, lines: &[String]) -> usize {
+/// Merges a sibling's overrides into the table; returns how many were new.
+fn merge_overrides(overrides: &Overrides, lines: &[String]) -> usize {
     let mut reader = LogReader::default();
     let records = lines.iter().flat_map(|line| reader.feed(line.as_bytes())).collect();
     overrides.restore(records)
