--- a/dispatcher/src/admin/calls.rs
+++ b/dispatcher/src/admin/calls.rs
@@ -6,7 +6,7 @@
 };
 use crate::body::Budgets;
 use crate::facade::Stage;
-use crate::fleet::api::ReplaceOrder;
+use crate::fleet::api::ReplaceVoterRequest;
 use crate::flow::{Flows, PermitStatsReport};
 use crate::listeners::http::Phase;
 use crate::overrides::{now, Overrides};
@@ -109,11 +109,11 @@
 
     /// Has one member of the fleet vote in place of another.
     fn replace(&self, body: &[u8]) -> Result<Reply, Reply> {
-        let order: ReplaceOrder = read(body)?;
+        let order: ReplaceVoterRequest = read(body)?;
         let Some(fleet) = &self.fleet else {
             return Err(fault(StatusCode::NOT_FOUND, None, "the operator's file names no fleet"));
         };
-        let done = fleet.replace(&order.replace, &order.by);
+        let done = fleet.replace_voter(&order.replace, &order.by);
         done.map_err(|words| fault(StatusCode::CONFLICT, None, words))?;
         Ok(json(StatusCode::OK, &order))
     }
--- a/dispatcher/src/cli/check.rs
+++ b/dispatcher/src/cli/check.rs
@@ -1,12 +1,12 @@
 //! `lineroute check`.
 
 use super::{print_json, Failure};
-use crate::config::{self, Config, Occasion, Sources};
+use crate::config::{self, Config, LoadPhase, Sources};
 use serde_json::{json, Value};
 
 /// Prints what the configuration resolves to, or everything that is wrong with it.
 pub fn check(sources: Sources) -> Result<(), Failure> {
-    let read = config::read(|key| std::env::var(key).ok(), &sources, Occasion::Start);
+    let read = config::read(|key| std::env::var(key).ok(), &sources, LoadPhase::Start);
     let config = read.map_err(|faults| {
         let count = faults.iter().count();
         let plural = if count == 1 { "fault" } else { "faults" };
@@ -17,18 +17,18 @@
 
 /// The configuration as it is used. Keys are never shown.
 fn resolved(config: &Config) -> Value {
-    let (site, ms) = (&config.site, |micros: u64| micros as f64 / 1000.0);
+    let (platform, ms) = (&config.platform, |micros: u64| micros as f64 / 1000.0);
     let names = |at: usize, names: &[String]| names.get(at).cloned().unwrap_or_else(|| at.to_string());
-    let classes: Vec<Value> = (site.classes.iter().zip(&site.settings.classes))
+    let classes: Vec<Value> = (platform.classes.iter().zip(&platform.settings.classes))
         .map(|(name, class)| {
-            let kind = class.kind.map(|k| names(k.0 as usize, &site.kinds));
+            let kind = class.kind.map(|k| names(k.0 as usize, &platform.kinds));
             json!({"class": name, "aim_ms": ms(class.aim), "deadline_ms": ms(class.deadline),
                 "effect": format!("{:?}", class.effect), "kind": kind})
         })
         .collect();
     let routes: Vec<Value> = (config.routes.iter())
         .map(|r| {
-            let class = r.class.map(|c| names(c, &site.classes));
+            let class = r.class.map(|c| names(c, &platform.classes));
             json!({"path": r.path, "match": if r.prefix { "prefix" } else { "exact" }, "class": class,
                 "budget_ms": r.budget.map(|b| b.as_millis() as u64)})
         })
@@ -36,8 +36,8 @@
     let beanstalkd = config.beanstalkd.as_ref().map(|front| {
         let tubes: Vec<Value> = (front.tubes.iter())
             .map(|t| {
-                json!({"tube": t.tube, "class": names(t.class, &site.classes), "answers": t.answers,
-                    "tenant": t.tenant.map(|t| names(t, &site.tenants)),
+                json!({"tube": t.tube, "class": names(t.class, &platform.classes), "answers": t.answers,
+                    "tenant": t.tenant.map(|t| names(t, &platform.tenants)),
                     "budget_ms": t.budget.as_millis() as u64})
             })
             .collect();
@@ -48,20 +48,20 @@
         "name": config.name,
         "listen": config.listen.to_string(),
         "discovery": config.discovery.map(|d| d.to_string()),
-        "limits": {"memory_mb": config.memory >> 20, "client_connections": config.inbound,
-            "calls_to_workers": config.outbound},
-        "known_workers": config.known.as_ref().map_or(0, |k| k.servers.len()),
+        "limits": {"memory_mb": config.memory_bytes >> 20, "client_connections": config.max_client_connections,
+            "calls_to_workers": config.max_worker_calls},
+        "known_workers": config.known_workers.as_ref().map_or(0, |k| k.servers.len()),
         "classes": classes,
-        "tenants": site.tenants,
+        "tenants": platform.tenants,
         "routes": routes,
         "beanstalkd": beanstalkd,
-        "beanstalkd_workers": config.workers,
+        "beanstalkd_workers": config.beanstalkd_workers,
         "admin": config.admin.as_ref().map(|a| json!({"listen": a.listen.to_string(),
             "key": a.keys.is_some(), "max_connections": a.max_connections})),
         "peers": config.peers.as_ref().map(|p| json!({"listen": p.listen.to_string(),
             "others": p.others.iter().map(|o| o.to_string()).collect::<Vec<_>>()})),
         "overrides": {"longest": humantime::format_duration(
-            std::time::Duration::from_millis(config.longest)).to_string()},
+            std::time::Duration::from_millis(config.max_override_ms)).to_string()},
         "state_dir": config.state_dir.as_ref().map(|dir| dir.path()),
     })
 }
--- a/dispatcher/src/cli/fleet.rs
+++ b/dispatcher/src/cli/fleet.rs
@@ -3,7 +3,7 @@
 use super::client::Admin;
 use super::workers::{lines, table};
 use super::{print, print_json, Failure};
-use crate::fleet::api::{FleetView, ReplaceOrder};
+use crate::fleet::api::{FleetView, ReplaceVoterRequest};
 use awc::http::Method;
 
 #[derive(Debug, clap::Args)]
@@ -31,8 +31,8 @@
 /// Shows the fleet as a dispatcher sees it, or changes who votes.
 pub fn fleet(args: Args) -> Result<(), Failure> {
     if let Some(Command::Replace { old, new }) = args.command {
-        let order = ReplaceOrder { replace: old, by: new };
-        let done: ReplaceOrder = args.admin.call(Method::POST, "/fleet/voters", Some(&order))?;
+        let order = ReplaceVoterRequest { replace: old, by: new };
+        let done: ReplaceVoterRequest = args.admin.call(Method::POST, "/fleet/voters", Some(&order))?;
         return print(&format!(
             "{} will vote in place of {}; `lineroute fleet` shows when\n",
             done.by, done.replace
--- a/dispatcher/src/config/checked.rs
+++ b/dispatcher/src/config/checked.rs
@@ -15,7 +15,7 @@
 
 /// The beanstalkd front, checked.
 #[derive(Debug)]
-pub struct BeanstalkdFront {
+pub struct BeanstalkdListenerConfig {
     pub listen: SocketAddr,
     pub path: String,
     pub max_connections: usize,
@@ -44,17 +44,17 @@
     pub class: Option<usize>,
     pub budget: Option<Duration>,
     /// Requests and answers pass to workers that speak plain HTTP.
-    pub passing: Option<PassingRoute>,
+    pub proxy: Option<ProxyRoute>,
 }
 
 /// How bodies pass on a route.
 #[derive(Clone, Debug)]
-pub struct PassingRoute {
+pub struct ProxyRoute {
     /// Those of requests pass as they come.
     pub stream: bool,
     pub max_body: u64,
-    pub pace: ProgressLimits,
-    pub replay: usize,
+    pub progress_limits: ProgressLimits,
+    pub max_replay_bytes: usize,
 }
 
 /// Workers that take their jobs from beanstalkd servers.
@@ -70,7 +70,7 @@
 pub struct HttpWorkers {
     pub kind: String,
     pub forwarding: Forwarding,
-    pub replay: usize,
+    pub max_replay_bytes: usize,
 }
 
 impl Route {
@@ -89,30 +89,30 @@
     pub name: String,
     pub listen: SocketAddr,
     /// `$GW_FD`: the clients' socket is this inherited descriptor, and `listen` is not bound.
-    pub inherited: Option<i32>,
+    pub inherited_fd: Option<i32>,
     /// `admin_addr` or `$GW_ADMIN_ADDR`: where the line-protocol admin console listens.
     pub admin_console: Option<SocketAddr>,
     /// `None`: the operator's file lists the workers.
     pub discovery: Option<SocketAddr>,
     pub seed: u64,
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// Connections of clients, and calls to workers at a time.
-    pub inbound: usize,
-    pub outbound: usize,
+    pub max_client_connections: usize,
+    pub max_worker_calls: usize,
     /// Connections to workers, those that are kept for further calls included.
-    pub connections: usize,
-    pub known: Option<HostList>,
-    pub site: PlatformSettings,
+    pub max_worker_connections: usize,
+    pub known_workers: Option<HostList>,
+    pub platform: PlatformSettings,
     pub routes: Vec<Route>,
-    pub workers: Vec<BeanstalkdWorkers>,
-    pub upstreams: Vec<HttpWorkers>,
-    pub beanstalkd: Option<BeanstalkdFront>,
+    pub beanstalkd_workers: Vec<BeanstalkdWorkers>,
+    pub http_workers: Vec<HttpWorkers>,
+    pub beanstalkd: Option<BeanstalkdListenerConfig>,
     pub admin: Option<Admin>,
     pub peers: Option<Peers>,
     pub load_gossip: Option<LoadGossipPeers>,
     pub fleet: Option<Fleet>,
     /// The longest that an override may last, in milliseconds.
-    pub longest: u64,
+    pub max_override_ms: u64,
     pub state_dir: Option<StateDir>,
 }
 
@@ -192,7 +192,7 @@
     pub listen: SocketAddr,
     /// All of the tier by number, and the own number.
     pub peers: Vec<SocketAddr>,
-    pub own: u32,
+    pub own_index: u32,
     /// One address that reaches all of them, if there is one.
     pub all_peers: Option<SocketAddr>,
     /// The own zone, if any.
--- a/dispatcher/src/config/mod.rs
+++ b/dispatcher/src/config/mod.rs
@@ -6,8 +6,8 @@
 mod operator;
 
 pub use checked::{
-    Admin, AdminAddr, BeanstalkdFront, BeanstalkdWorkers, Config, Fleet, HttpWorkers, LoadGossipPeers,
-    PassingRoute, Peers, Route, StateDir, TestClock, Tube,
+    Admin, AdminAddr, BeanstalkdListenerConfig, BeanstalkdWorkers, Config, Fleet, HttpWorkers,
+    LoadGossipPeers, Peers, ProxyRoute, Route, StateDir, TestClock, Tube,
 };
 pub use faults::{read_json, Faults};
 pub use operator::{Matching, Operator, Protocol, RawAdmin, RawFront, RawPeers, RawRoute, RawWorkers};
@@ -85,7 +85,7 @@
 
 /// What the configuration is read for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Occasion {
+pub enum LoadPhase {
     Start,
     /// The file has been replaced while the program runs.
     Reload,
@@ -107,7 +107,7 @@
 pub fn read(
     variable: impl Fn(&str) -> Option<String>,
     sources: &Sources,
-    occasion: Occasion,
+    phase: LoadPhase,
 ) -> Result<Config, Faults> {
     let mut faults = Faults::default();
     let raw: Option<Raw> = match sources.config.clone().or_else(|| variable("GW_CONFIG")) {
@@ -130,14 +130,14 @@
         }
         _ => return Err(faults),
     };
-    let config = check(raw, operator, variable, occasion, &mut faults);
+    let config = check(raw, operator, variable, phase, &mut faults);
     config.filter(|_| faults.is_empty()).ok_or(faults)
 }
 
 /// Checks what stands in the operator's file alone.
 fn alone(operator: &Operator, faults: &mut Faults) {
     admin(operator.admin.as_ref(), faults);
-    longest(operator, faults);
+    max_override_ms(operator, faults);
     check_routes(operator, faults);
     check_workers(operator, "lineroute", faults);
 }
@@ -146,11 +146,11 @@
     mut raw: Raw,
     operator: Operator,
     variable: impl Fn(&str) -> Option<String>,
-    occasion: Occasion,
+    phase: LoadPhase,
     faults: &mut Faults,
 ) -> Option<Config> {
     let address = |key: &str, given: Option<SocketAddr>, field: &str| match (variable(key), given) {
-        (_, Some(given)) if occasion == Occasion::Reload && field == "discovery" => Ok(given),
+        (_, Some(given)) if phase == LoadPhase::Reload && field == "discovery" => Ok(given),
         (Some(text), _) => text.parse().map_err(|e| format!("{key}: {text:?}: {e}")),
         (None, given) => given.ok_or_else(|| format!("{key} is not set, and GW_CONFIG has no {field}")),
     };
@@ -166,7 +166,7 @@
         true => faults.take(address("GW_DISCOVERY", raw.discovery, "discovery")),
         false => None,
     };
-    let known = match operator.hosts.is_empty() {
+    let known_workers = match operator.hosts.is_empty() {
         true => raw.known.take(),
         false => Some(HostList { version: 0, full: true, servers: operator.hosts.clone() }),
     };
@@ -177,8 +177,8 @@
     let seed = faults.take(seed);
     let added = faults.take(add_classes(&mut raw.settings, &operator));
     let settings = Value::Object(std::mem::take(&mut raw.settings));
-    let site = added.and_then(|()| match lineroute_settings::parse(&settings.to_string()) {
-        Ok(site) => Some(site),
+    let platform = added.and_then(|()| match lineroute_settings::parse(&settings.to_string()) {
+        Ok(platform) => Some(platform),
         Err(_) => {
             faults::settings(settings, faults);
             None
@@ -192,15 +192,15 @@
     if memory_mb < LEAST_MEMORY_MB {
         faults.add("GW_CONFIG: limits.memory_mb", format!("{memory_mb} is under {LEAST_MEMORY_MB}"));
     }
-    let memory = (memory_mb as usize) << 20;
+    let memory_bytes = (memory_mb as usize) << 20;
     check_routes(&operator, faults);
     let name = variable("GW_NAME").or(raw.name.take()).unwrap_or_else(|| "lineroute".into());
     if !is_name(&name) || name.len() > 64 {
         faults.add("GW_NAME", format!("{name:?} is not a plain word of 1 to 64 characters"));
     }
-    let (workers, upstreams) = check_workers(&operator, &name, faults);
+    let (beanstalkd_workers, http_workers) = check_workers(&operator, &name, faults);
     let admin = admin(operator.admin.as_ref(), faults);
-    let longest = longest(&operator, faults);
+    let max_override_ms = max_override_ms(&operator, faults);
     let state_dir = state_dir(operator.state_dir.as_deref(), faults);
     // Cordons set over the admin console outlive a replacement of the process: they pass through `$TMPDIR`.
     let state_dir = match (state_dir, admin_console.flatten()) {
@@ -211,9 +211,9 @@
         }
         (None, None) => None,
     };
-    let peers = operator.peers.as_ref().and_then(|p| peers(p, &raw, site.as_ref(), faults));
+    let peers = operator.peers.as_ref().and_then(|p| peers(p, &raw, platform.as_ref(), faults));
     let load_gossip =
-        site.as_ref().filter(|_| peers.is_none()).and_then(|site| load_gossip_peers(&raw, site));
+        platform.as_ref().filter(|_| peers.is_none()).and_then(|platform| load_gossip_peers(&raw, platform));
     let clock = variable("LINEROUTE_TEST_CLOCK");
     let fleet =
         operator.fleet.as_ref().and_then(|f| fleet::check(f, operator.state_dir.as_deref(), clock, faults));
@@ -225,7 +225,7 @@
         ),
         (
             "operator's file: fleet.members",
-            operator.fleet.as_ref().map_or(0, |f| crate::fleet::sockets(f.members.len())),
+            operator.fleet.as_ref().map_or(0, |f| crate::fleet::max_sockets(f.members.len())),
         ),
         ("operator's file: admin.max_connections", operator.admin.as_ref().map_or(0, |a| a.max_connections)),
         (
@@ -240,21 +240,21 @@
             free = OTHER_SOCKETS;
         }
     }
-    let mut site = site?;
-    if !upstreams.is_empty() {
+    let mut platform = platform?;
+    if !http_workers.is_empty() {
         // Plain HTTP workers give no sign before their answer. Guards against calling one back for being slower
         // than the quick ones before it: within its aim it is not overdue.
-        let aim = site.settings.classes.iter().map(|c| c.aim).max().unwrap_or(0);
-        site.settings.progress_interval = site.settings.progress_interval.max(aim);
+        let aim = platform.settings.classes.iter().map(|c| c.aim).max().unwrap_or(0);
+        platform.settings.progress_interval = platform.settings.progress_interval.max(aim);
     }
     let mut routes =
-        vec![Route { path: "/api".into(), prefix: false, class: None, budget: None, passing: None }];
+        vec![Route { path: "/api".into(), prefix: false, class: None, budget: None, proxy: None }];
     for (i, raw) in operator.routes.into_iter().enumerate() {
         let key = |field: &str| format!("operator's file: routes[{i}].{field}");
-        let class = faults.take(position(&site.classes, &raw.class, &key("class")));
-        let kind = class.and_then(|c| only_kind(&site.settings.classes[c]));
-        let kind = kind.and_then(|k| site.kinds.get(k.0 as usize));
-        let upstream = upstreams.iter().find(|u| Some(&u.kind) == kind);
+        let class = faults.take(position(&platform.classes, &raw.class, &key("class")));
+        let kind = class.and_then(|c| only_kind(&platform.settings.classes[c]));
+        let kind = kind.and_then(|k| platform.kinds.get(k.0 as usize));
+        let upstream = http_workers.iter().find(|u| Some(&u.kind) == kind);
         let given = [
             ("stream", raw.stream),
             ("max_body", raw.max_body.is_some()),
@@ -271,46 +271,47 @@
         if raw.idle_ms == Some(0) {
             faults.add(key("idle_ms"), "must be above 0");
         }
-        let passing = upstream.map(|upstream| PassingRoute {
+        let proxy = upstream.map(|upstream| ProxyRoute {
             stream: raw.stream,
             max_body: raw.max_body.unwrap_or(if raw.stream { u64::MAX } else { 64 << 10 }),
-            pace: ProgressLimits {
+            progress_limits: ProgressLimits {
                 idle_timeout: Duration::from_millis(raw.idle_ms.unwrap_or(30_000)),
                 min_bytes_per_second: raw.least_rate.unwrap_or(1024),
                 window: Duration::from_secs(5),
             },
-            replay: upstream.replay,
+            max_replay_bytes: upstream.max_replay_bytes,
         });
-        if passing.as_ref().is_some_and(|p| !p.stream && p.max_body > 64 << 10) {
+        if proxy.as_ref().is_some_and(|p| !p.stream && p.max_body > 64 << 10) {
             faults.add(key("max_body"), "is over 65536: larger bodies must stream");
         }
         let (path, prefix) = (raw.path, raw.matching == Matching::Prefix);
         let budget = raw.budget_ms.map(Duration::from_millis);
-        routes.push(Route { path, prefix, class, budget, passing });
+        routes.push(Route { path, prefix, class, budget, proxy });
     }
-    let beanstalkd = operator.beanstalkd.map(|raw| front(raw, &site, memory, faults));
+    let beanstalkd =
+        operator.beanstalkd.map(|raw| check_beanstalkd_listener(raw, &platform, memory_bytes, faults));
     Some(Config {
         name,
         listen: listen?,
-        inherited: inherited?,
+        inherited_fd: inherited?,
         admin_console: admin_console?,
         discovery,
         seed: seed?,
-        memory,
-        inbound: free / 8 * 5,
-        outbound: free / 4,
-        connections: free / 8 * 3,
-        known,
-        site,
+        memory_bytes,
+        max_client_connections: free / 8 * 5,
+        max_worker_calls: free / 4,
+        max_worker_connections: free / 8 * 3,
+        known_workers,
+        platform,
         routes,
-        workers,
-        upstreams,
+        beanstalkd_workers,
+        http_workers,
         beanstalkd,
         admin,
         peers,
         load_gossip,
         fleet,
-        longest: longest?,
+        max_override_ms: max_override_ms?,
         state_dir,
     })
 }
@@ -383,7 +384,7 @@
                     x_forwarded: raw.x_forwarded.unwrap_or(true),
                     forwarded: raw.forwarded.unwrap_or(false),
                 };
-                http.push(HttpWorkers { kind: raw.kind.clone(), forwarding, replay });
+                http.push(HttpWorkers { kind: raw.kind.clone(), forwarding, max_replay_bytes: replay });
             }
         }
     }
@@ -423,52 +424,52 @@
 
 fn peers(
     raw: &RawPeers,
-    platform: &Raw,
-    site: Option<&PlatformSettings>,
+    config: &Raw,
+    platform: Option<&PlatformSettings>,
     faults: &mut Faults,
 ) -> Option<Peers> {
-    if site.is_some_and(|s| !s.peer_messages_allowed) {
+    if platform.is_some_and(|s| !s.peer_messages_allowed) {
         let words = "the settings forbid talk between dispatchers (allowed.peers)";
         faults.add("operator's file: peers", words);
     }
-    if platform.peers.len() > MOST_PEERS {
-        faults.add("GW_CONFIG: peers", format!("{} are more than {MOST_PEERS}", platform.peers.len()));
+    if config.peers.len() > MOST_PEERS {
+        faults.add("GW_CONFIG: peers", format!("{} are more than {MOST_PEERS}", config.peers.len()));
     }
     let keys = read_text(&raw.key_file)
         .and_then(|text| KeyRing::parse(&text).map_err(|e| format!("{}: {e}", raw.key_file)));
     let keys = faults.take(keys.map_err(|e| format!("operator's file: peers.key_file: {e}")));
-    let Some(listen) = platform.peer_listen else {
+    let Some(listen) = config.peer_listen else {
         faults.add(
             "GW_CONFIG: peer_listen",
             "is missing: the operator's file asks for talk between dispatchers",
         );
         return None;
     };
-    let others = platform.peers.iter().copied().filter(|p| *p != listen).collect();
+    let others = config.peers.iter().copied().filter(|p| *p != listen).collect();
     Some(Peers { listen, others, keys: keys? })
 }
 
 /// Talk of forwards between the dispatchers of a large tier, where the settings allow it. Where overrides are talked
 /// of, they have the socket.
-fn load_gossip_peers(platform: &Raw, site: &PlatformSettings) -> Option<LoadGossipPeers> {
-    let (listen, tier) = (platform.peer_listen?, site.settings.instances);
-    let own = site.self_index.filter(|own| (*own as usize) < platform.peers.len())?;
-    let is_cheap = GOSSIP_DATAGRAMS_PER_REQUEST * site.peer_message_price <= MAX_GOSSIP_COST;
-    let is_bounded = is_cheap && platform.peers.len() <= MAX_GOSSIP_PEERS;
-    if !site.peer_messages_allowed || tier < LARGE_TIER || !is_bounded {
+fn load_gossip_peers(config: &Raw, platform: &PlatformSettings) -> Option<LoadGossipPeers> {
+    let (listen, tier) = (config.peer_listen?, platform.settings.instances);
+    let own_index = platform.self_index.filter(|index| (*index as usize) < config.peers.len())?;
+    let is_cheap = GOSSIP_DATAGRAMS_PER_REQUEST * platform.peer_message_price <= MAX_GOSSIP_COST;
+    let is_bounded = is_cheap && config.peers.len() <= MAX_GOSSIP_PEERS;
+    if !platform.peer_messages_allowed || tier < LARGE_TIER || !is_bounded {
         return None;
     }
-    let zone = site.settings.zone.and_then(|z| site.zones.get(z.0 as usize));
+    let zone = platform.settings.zone.and_then(|z| platform.zones.get(z.0 as usize));
     Some(LoadGossipPeers {
         listen,
-        peers: platform.peers.clone(),
-        own,
-        all_peers: platform.peers_all,
+        peers: config.peers.clone(),
+        own_index,
+        all_peers: config.peers_all,
         zone_name: zone.cloned(),
     })
 }
 
-fn longest(operator: &Operator, faults: &mut Faults) -> Option<u64> {
+fn max_override_ms(operator: &Operator, faults: &mut Faults) -> Option<u64> {
     let text = operator.overrides.as_ref().map_or("16h", |o| o.longest.as_str());
     let key = "operator's file: overrides.longest";
     match humantime::parse_duration(text) {
@@ -528,7 +529,12 @@
     Ok(())
 }
 
-fn front(raw: RawFront, site: &PlatformSettings, memory: usize, faults: &mut Faults) -> BeanstalkdFront {
+fn check_beanstalkd_listener(
+    raw: RawFront,
+    platform: &PlatformSettings,
+    memory_bytes: usize,
+    faults: &mut Faults,
+) -> BeanstalkdListenerConfig {
     let mut tubes: Vec<Tube> = Vec::new();
     let count = raw.tubes.len();
     for (i, tube) in raw.tubes.into_iter().enumerate() {
@@ -538,13 +544,13 @@
         if tubes.iter().any(|t| t.tube == tube.tube) {
             faults.add(key("tube"), format!("{:?} is mapped twice", tube.tube));
         }
-        let class = faults.take(position(&site.classes, &tube.class, &key("class")));
-        let tenant = tube.tenant.and_then(|t| faults.take(position(&site.tenants, &t, &key("tenant"))));
+        let class = faults.take(position(&platform.classes, &tube.class, &key("class")));
+        let tenant = tube.tenant.and_then(|t| faults.take(position(&platform.tenants, &t, &key("tenant"))));
         if tube.budget_ms == Some(0) {
             faults.add(key("budget_ms"), "must be above 0");
         }
         let Some(class) = class else { continue };
-        let deadline = Duration::from_micros(site.settings.classes[class].deadline);
+        let deadline = Duration::from_micros(platform.settings.classes[class].deadline);
         let budget = tube.budget_ms.map_or(deadline, Duration::from_millis);
         tubes.push(Tube { tube: tube.tube, class, tenant, budget, answers: tube.answers });
     }
@@ -554,12 +560,12 @@
     if let Some(t) = tubes.iter().find(|t| tubes.iter().any(|other| other.tube == t.answers)) {
         faults.add("operator's file: beanstalkd.tubes", format!("{:?} takes jobs and answers", t.answers));
     }
-    BeanstalkdFront {
+    BeanstalkdListenerConfig {
         listen: raw.listen,
         path: raw.path,
         max_connections: raw.max_connections,
         max_jobs: raw.max_jobs,
-        max_bytes: memory / 4,
+        max_bytes: memory_bytes / 4,
         tubes,
     }
 }
--- a/dispatcher/src/fleet/api.rs
+++ b/dispatcher/src/fleet/api.rs
@@ -64,8 +64,8 @@
 
 /// `POST /fleet/voters`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-#[serde(deny_unknown_fields)]
-pub struct ReplaceOrder {
+#[serde(deny_unknown_fields, expecting = "struct ReplaceOrder")]
+pub struct ReplaceVoterRequest {
     /// The one that votes no longer.
     pub replace: String,
     /// The one that votes in its place.
--- a/dispatcher/src/fleet/mod.rs
+++ b/dispatcher/src/fleet/mod.rs
@@ -38,7 +38,7 @@
 const LAST_WORDS: Duration = Duration::from_millis(100);
 
 /// Descriptors that a fleet of so many members may take.
-pub fn sockets(members: usize) -> usize {
+pub fn max_sockets(members: usize) -> usize {
     links::MOST_OUT.min(members) + links::MOST_IN.min(members * 2) + 4
 }
 
@@ -295,12 +295,12 @@
     }
 
     /// Would own a thing from now on, or no longer.
-    pub fn wish(&self, thing: &Resource, wished: bool) {
+    pub fn set_wanted(&self, thing: &Resource, wished: bool) {
         self.0.node.borrow_mut().set_wanted(thing, wished);
     }
 
     /// Shares what an owner found with all members; false where it may not.
-    pub fn share(&self, thing: &Resource, words: Vec<u8>) -> bool {
+    pub fn broadcast_report(&self, thing: &Resource, words: Vec<u8>) -> bool {
         let shared = self.0.node.borrow_mut().broadcast_report(self.0.clock.now(), thing, words);
         self.flush();
         shared
@@ -314,7 +314,7 @@
     }
 
     /// Members that take part, this one too.
-    pub fn here(&self) -> usize {
+    pub fn active_members(&self) -> usize {
         self.0.node.borrow().members().active().len()
     }
 
@@ -334,7 +334,7 @@
     ///
     /// # Errors
     /// This process does not lead, or a name is of no member.
-    pub fn replace(&self, old: &str, new: &str) -> Result<(), String> {
+    pub fn replace_voter(&self, old: &str, new: &str) -> Result<(), String> {
         let find = |name: &str| {
             let at = self.0.names.iter().position(|n| n == name);
             at.map(|at| Member(at as u16)).ok_or_else(|| format!("{name:?} is none of the members"))
--- a/dispatcher/src/fleet/prober.rs
+++ b/dispatcher/src/fleet/prober.rs
@@ -22,14 +22,15 @@
 const MAX_WAITING: usize = 256;
 
 /// Who sees to probes in place of their carriers.
-pub trait Probing {
+pub trait ProbeCoordinator {
     /// Whether a probe is seen to: `Flows::probe_ended` is called for it in the end. If not, the caller makes it, and
     /// for the fleet if it is given a fenced operation.
-    fn takes(&self, target: TargetId, name: &str, zone: &str) -> Result<(), Option<FencedOperation>>;
+    fn delegate_probe(&self, target: TargetId, name: &str, zone: &str)
+        -> Result<(), Option<FencedOperation>>;
     /// A fenced operation could not be done: this process may not act for the fleet any longer.
-    fn lapsed(&self, name: &str);
+    fn permit_lost(&self, name: &str);
     /// A probe that this process made has ended.
-    fn ended(&self, name: &str, zone: &str, outcome: Outcome, load: Option<Load>);
+    fn probe_finished(&self, name: &str, zone: &str, outcome: Outcome, load: Option<Load>);
 }
 
 /// A target that this process would have looked at.
@@ -75,7 +76,7 @@
             return Some(thing.clone());
         }
         let thing = Resource::new(format!("probe/{zone}"))?;
-        self.fleet.wish(&thing, true);
+        self.fleet.set_wanted(&thing, true);
         self.wished.borrow_mut().insert(zone.into(), thing.clone());
         Some(thing)
     }
@@ -102,7 +103,7 @@
         };
         for (name, target, zone, waited) in due {
             let Some(thing) = self.thing(&zone) else { continue };
-            let share = 1.0 / self.fleet.here().max(1) as f64;
+            let share = 1.0 / self.fleet.active_members().max(1) as f64;
             let owned = self.operation(&thing);
             let asked = owned.is_none()
                 && waited < LONGEST
@@ -160,8 +161,13 @@
     }
 }
 
-impl Probing for Prober {
-    fn takes(&self, target: TargetId, name: &str, zone: &str) -> Result<(), Option<FencedOperation>> {
+impl ProbeCoordinator for Prober {
+    fn delegate_probe(
+        &self,
+        target: TargetId,
+        name: &str,
+        zone: &str,
+    ) -> Result<(), Option<FencedOperation>> {
         let Some(thing) = self.thing(zone) else { return Err(None) };
         if let Some(operation) = self.operation(&thing) {
             if self.is_fresh(name, zone, target) {
@@ -184,11 +190,11 @@
         Ok(())
     }
 
-    fn lapsed(&self, name: &str) {
+    fn permit_lost(&self, name: &str) {
         self.checking.borrow_mut().remove(name);
     }
 
-    fn ended(&self, name: &str, zone: &str, outcome: Outcome, load: Option<Load>) {
+    fn probe_finished(&self, name: &str, zone: &str, outcome: Outcome, load: Option<Load>) {
         self.checking.borrow_mut().remove(name);
         self.found.borrow_mut().insert(name.into(), Instant::now());
         let Some(thing) = self.thing(zone) else { return };
@@ -197,7 +203,7 @@
         let found = Found { name: name.into(), outcome: outcome as u8, load };
         if let Ok(words) = postcard::to_stdvec(&found) {
             // Where the zone is another's by now, what was found stays with this process.
-            self.fleet.share(&thing, words);
+            self.fleet.broadcast_report(&thing, words);
         }
     }
 }
--- a/dispatcher/src/flow/mod.rs
+++ b/dispatcher/src/flow/mod.rs
@@ -17,7 +17,7 @@
 use self::core::{Core, Effect, Flow};
 use self::permit_stats::PermitStats;
 use crate::facade::{Ask, Facade, FlowId, Load, News, Outcome};
-use crate::fleet::prober::Probing;
+use crate::fleet::prober::ProbeCoordinator;
 use crate::list::monitor::ListMonitor;
 use bytes::Bytes;
 use lineroute_permit::StartPermit;
@@ -41,7 +41,7 @@
     core: Rc<RefCell<Core>>,
     targets: Rc<RefCell<Vec<Rc<dyn Target>>>>,
     observer: Rc<RefCell<Option<Rc<dyn ForwardObserver>>>>,
-    prober: Rc<RefCell<Option<Rc<dyn Probing>>>>,
+    prober: Rc<RefCell<Option<Rc<dyn ProbeCoordinator>>>>,
     operator_state: Rc<RefCell<Option<Rc<dyn OperatorStateSource>>>>,
     timer_changed: Rc<Notify>,
     watch_requested: Rc<Notify>,
--- a/dispatcher/src/flow/targets.rs
+++ b/dispatcher/src/flow/targets.rs
@@ -3,14 +3,14 @@
 use super::core::{Effect, KnownTarget};
 use super::{Flows, Forward, ListEntry, ListKind, OperatorStateSource, PeerLoad, TargetStatus};
 use crate::facade::{Load, News, Outcome, Stage, Steer, TargetId};
-use crate::fleet::prober::Probing;
+use crate::fleet::prober::ProbeCoordinator;
 use crate::fleet::FencedOperation;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::rc::Rc;
 use std::time::Instant;
 impl Flows {
     /// Delegates probes to `prober`.
-    pub fn set_prober(&self, prober: Rc<dyn Probing>) {
+    pub fn set_prober(&self, prober: Rc<dyn ProbeCoordinator>) {
         *self.prober.borrow_mut() = Some(prober);
     }
 
@@ -31,7 +31,7 @@
         let prober = self.prober.borrow().clone();
         let known = self.core.borrow().targets.get(&target).map(|k| k.name.clone());
         if let (Some(prober), Some(name)) = (prober, known) {
-            prober.lapsed(&name);
+            prober.permit_lost(&name);
         }
         self.request_probe(target);
     }
@@ -41,7 +41,7 @@
         let prober = self.prober.borrow().clone();
         let known = self.core.borrow().targets.get(&target).map(|k| (k.name.clone(), k.zone.clone()));
         let taken_over = match (prober, known) {
-            (Some(prober), Some((name, zone))) => prober.takes(target, &name, &zone),
+            (Some(prober), Some((name, zone))) => prober.delegate_probe(target, &name, &zone),
             _ => Err(None),
         };
         if let Err(operation) = taken_over {
@@ -77,7 +77,7 @@
         let prober = self.prober.borrow().clone();
         if let Some(prober) = prober {
             let known = self.core.borrow().targets.get(&target).map(|k| (k.name.clone(), k.zone.clone()));
-            known.iter().for_each(|(name, zone)| prober.ended(name, zone, outcome, load));
+            known.iter().for_each(|(name, zone)| prober.probe_finished(name, zone, outcome, load));
         }
         self.shared_probe_ended(target, outcome, load);
     }
--- a/dispatcher/src/listeners/beanstalkd/mod.rs
+++ b/dispatcher/src/listeners/beanstalkd/mod.rs
@@ -9,7 +9,7 @@
 use crate::arrival::ArrivalClock;
 use crate::beanstalkd::{read_body, read_line, skip, write_answer, Line, MAX_JOB};
 use crate::body::Body;
-use crate::config::BeanstalkdFront;
+use crate::config::BeanstalkdListenerConfig;
 use crate::facade::FlowId;
 use crate::flow::{Answer, Flows, Job, Listener};
 use crate::listeners::connection_slots::{ConnectionSlot, ConnectionSlots, Stage};
@@ -35,7 +35,7 @@
 /// The front, shared by its connections.
 pub struct BeanstalkdListener {
     flows: Flows,
-    settings: BeanstalkdFront,
+    settings: BeanstalkdListenerConfig,
     tubes: RefCell<Tubes>,
     /// Something became ready, or was taken.
     changed: Notify,
@@ -62,7 +62,7 @@
     /// A front that begins with no job and no connection.
     pub fn new(
         flows: Flows,
-        settings: BeanstalkdFront,
+        settings: BeanstalkdListenerConfig,
         prefix: String,
         arrivals: Rc<ArrivalClock>,
     ) -> Rc<Self> {
--- a/dispatcher/src/listeners/http.rs
+++ b/dispatcher/src/listeners/http.rs
@@ -310,7 +310,7 @@
             return;
         };
         taken.slot.has_unread(since);
-        let screened = self.routes.iter().any(|r| r.passing.is_some());
+        let screened = self.routes.iter().any(|r| r.proxy.is_some());
         let (phase, flows) = (self.phase.clone(), self.flows.clone());
         actix_rt::spawn(async move {
             let guarded = Guarded::new(stream, taken.slot.clone(), screened);
@@ -373,8 +373,8 @@
 
     async fn respond(&self, request: Request, slot: Option<Rc<ConnectionSlot>>) -> Response<BoxBody> {
         if let Some(route) = Route::find(&self.routes, request.path()) {
-            if let Some(passing) = &route.passing {
-                return self.pass(request, route, passing, slot).await;
+            if let Some(proxy) = &route.proxy {
+                return self.pass(request, route, proxy, slot).await;
             }
         }
         self.respond_whole(request, slot.as_deref()).await.map_into_boxed_body()
--- a/dispatcher/src/listeners/pass.rs
+++ b/dispatcher/src/listeners/pass.rs
@@ -3,7 +3,7 @@
 use super::connection_slots::{ConnectionSlot, Stage};
 use super::http::{plain, refused, HttpListener, Passes, BUSY_RETRY};
 use crate::body::{Body, Ended, Reader, Upload, Writer};
-use crate::config::{PassingRoute, Route};
+use crate::config::{ProxyRoute, Route};
 use crate::flow::{Answer, OpenError};
 use crate::targets::upstream::RequestContext;
 use actix_http::body::{BodySize, BoxBody, MessageBody};
@@ -62,7 +62,7 @@
         &self,
         mut request: Request,
         route: &Route,
-        passing: &PassingRoute,
+        proxy: &ProxyRoute,
         slot: Option<Rc<ConnectionSlot>>,
     ) -> Response<BoxBody> {
         let text = |status, words| plain(status, words).map_into_boxed_body();
@@ -77,7 +77,7 @@
         let field = |name| request.headers().get(name).and_then(|v| v.to_str().ok());
         let length = field(actix_header::CONTENT_LENGTH).and_then(|l| l.trim().parse::<u64>().ok());
         let has_body = length.is_some_and(|l| l > 0) || field(actix_header::TRANSFER_ENCODING).is_some();
-        if length.is_some_and(|l| l > passing.max_body) {
+        if length.is_some_and(|l| l > proxy.max_body) {
             return text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n");
         }
         if self.phase.is_shut() {
@@ -85,20 +85,20 @@
         }
         let Some(answer) = self.budgets.stream() else { return refused(BUSY_RETRY).map_into_boxed_body() };
         let too_large = Rc::new(Cell::new(false));
-        if has_body && passing.stream {
+        if has_body && proxy.stream {
             let Some((writer, reader)) = self.budgets.stream() else {
                 return refused(BUSY_RETRY).map_into_boxed_body();
             };
             if let Some(slot) = &slot {
                 slot.set(Stage::Streaming);
             }
-            job.body = Body::Stream(Upload::new(reader, passing.replay));
+            job.body = Body::Stream(Upload::new(reader, proxy.max_replay_bytes));
             let pump =
-                Pump { writer, slot: slot.clone(), left: passing.max_body, too_large: too_large.clone() };
+                Pump { writer, slot: slot.clone(), left: proxy.max_body, too_large: too_large.clone() };
             actix_rt::spawn(pump.run(request.take_payload()));
         } else {
             match super::http::body(&mut request, slot.as_deref()).await {
-                Ok(body) if body.len() as u64 > passing.max_body => {
+                Ok(body) if body.len() as u64 > proxy.max_body => {
                     return text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n")
                 }
                 Ok(body) => job.body = Body::Whole(body),
@@ -113,7 +113,7 @@
         let client = request.peer_addr().map(|p| p.ip());
         let answer = RefCell::new(Some(answer));
         job.protocol_data =
-            Some(Rc::new(RequestContext { head, client, length, pace: passing.pace, answer }));
+            Some(Rc::new(RequestContext { head, client, length, pace: proxy.progress_limits, answer }));
         let budget = budget.saturating_sub(arrived.elapsed());
         match self.take(job, budget, permit).await {
             Err(OpenError::Full) => refused(BUSY_RETRY).map_into_boxed_body(),
--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -28,7 +28,7 @@
 use arrival::ArrivalClock;
 use body::Budgets;
 use cli::RunArgs;
-use config::{Config, Faults, Occasion, Sources, StateDir};
+use config::{Config, Faults, LoadPhase, Sources, StateDir};
 use facade::{Discovery, Facade, ListKind, ReportSource};
 use flow::{Bounds, Flows};
 use lineroute_control::list_status::ListStatus;
@@ -73,23 +73,23 @@
 
 fn start(args: RunArgs) -> Result<(), String> {
     let sources: Sources = args.sources.into();
-    let config = read(&sources, Occasion::Start).map_err(|faults| faults.to_string())?;
+    let config = read(&sources, LoadPhase::Start).map_err(|faults| faults.to_string())?;
     let limit = log::start(args.log_format, args.log);
     actix_rt::System::new().block_on(async {
         // This thread does all of it: whatever is logged is this dispatcher's, and this process's: two may run at a time.
         let process = std::process::id();
         let _dispatcher = info_span!("lineroute", dispatcher = %config.name, process).entered();
         actix_rt::spawn(log::report(limit));
-        if config.inherited.is_some() || config.admin_console.is_some() {
-            info!(inherited = ?config.inherited, admin_console = ?config.admin_console, state_dir = ?config.state_dir,
+        if config.inherited_fd.is_some() || config.admin_console.is_some() {
+            info!(inherited = ?config.inherited_fd, admin_console = ?config.admin_console, state_dir = ?config.state_dir,
                 "process starts, perhaps beside one that it replaces");
         }
         run(config, sources).await
     })
 }
 
-fn read(sources: &Sources, occasion: Occasion) -> Result<Config, Faults> {
-    config::read(|key| std::env::var(key).ok(), sources, occasion)
+fn read(sources: &Sources, phase: LoadPhase) -> Result<Config, Faults> {
+    config::read(|key| std::env::var(key).ok(), sources, phase)
 }
 
 /// What a reload hands new settings to.
@@ -109,7 +109,7 @@
     reloaded: Rc<OnceCell<Reloaded>>,
 ) {
     while hangup.recv().await.is_some() {
-        let config = read(&sources, Occasion::Reload);
+        let config = read(&sources, LoadPhase::Reload);
         stops::at("reload.read");
         match config {
             Ok(config) => {
@@ -141,7 +141,7 @@
     reports: &Rc<DiscoveryReports>,
     phase: &Rc<Phase>,
 ) -> Result<Started, String> {
-    let (classes, tenants) = (config.site.classes.clone(), config.site.tenants.clone());
+    let (classes, tenants) = (config.platform.classes.clone(), config.platform.tenants.clone());
     let fleet = match config.fleet.take() {
         Some(fleet) => Some(fleet::start(fleet, flows.clone()).await?),
         None => None,
@@ -150,7 +150,7 @@
     if !wanted && config.admin_console.is_none() {
         return Ok(Started { reloaded: Reloaded { fleet, ..Reloaded::default() }, calls: None });
     }
-    let mut table = Table::new(&config.name, config.longest);
+    let mut table = Table::new(&config.name, config.max_override_ms);
     let store = match &config.state_dir {
         Some(StateDir::Named(dir)) => Some(Store::open(dir)?),
         Some(StateDir::Temporary(dir)) => Some(Store::open_later(dir)),
@@ -174,7 +174,7 @@
         (Some(dir), Some(console)) => Some(Siblings::new(dir.path(), console)?),
         _ => None,
     };
-    let (dispatcher, flows, longest) = (config.name.clone(), flows.clone(), config.longest);
+    let (dispatcher, flows, longest) = (config.name.clone(), flows.clone(), config.max_override_ms);
     let (budgets, peer) = (budgets.clone(), peers.clone());
     let calls = admin::Calls {
         dispatcher,
@@ -212,7 +212,7 @@
     let (discovery, discovery_at) = watch::channel(config.discovery);
     let reloaded = Rc::new(OnceCell::new());
     actix_rt::spawn(reload(hangup, sources, discovery, reloaded.clone()));
-    let site = config.site.clone();
+    let site = config.platform.clone();
     let deadlines = site.settings.classes.iter().map(|c| Duration::from_micros(c.deadline));
     let longest_deadline = deadlines.clone().max().unwrap_or_default();
     let words = Vocabulary {
@@ -222,7 +222,7 @@
     let drains = Duration::from_micros(site.drain_grace);
     let bounds = Bounds {
         flows: site.settings.allowed.most_held,
-        bytes: config.memory / BODY_PART,
+        bytes: config.memory_bytes / BODY_PART,
         drain_grace: (!site.settings.rules.dropped_stay_open).then_some(drains),
     };
     let connect_within = Duration::from_micros(site.connect_timeout);
@@ -244,21 +244,23 @@
     flows.update_list_validity();
     let discovery_reports = Rc::new(DiscoveryReports::new(monitor.clone()));
     actix_rt::spawn(monitor.clone().run(flows.clone()));
-    let budgets = Budgets::new(config.memory / STREAM_PART, STREAM_FLOOR, STREAM_CEILING);
-    let client = HttpClient::new(connect_within, keepalive, config.outbound, config.connections);
+    let budgets = Budgets::new(config.memory_bytes / STREAM_PART, STREAM_FLOOR, STREAM_CEILING);
+    let client =
+        HttpClient::new(connect_within, keepalive, config.max_worker_calls, config.max_worker_connections);
     let targets = HttpTargets::new(flows.clone(), client.clone(), connect_within, reports);
     flows.add_target(Rc::new(targets.clone()));
     let mut transports = FxHashMap::default();
-    for workers in &config.workers {
+    for workers in &config.beanstalkd_workers {
         let transport = BeanstalkdTargets::new(flows.clone(), workers, &config.name, connect_within);
         transports.insert(workers.kind.clone(), flows.add_target(Rc::new(transport)));
     }
-    for workers in &config.upstreams {
-        let transport = Upstreams::new(flows.clone(), workers, connect_within, keepalive, config.outbound);
+    for workers in &config.http_workers {
+        let transport =
+            Upstreams::new(flows.clone(), workers, connect_within, keepalive, config.max_worker_calls);
         transports.insert(workers.kind.clone(), flows.add_target(Rc::new(transport)));
     }
     let mut names = NameTable { zones: site.zones, kinds: site.kinds, transports };
-    if let Some(known) = &config.known {
+    if let Some(known) = &config.known_workers {
         list::apply_list(&flows, &mut names, known, ListKind::Cached);
         monitor.set_version(known.version);
         info!(version = known.version, workers = known.servers.len(), "worker list: told at the start");
@@ -266,18 +268,18 @@
     if let Some(peers) = config.load_gossip.take() {
         peers::load_gossip::start(peers, flows.clone(), discovery_reports.clone()).await?;
     }
-    let shared = config.inherited.is_some();
+    let shared = config.inherited_fd.is_some();
     let phase = Rc::new(Phase::new(monitor.clone(), shared));
     let Started { reloaded: control, calls } =
         control(&mut config, &flows, &targets, &budgets, &discovery_reports, &phase).await?;
     let fleet = control.fleet.clone();
     let _ = reloaded.set(control);
-    let Config { routes, known, .. } = config;
-    let origin = match config.inherited {
+    let Config { routes, known_workers, .. } = config;
+    let origin = match config.inherited_fd {
         Some(fd) => Origin::Inherited(fd),
         None => Origin::Bind(config.listen),
     };
-    let slots = ConnectionSlots::new(config.inbound, arrivals.clone());
+    let slots = ConnectionSlots::new(config.max_client_connections, arrivals.clone());
     stops::at("start.listen");
     let socket = listeners::socket::open(origin).await?;
     let prefix = format!("{}-{:x}", config.name, config.seed);
@@ -292,7 +294,7 @@
     info!(addr = %listen, "listens");
     let clock = flows.clone();
     actix_rt::spawn(async move { clock.run_timers().await });
-    let version = known.map(|k| k.version);
+    let version = known_workers.map(|k| k.version);
     let source = ListSource {
         flows: flows.clone(),
         client,
@@ -353,7 +355,7 @@
 impl ListSourceKind {
     fn of(config: &Config) -> Self {
         match config.discovery {
-            Some(_) if config.site.settings.discovery == Discovery::Push => ListSourceKind::Pushed,
+            Some(_) if config.platform.settings.discovery == Discovery::Push => ListSourceKind::Pushed,
             Some(_) => ListSourceKind::Asked,
             None => ListSourceKind::Fixed,
         }
--- a/dispatcher/src/peers/load_gossip.rs
+++ b/dispatcher/src/peers/load_gossip.rs
@@ -82,7 +82,7 @@
     flows: Flows,
     reports: Rc<DiscoveryReports>,
 ) -> Result<(), String> {
-    let LoadGossipPeers { listen, own, peers, all_peers, zone_name } = config;
+    let LoadGossipPeers { listen, own_index: own, peers, all_peers, zone_name } = config;
     let socket = open_patiently(|| UdpSocket::bind(listen))
         .await
         .map_err(|e| format!("peer_listen: {listen}: {e}"))?;
