--- a/dispatcher/src/config/checked.rs
+++ b/dispatcher/src/config/checked.rs
@@ -1,4 +1,4 @@
-//! The configuration as the other parts get it: checked, with its defaults.
+//! The validated configuration with its defaults, as the rest of the program uses it.
 
 use crate::admin::auth::AdminKeys;
 use crate::list::HostList;
@@ -13,7 +13,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The beanstalkd front, checked.
+/// The listener for beanstalkd clients.
 #[derive(Debug)]
 pub struct BeanstalkdListenerConfig {
     pub listen: SocketAddr,
@@ -24,7 +24,7 @@
     pub tubes: Vec<Tube>,
 }
 
-/// What a tube stands for.
+/// A tube that clients put jobs into, with the properties of these jobs.
 #[derive(Debug)]
 pub struct Tube {
     pub tube: String,
@@ -38,19 +38,19 @@
 #[derive(Clone, Debug)]
 pub struct Route {
     pub path: String,
-    /// Also the paths that go on from it.
+    /// Whether the route also matches paths that start with `path`.
     pub prefix: bool,
-    /// The class of what comes in here; `None`: requests name theirs.
+    /// The class of jobs on this route; `None`: each request names its class.
     pub class: Option<usize>,
     pub budget: Option<Duration>,
-    /// Requests and answers pass to workers that speak plain HTTP.
+    /// Set where requests are proxied to workers that use plain HTTP.
     pub proxy: Option<ProxyRoute>,
 }
 
-/// How bodies pass on a route.
+/// How a route transfers bodies to and from plain HTTP workers.
 #[derive(Clone, Debug)]
 pub struct ProxyRoute {
-    /// Those of requests pass as they come.
+    /// Request bodies are streamed instead of buffered.
     pub stream: bool,
     pub max_body: u64,
     pub progress_limits: ProgressLimits,
@@ -78,28 +78,28 @@
     pub fn find<'a>(routes: &'a [Route], path: &str) -> Option<&'a Route> {
         let exact = routes.iter().find(|r| !r.prefix && r.path == path);
         exact.or_else(|| {
-            let fitting = routes.iter().filter(|r| r.prefix && path.starts_with(&r.path));
-            fitting.max_by_key(|r| r.path.len())
+            let matching = routes.iter().filter(|r| r.prefix && path.starts_with(&r.path));
+            matching.max_by_key(|r| r.path.len())
         })
     }
 }
 
-/// Everything that the program is told, checked.
+/// The validated configuration.
 pub struct Config {
     pub name: String,
     pub listen: SocketAddr,
-    /// `$GW_FD`: the clients' socket is this inherited descriptor, and `listen` is not bound.
+    /// `$GW_FD`: the inherited descriptor of the listening socket for clients; `listen` is then not bound.
     pub inherited_fd: Option<i32>,
-    /// `admin_addr` or `$GW_ADMIN_ADDR`: where the line-protocol admin console listens.
+    /// `admin_addr` or `$GW_ADMIN_ADDR`: the address of the admin console, which has a line protocol.
     pub admin_console: Option<SocketAddr>,
-    /// `None`: the operator's file lists the workers.
+    /// `None` where the operator's file lists the workers.
     pub discovery: Option<SocketAddr>,
     pub seed: u64,
     pub memory_bytes: usize,
-    /// Connections of clients, and calls to workers at a time.
     pub max_client_connections: usize,
+    /// Maximum number of concurrent calls to workers.
     pub max_worker_calls: usize,
-    /// Connections to workers, those that are kept for further calls included.
+    /// Maximum number of connections to workers, including idle ones kept for reuse.
     pub max_worker_connections: usize,
     pub known_workers: Option<HostList>,
     pub platform: PlatformSettings,
@@ -111,22 +111,22 @@
     pub peers: Option<Peers>,
     pub load_gossip: Option<LoadGossipPeers>,
     pub fleet: Option<Fleet>,
-    /// The longest that an override may last, in milliseconds.
+    /// Maximum duration of an override in milliseconds.
     pub max_override_ms: u64,
     pub state_dir: Option<StateDir>,
 }
 
-/// Where overrides are kept.
+/// The directory in which overrides are stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StateDir {
-    /// A folder that the operator's file names: without it the process does not start.
+    /// Named in the operator's file: the process does not start without it.
     Named(PathBuf),
-    /// A folder below `$TMPDIR`, which the processes of a dispatcher share: it may be full or fail, and the process serves on.
+    /// Below `$TMPDIR`, shared by the processes of a dispatcher: where it is full or can't be written, the process continues to
+    /// serve clients.
     Temporary(PathBuf),
 }
 
 impl StateDir {
-    /// The folder.
     pub fn path(&self) -> &Path {
         match self {
             StateDir::Named(path) | StateDir::Temporary(path) => path,
@@ -134,7 +134,7 @@
     }
 }
 
-/// Where the admin listener is.
+/// The address of the admin listener.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdminAddr {
     Tcp(SocketAddr),
@@ -150,7 +150,7 @@
         }
         let addr: Result<SocketAddr, _> = text.parse();
         let addr = addr.map_err(|_| {
-            format!("{text:?} is neither ADDRESS:PORT nor the path of a Unix socket, which begins with /")
+            format!("{text:?} is neither ADDRESS:PORT nor the path of a Unix socket, which starts with /")
         })?;
         match addr.ip().is_loopback() {
             true => Ok(AdminAddr::Tcp(addr)),
@@ -168,7 +168,7 @@
     }
 }
 
-/// The admin listener, checked.
+/// The admin listener.
 #[derive(Debug)]
 pub struct Admin {
     pub listen: AdminAddr,
@@ -177,32 +177,32 @@
     pub max_connections: usize,
 }
 
-/// The talk with other dispatchers, checked.
+/// The exchange of overrides with other dispatchers.
 #[derive(Debug)]
 pub struct Peers {
     pub listen: SocketAddr,
-    /// The others.
     pub others: Vec<SocketAddr>,
     pub keys: KeyRing,
 }
 
-/// The dispatchers of a large tier, which tell each other of their forwards.
+/// The dispatchers of a large tier, which exchange load gossip about their forwards.
 #[derive(Clone, Debug)]
 pub struct LoadGossipPeers {
     pub listen: SocketAddr,
-    /// All of the tier by number, and the own number.
+    /// All dispatchers of the tier in the order of their indexes.
     pub peers: Vec<SocketAddr>,
+    /// The index of this dispatcher in `peers`.
     pub own_index: u32,
-    /// One address that reaches all of them, if there is one.
+    /// A multicast or broadcast address that reaches all of them, if there is one.
     pub all_peers: Option<SocketAddr>,
-    /// The own zone, if any.
+    /// The zone of this dispatcher, if any.
     pub zone_name: Option<String>,
 }
 
-/// The fleet that this dispatcher is a member of, checked.
+/// The fleet that this dispatcher is a member of.
 #[derive(Debug)]
 pub struct Fleet {
-    /// All names, in alphabetical order: a member is its place among them.
+    /// All names in alphabetical order; a `Member` is an index into them.
     pub names: Vec<String>,
     pub addrs: Vec<SocketAddr>,
     pub me: Member,
@@ -211,16 +211,16 @@
     pub keys: KeyRing,
     pub timing: Timing,
     pub one_prober: bool,
-    /// Where votes and the count of lives are kept.
+    /// The directory of the Raft state and the incarnation number.
     pub state_dir: Option<PathBuf>,
     pub clock: TestClock,
 }
 
-/// By how much the clocks that this process reads for the fleet are off: for tests alone.
+/// Errors added to the clocks that the fleet code reads; used by tests only.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TestClock {
-    /// The time of day, in milliseconds.
+    /// Offset of the time of day in milliseconds.
     pub offset_ms: i64,
-    /// The rate, in parts of a million.
+    /// Error of the rate in parts per million.
     pub ppm: i64,
 }
--- a/dispatcher/src/config/faults.rs
+++ b/dispatcher/src/config/faults.rs
@@ -1,25 +1,25 @@
-//! Everything that is wrong with a configuration, not only the first of it: each fault by its key.
+//! Collects all errors of a configuration, not only the first one, each with its key.
 
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 use serde_path_to_error::Segment;
 use std::fmt;
 
-/// No more than this is told of one file: guards the reader of the message.
-const MOST: usize = 50;
+/// Maximum number of errors reported, so that the message stays readable.
+const MAX_FAULTS: usize = 50;
 
-/// What was found, in the order of finding. Each begins with its file and key.
+/// Errors in the order in which they were found. Each starts with its file and key.
 #[derive(Debug, Default, PartialEq)]
 pub struct Faults(Vec<String>);
 
 impl Faults {
     pub fn add(&mut self, key: impl fmt::Display, words: impl fmt::Display) {
-        if self.0.len() < MOST {
+        if self.0.len() < MAX_FAULTS {
             self.0.push(format!("{key}: {words}"));
         }
     }
 
-    /// The value, if there is one; else its fault is noted.
+    /// Returns the value of a result, or records its error.
     pub fn take<T>(&mut self, result: Result<T, String>) -> Option<T> {
         result.map_err(|words| self.0.push(words)).ok()
     }
@@ -39,14 +39,14 @@
     }
 }
 
-/// One step of a path, as the file has it.
+/// One element of a path in a JSON document.
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     Key(String),
     Index(usize),
 }
 
-fn path_text(path: &[Step]) -> String {
+fn format_path(path: &[Step]) -> String {
     let mut text = String::new();
     for step in path {
         match step {
@@ -58,9 +58,9 @@
     text
 }
 
-/// Reads a JSON text. `None`: at least one fault was noted.
+/// Parses a JSON text. `None`: at least one error was recorded.
 ///
-/// What can't be read is noted, left out, and the rest read again, until nothing more is found.
+/// A value that can't be parsed is recorded and removed, and the rest is parsed again until no more errors are found.
 pub fn read_json<T: DeserializeOwned>(source: &str, text: &str, faults: &mut Faults) -> Option<T> {
     let mut json = serde_json::Deserializer::from_str(text);
     let first = match serde_path_to_error::deserialize(&mut json) {
@@ -70,18 +70,18 @@
     let before = faults.0.len();
     match serde_json::from_str::<Value>(text) {
         Err(e) => faults.add(source, e),
-        Ok(value) => peel::<T>(source, value, faults),
+        Ok(value) => collect_faults::<T>(source, value, faults),
     }
     if faults.0.len() == before {
-        // A key that stands twice, say: the text shows it, the value does not.
+        // For example a duplicate key, which is an error of the text but is gone from the parsed value.
         let at = first.path().to_string();
         faults.add(format!("{source}: {at}"), first.into_inner());
     }
     None
 }
 
-fn peel<T: DeserializeOwned>(source: &str, value: Value, faults: &mut Faults) {
-    peel_with(source, value, faults, |value| {
+fn collect_faults<T: DeserializeOwned>(source: &str, value: Value, faults: &mut Faults) {
+    collect_faults_with(source, value, faults, |value| {
         let Err(e) = serde_path_to_error::deserialize::<_, T>(value) else { return Ok(()) };
         let mut path: Vec<Step> = Vec::new();
         for segment in e.path() {
@@ -95,18 +95,18 @@
     });
 }
 
-/// Notes all that is wrong with the platform's settings.
-pub fn settings(value: Value, faults: &mut Faults) {
-    peel_with("GW_CONFIG: setting", value, faults, |value| {
+/// Records all errors of the platform's settings.
+pub fn check_settings(value: Value, faults: &mut Faults) {
+    collect_faults_with("GW_CONFIG: setting", value, faults, |value| {
         let Err(words) = lineroute_settings::parse(&value.to_string()) else { return Ok(()) };
         let words = words.strip_prefix("setting ").unwrap_or(&words);
         let (path, words) = words.split_once(": ").unwrap_or(("", words));
-        Err((read_path(path), words.to_owned()))
+        Err((parse_path(path), words.to_owned()))
     });
 }
 
-/// Reads a path such as `classes[1].aim` back.
-fn read_path(text: &str) -> Vec<Step> {
+/// Parses a path such as `classes[1].aim`.
+fn parse_path(text: &str) -> Vec<Step> {
     let mut path = Vec::new();
     for part in text.split('.').filter(|p| !p.is_empty()) {
         let mut pieces = part.split('[');
@@ -116,71 +116,71 @@
     path
 }
 
-/// Notes what `read` says of the value, leaves it out, and reads again, until nothing more is found.
-fn peel_with(
+/// Records the error that `read` returns, removes the value that it is about, and reads again until there is no error.
+fn collect_faults_with(
     source: &str,
     mut value: Value,
     faults: &mut Faults,
     read: impl Fn(&Value) -> Result<(), (Vec<Step>, String)>,
 ) {
-    // Paths as the file has them; those in `value` differ where elements have been left out.
-    let mut left_out: Vec<Vec<Step>> = Vec::new();
+    // Paths in the file; indexes in `value` differ once elements have been removed.
+    let mut removed_paths: Vec<Vec<Step>> = Vec::new();
     while let Err((mut path, words)) = read(&value) {
         let named = |kind: &str| words.strip_prefix(kind)?.split('`').nth(1).map(str::to_owned);
         if let Some(field) = named("unknown field ") {
-            let unnamed = path.last() != Some(&Step::Key(field.clone()));
-            path.extend(unnamed.then_some(Step::Key(field)));
+            let is_missing = path.last() != Some(&Step::Key(field.clone()));
+            path.extend(is_missing.then_some(Step::Key(field)));
         }
-        let original = restored(&path, &left_out);
-        // What this left out itself is missed by no one.
-        let own = named("missing field ").is_some_and(|field| {
+        let original = original_path(&path, &removed_paths);
+        // A field that was removed here is not reported as missing.
+        let removed_here = named("missing field ").is_some_and(|field| {
             let missing = [&original[..], &[Step::Key(field)]].concat();
-            left_out.contains(&missing)
+            removed_paths.contains(&missing)
         });
-        if !own {
-            let at = path_text(&original);
+        if !removed_here {
+            let at = format_path(&original);
             let key = if at.is_empty() { source.to_owned() } else { format!("{source}: {at}") };
             faults.add(key, &words);
         }
-        // Some settings are named without their unit.
-        let with_unit = path.split_last().and_then(|(last, way)| match last {
-            Step::Key(key) => Some([way, &[Step::Key(format!("{key}_ms"))]].concat()),
+        // Errors name some settings without the unit that their key ends with.
+        let with_unit = path.split_last().and_then(|(last, parents)| match last {
+            Step::Key(key) => Some([parents, &[Step::Key(format!("{key}_ms"))]].concat()),
             Step::Index(_) => None,
         });
         if !remove(&mut value, &path) && !with_unit.is_some_and(|path| remove(&mut value, &path)) {
             return;
         }
-        left_out.push(original);
+        removed_paths.push(original);
     }
 }
 
-/// The path as it was before elements were left out of lists on it.
-fn restored(path: &[Step], left_out: &[Vec<Step>]) -> Vec<Step> {
+/// Maps a path back to that in the file, before elements of lists on it were removed.
+fn original_path(path: &[Step], removed_paths: &[Vec<Step>]) -> Vec<Step> {
     let mut original: Vec<Step> = Vec::new();
     for step in path {
         let Step::Index(index) = step else {
             original.push(step.clone());
             continue;
         };
-        let mut gone: Vec<usize> = (left_out.iter())
+        let mut removed: Vec<usize> = (removed_paths.iter())
             .filter(|p| p.len() == original.len() + 1 && p.starts_with(&original))
             .filter_map(|p| match p.last() {
                 Some(Step::Index(index)) => Some(*index),
                 _ => None,
             })
             .collect();
-        gone.sort_unstable();
-        let index = gone.iter().fold(*index, |at, gone| if *gone <= at { at + 1 } else { at });
+        removed.sort_unstable();
+        let index = removed.iter().fold(*index, |at, removed| if *removed <= at { at + 1 } else { at });
         original.push(Step::Index(index));
     }
     original
 }
 
-/// Leaves out what stands at the path; false if nothing does.
+/// Removes the value at the path; false if there is none.
 fn remove(value: &mut Value, path: &[Step]) -> bool {
-    let Some((last, way)) = path.split_last() else { return false };
+    let Some((last, parents)) = path.split_last() else { return false };
     let mut at = value;
-    for step in way {
+    for step in parents {
         let next = match step {
             Step::Key(key) => at.get_mut(key),
             Step::Index(index) => at.get_mut(index),
@@ -232,7 +232,7 @@
     }
 
     #[test]
-    fn all_faults_are_named_by_the_keys_that_the_file_has() {
+    fn all_faults_are_reported_with_their_keys_in_the_file() {
         assert_eq!(faults(r#"{"list":[{"port":1}],"name":"x"}"#), [""; 0]);
         let found = faults(
             r#"{"list":[{"port":"x"},{"port":1},{"port":70000},{"word":"w"},{"port":2,"word":3}],
@@ -255,7 +255,7 @@
     }
 
     #[test]
-    fn what_is_no_json_or_says_a_thing_twice_is_one_fault() {
+    fn invalid_json_and_a_duplicate_key_are_one_fault_each() {
         assert_eq!(faults(r#"{"name":"#).len(), 1);
         assert_eq!(faults(r#"{} {}"#).len(), 1);
         let twice = faults(r#"{"name":"a","name":"b"}"#);
--- a/dispatcher/src/config/fleet.rs
+++ b/dispatcher/src/config/fleet.rs
@@ -1,4 +1,4 @@
-//! The `fleet` of the operator's file, checked.
+//! Validates the `fleet` section of the operator's file.
 
 use super::checked::{Fleet, TestClock};
 use super::faults::Faults;
@@ -10,13 +10,13 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Members of a fleet, at most.
-const MOST_MEMBERS: usize = 512;
-/// Voters, at most, and so many unless others are named.
-const MOST_VOTERS: usize = 7;
-const VOTERS: usize = 5;
+/// Maximum number of members of a fleet.
+const MAX_MEMBERS: usize = 512;
+/// Maximum number of voters, and their number where the file does not name them.
+const MAX_VOTERS: usize = 7;
+const DEFAULT_VOTERS: usize = 5;
 
-/// Checks what the operator's file says of the fleet.
+/// Validates the section; `clock` is the value of `$LINEROUTE_TEST_CLOCK`.
 pub fn check(
     raw: &RawFleet,
     state_dir: Option<&str>,
@@ -28,37 +28,47 @@
     members.sort();
     for (i, member) in raw.members.iter().enumerate() {
         if !is_name(&member.name) || member.name.len() > 64 {
-            let words = format!("{:?} is not a plain word of 1 to 64 characters", member.name);
-            faults.add(key(&format!("members[{i}].name")), words);
+            let message = format!(
+                "{:?} is not a name of 1 to 64 characters of A-Z, a-z, 0-9 and -+/;.$_()",
+                member.name
+            );
+            faults.add(key(&format!("members[{i}].name")), message);
         }
         if raw.members[..i].iter().any(|m| m.name == member.name) {
-            faults.add(key(&format!("members[{i}].name")), format!("{:?} stands twice", member.name));
+            faults.add(key(&format!("members[{i}].name")), format!("{:?} is listed twice", member.name));
         }
     }
-    if members.len() > MOST_MEMBERS {
-        faults.add(key("members"), format!("{} are more than {MOST_MEMBERS}", members.len()));
+    if members.len() > MAX_MEMBERS {
+        faults.add(
+            key("members"),
+            format!("{} members are more than the maximum of {MAX_MEMBERS}", members.len()),
+        );
     }
     let (names, addrs): (Vec<String>, Vec<_>) = members.into_iter().unzip();
     let find = |name: &String| names.iter().position(|n| n == name).map(|at| Member(at as u16));
     let me = find(&raw.name);
     if me.is_none() {
-        faults.add(key("name"), format!("{:?} is none of the members", raw.name));
+        faults.add(key("name"), format!("{:?} is not among the members", raw.name));
     }
-    let first = || names.iter().take(VOTERS).cloned().collect();
-    let named = raw.voters.clone().unwrap_or_else(first);
+    let first_names = || names.iter().take(DEFAULT_VOTERS).cloned().collect();
+    let voter_names = raw.voters.clone().unwrap_or_else(first_names);
     let mut voters = Vec::new();
-    for (i, name) in named.iter().enumerate() {
+    for (i, name) in voter_names.iter().enumerate() {
         match find(name) {
             Some(voter) if !voters.contains(&voter) => voters.push(voter),
-            Some(_) => faults.add(key(&format!("voters[{i}]")), format!("{name:?} stands twice")),
-            None => faults.add(key(&format!("voters[{i}]")), format!("{name:?} is none of the members")),
+            Some(_) => faults.add(key(&format!("voters[{i}]")), format!("{name:?} is listed twice")),
+            None => faults.add(key(&format!("voters[{i}]")), format!("{name:?} is not among the members")),
         }
     }
-    if !(1..=MOST_VOTERS).contains(&voters.len()) {
-        faults.add(key("voters"), format!("there are {}, 1 to {MOST_VOTERS} are right", voters.len()));
+    if !(1..=MAX_VOTERS).contains(&voters.len()) {
+        faults
+            .add(key("voters"), format!("there are {} voters; 1 to {MAX_VOTERS} are allowed", voters.len()));
     }
     if me.is_some_and(|me| voters.contains(&me)) && state_dir.is_none() {
-        faults.add("operator's file: state_dir", "is missing: this dispatcher is a voter of the fleet");
+        faults.add(
+            "operator's file: state_dir",
+            "is missing; this dispatcher is a voter of the fleet and needs one",
+        );
     }
     let keys = read_text(&raw.key_file)
         .and_then(|text| KeyRing::parse(&text).map_err(|e| format!("{}: {e}", raw.key_file)));
@@ -72,7 +82,7 @@
     }
     if let Some(drift) = raw.drift {
         if drift > 200 {
-            faults.add(key("drift"), format!("{drift} is over 200 parts of 1,000"));
+            faults.add(key("drift"), format!("{drift} is over 200 per mille"));
         }
         timing.drift_permille = drift;
     }
@@ -90,11 +100,11 @@
     })
 }
 
-/// `OFFSET_MS` or `OFFSET_MS,PPM`.
+/// Parses `OFFSET_MS` or `OFFSET_MS,PPM`.
 fn test_clock(text: Option<String>) -> Result<TestClock, String> {
     let Some(text) = text else { return Ok(TestClock::default()) };
-    let fault = |e| format!("LINEROUTE_TEST_CLOCK: {text:?}: {e}; it is milliseconds, or those and ppm");
+    let parse_error = |e| format!("LINEROUTE_TEST_CLOCK: {text:?}: {e}; expected OFFSET_MS or OFFSET_MS,PPM");
     let (offset, ppm) = text.split_once(',').unwrap_or((&text, "0"));
-    let offset_ms = offset.trim().parse().map_err(fault)?;
-    Ok(TestClock { offset_ms, ppm: ppm.trim().parse::<i64>().map_err(fault)?.clamp(-500_000, 500_000) })
+    let offset_ms = offset.trim().parse().map_err(parse_error)?;
+    Ok(TestClock { offset_ms, ppm: ppm.trim().parse::<i64>().map_err(parse_error)?.clamp(-500_000, 500_000) })
 }
--- a/dispatcher/src/config/mod.rs
+++ b/dispatcher/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The one place where configuration is read, checked and given defaults. A message names the faulty key.
+//! Reads the configuration, validates it and fills in defaults. Each error message names the key that it is about.
 
 mod checked;
 mod faults;
@@ -10,7 +10,9 @@
     LoadGossipPeers, Peers, ProxyRoute, Route, StateDir, TestClock, Tube,
 };
 pub use faults::{read_json, Faults};
-pub use operator::{Matching, Operator, Protocol, RawAdmin, RawFront, RawPeers, RawRoute, RawWorkers};
+pub use operator::{
+    Matching, Operator, Protocol, RawAdmin, RawBeanstalkdListener, RawPeers, RawRoute, RawWorkers,
+};
 
 use crate::admin::auth::AdminKeys;
 use crate::beanstalkd::is_name;
@@ -29,24 +31,26 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Without limits given, the program keeps within what it may always have.
+/// Used where the platform sets no limits: these are always granted.
 const DEFAULT_MEMORY_MB: u64 = 192;
 const DEFAULT_SOCKETS: usize = 1024;
-/// The least memory that the program is started with.
-const LEAST_MEMORY_MB: u64 = 16;
-/// Descriptors that are neither clients' nor workers': the log, timers, listeners, discovery, peers, state.
-const OTHER_SOCKETS: usize = 64;
-/// Dispatchers of a tier, at most: the talk between them is made for fewer.
-const MOST_PEERS: usize = 256;
+/// The smallest memory limit that is accepted.
+const MIN_MEMORY_MB: u64 = 16;
+/// Descriptors reserved for other purposes than client and worker connections: the log, timers, listeners,
+/// discovery, peers and state files.
+const RESERVED_SOCKETS: usize = 64;
+/// Maximum number of peers with which overrides are exchanged: the gossip is designed for smaller tiers.
+const MAX_PEERS: usize = 256;
 
-/// Load gossip is made for tiers of this many peers at most.
+/// Maximum number of peers with which load gossip is exchanged: it is designed for tiers up to this size.
 const MAX_GOSSIP_PEERS: usize = 4096;
-/// Full datagrams that load gossip comes to for each request, about, and the part of its worth that may be spent on them.
+/// Approximate number of full datagrams that load gossip sends for each request, and the share of a request's worth
+/// that may be spent on them.
 const GOSSIP_DATAGRAMS_PER_REQUEST: f64 = 1.0;
 const MAX_GOSSIP_COST: f64 = 0.04;
 
 #[derive(Deserialize)]
-struct Raw {
+struct PlatformFile {
     #[serde(default)]
     name: Option<String>,
     #[serde(default)]
@@ -56,7 +60,7 @@
     #[serde(default)]
     seed: Option<String>,
     #[serde(default)]
-    limits: RawLimits,
+    limits: PlatformLimits,
     #[serde(default)]
     known: Option<HostList>,
     #[serde(default)]
@@ -72,48 +76,49 @@
 
 #[derive(Deserialize)]
 #[serde(default)]
-struct RawLimits {
+struct PlatformLimits {
     memory_mb: u64,
     sockets: usize,
 }
 
-impl Default for RawLimits {
+impl Default for PlatformLimits {
     fn default() -> Self {
-        RawLimits { memory_mb: DEFAULT_MEMORY_MB, sockets: DEFAULT_SOCKETS }
+        PlatformLimits { memory_mb: DEFAULT_MEMORY_MB, sockets: DEFAULT_SOCKETS }
     }
 }
 
-/// What the configuration is read for.
+/// When the configuration is read.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LoadPhase {
     Start,
-    /// The file has been replaced while the program runs.
+    /// The process is running and reads the configuration again.
     Reload,
 }
 
-/// Where configuration is found.
+/// Paths of the configuration files.
 #[derive(Clone, Debug, Default)]
 pub struct Sources {
-    /// In place of what `GW_CONFIG` names.
+    /// Takes precedence over `GW_CONFIG`.
     pub config: Option<String>,
     pub operator: Option<String>,
 }
 
-/// Reads `GW_CONFIG`, the variables beside it, which win over what it says, and the operator's file if any.
-/// In a reload the file's word on discovery wins: the variable is of the start, and can't follow a move.
+/// Reads the file that `GW_CONFIG` names, the other environment variables, which take precedence over it, and the
+/// operator's file if one is given. On a reload the file's discovery address takes precedence: the environment is that of
+/// the start of the process and does not change when discovery moves.
 ///
 /// # Errors
-/// All that is wrong, each fault with its key.
+/// All errors found, each with its key.
 pub fn read(
     variable: impl Fn(&str) -> Option<String>,
     sources: &Sources,
     phase: LoadPhase,
 ) -> Result<Config, Faults> {
     let mut faults = Faults::default();
-    let raw: Option<Raw> = match sources.config.clone().or_else(|| variable("GW_CONFIG")) {
+    let raw: Option<PlatformFile> = match sources.config.clone().or_else(|| variable("GW_CONFIG")) {
         Some(path) => read_file("GW_CONFIG", &path, &mut faults),
         None => {
-            faults.add("GW_CONFIG", "is not set: it names the platform's configuration");
+            faults.add("GW_CONFIG", "is not set; it must name the platform's configuration file");
             None
         }
     };
@@ -121,11 +126,11 @@
         Some(path) => read_file("operator's file", path, &mut faults),
         None => Some(Operator::default()),
     };
-    // What can be said of the operator's file without the other one is still said.
+    // Without the platform's configuration, the operator's file is still checked as far as possible.
     let (raw, operator) = match (raw, operator) {
         (Some(raw), Some(operator)) => (raw, operator),
         (None, Some(operator)) => {
-            alone(&operator, &mut faults);
+            check_operator_only(&operator, &mut faults);
             return Err(faults);
         }
         _ => return Err(faults),
@@ -134,8 +139,8 @@
     config.filter(|_| faults.is_empty()).ok_or(faults)
 }
 
-/// Checks what stands in the operator's file alone.
-fn alone(operator: &Operator, faults: &mut Faults) {
+/// Checks the parts of the operator's file that do not depend on the platform's configuration.
+fn check_operator_only(operator: &Operator, faults: &mut Faults) {
     admin(operator.admin.as_ref(), faults);
     max_override_ms(operator, faults);
     check_routes(operator, faults);
@@ -143,7 +148,7 @@
 }
 
 fn check(
-    mut raw: Raw,
+    mut raw: PlatformFile,
     operator: Operator,
     variable: impl Fn(&str) -> Option<String>,
     phase: LoadPhase,
@@ -155,7 +160,7 @@
         (None, given) => given.ok_or_else(|| format!("{key} is not set, and GW_CONFIG has no {field}")),
     };
     let listen = faults.take(address("GW_LISTEN", raw.listen, "listen"));
-    let inherited = faults.take(inherited(variable("GW_FD")));
+    let inherited_fd = faults.take(inherited_fd(variable("GW_FD")));
     let admin_console = match variable("GW_ADMIN_ADDR") {
         Some(text) => {
             faults.take(text.parse().map(Some).map_err(|e| format!("GW_ADMIN_ADDR: {text:?}: {e}")))
@@ -175,34 +180,38 @@
         None => Ok(std::process::id().into()),
     };
     let seed = faults.take(seed);
-    let added = faults.take(add_classes(&mut raw.settings, &operator));
+    let classes_added = faults.take(add_classes(&mut raw.settings, &operator));
     let settings = Value::Object(std::mem::take(&mut raw.settings));
-    let platform = added.and_then(|()| match lineroute_settings::parse(&settings.to_string()) {
+    let platform = classes_added.and_then(|()| match lineroute_settings::parse(&settings.to_string()) {
         Ok(platform) => Some(platform),
         Err(_) => {
-            faults::settings(settings, faults);
+            faults::check_settings(settings, faults);
             None
         }
     });
-    let RawLimits { memory_mb, sockets } = raw.limits;
-    if sockets < OTHER_SOCKETS * 2 {
-        faults.add("GW_CONFIG: limits.sockets", format!("{sockets} is under {}", OTHER_SOCKETS * 2));
+    let PlatformLimits { memory_mb, sockets } = raw.limits;
+    if sockets < RESERVED_SOCKETS * 2 {
+        faults.add("GW_CONFIG: limits.sockets", format!("{sockets} is under {}", RESERVED_SOCKETS * 2));
     }
-    // The platform may halve its limits (16 MB of 32); below that the bounds in bytes leave too little.
-    if memory_mb < LEAST_MEMORY_MB {
-        faults.add("GW_CONFIG: limits.memory_mb", format!("{memory_mb} is under {LEAST_MEMORY_MB}"));
+    // The platform may halve its limits (16 MB of 32); with less, the limits in bytes derived from this are too small.
+    if memory_mb < MIN_MEMORY_MB {
+        faults.add("GW_CONFIG: limits.memory_mb", format!("{memory_mb} is under {MIN_MEMORY_MB}"));
     }
     let memory_bytes = (memory_mb as usize) << 20;
     check_routes(&operator, faults);
     let name = variable("GW_NAME").or(raw.name.take()).unwrap_or_else(|| "lineroute".into());
     if !is_name(&name) || name.len() > 64 {
-        faults.add("GW_NAME", format!("{name:?} is not a plain word of 1 to 64 characters"));
+        faults.add(
+            "GW_NAME",
+            format!("{name:?} is not a name of 1 to 64 characters of A-Z, a-z, 0-9 and -+/;.$_()"),
+        );
     }
     let (beanstalkd_workers, http_workers) = check_workers(&operator, &name, faults);
     let admin = admin(operator.admin.as_ref(), faults);
     let max_override_ms = max_override_ms(&operator, faults);
     let state_dir = state_dir(operator.state_dir.as_deref(), faults);
-    // Cordons set over the admin console outlive a replacement of the process: they pass through `$TMPDIR`.
+    // Cordons set through the admin console must survive a replacement of the process: without a state directory they
+    // are stored below `$TMPDIR`.
     let state_dir = match (state_dir, admin_console.flatten()) {
         (Some(path), _) => Some(StateDir::Named(path)),
         (None, Some(_)) => {
@@ -217,11 +226,11 @@
     let clock = variable("LINEROUTE_TEST_CLOCK");
     let fleet =
         operator.fleet.as_ref().and_then(|f| fleet::check(f, operator.state_dir.as_deref(), clock, faults));
-    let mut free = sockets.saturating_sub(OTHER_SOCKETS);
-    let fronts = [
+    let mut free = sockets.saturating_sub(RESERVED_SOCKETS);
+    let listeners = [
         (
             "operator's file: beanstalkd.max_connections",
-            operator.beanstalkd.as_ref().map_or(0, |f| f.max_connections),
+            operator.beanstalkd.as_ref().map_or(0, |b| b.max_connections),
         ),
         (
             "operator's file: fleet.members",
@@ -233,17 +242,17 @@
             admin_console.flatten().map_or(0, |_| crate::admin::console::MAX_CONNECTIONS),
         ),
     ];
-    for (key, taken) in fronts {
+    for (key, taken) in listeners {
         free = free.saturating_sub(taken);
-        if taken > 0 && free < OTHER_SOCKETS {
-            faults.add(key, format!("{taken} leaves too few sockets"));
-            free = OTHER_SOCKETS;
+        if taken > 0 && free < RESERVED_SOCKETS {
+            faults.add(key, format!("{taken} leaves too few sockets for clients and workers"));
+            free = RESERVED_SOCKETS;
         }
     }
     let mut platform = platform?;
     if !http_workers.is_empty() {
-        // Plain HTTP workers give no sign before their answer. Guards against calling one back for being slower
-        // than the quick ones before it: within its aim it is not overdue.
+        // Plain HTTP workers report no progress before their answer. Without this an attempt would be cancelled only
+        // because earlier ones were quicker; within its latency target (`aim`) it must not count as overdue.
         let aim = platform.settings.classes.iter().map(|c| c.aim).max().unwrap_or(0);
         platform.settings.progress_interval = platform.settings.progress_interval.max(aim);
     }
@@ -252,7 +261,7 @@
     for (i, raw) in operator.routes.into_iter().enumerate() {
         let key = |field: &str| format!("operator's file: routes[{i}].{field}");
         let class = faults.take(position(&platform.classes, &raw.class, &key("class")));
-        let kind = class.and_then(|c| only_kind(&platform.settings.classes[c]));
+        let kind = class.and_then(|c| bound_kind(&platform.settings.classes[c]));
         let kind = kind.and_then(|k| platform.kinds.get(k.0 as usize));
         let upstream = http_workers.iter().find(|u| Some(&u.kind) == kind);
         let given = [
@@ -262,14 +271,12 @@
             ("least_rate", raw.least_rate.is_some()),
         ];
         for (field, _) in given.iter().filter(|(_, given)| *given && upstream.is_none()) {
-            let words = format!(
-                "class {:?} is not bound to a kind of workers with \"protocol\": \"http\"",
-                raw.class
-            );
-            faults.add(key(field), words);
+            let message =
+                format!("class {:?} is not bound to a kind of worker with \"protocol\": \"http\"", raw.class);
+            faults.add(key(field), message);
         }
         if raw.idle_ms == Some(0) {
-            faults.add(key("idle_ms"), "must be above 0");
+            faults.add(key("idle_ms"), "must be greater than 0");
         }
         let proxy = upstream.map(|upstream| ProxyRoute {
             stream: raw.stream,
@@ -282,7 +289,7 @@
             max_replay_bytes: upstream.max_replay_bytes,
         });
         if proxy.as_ref().is_some_and(|p| !p.stream && p.max_body > 64 << 10) {
-            faults.add(key("max_body"), "is over 65536: larger bodies must stream");
+            faults.add(key("max_body"), "is over 65536; larger bodies need \"stream\": true");
         }
         let (path, prefix) = (raw.path, raw.matching == Matching::Prefix);
         let budget = raw.budget_ms.map(Duration::from_millis);
@@ -293,7 +300,7 @@
     Some(Config {
         name,
         listen: listen?,
-        inherited_fd: inherited?,
+        inherited_fd: inherited_fd?,
         admin_console: admin_console?,
         discovery,
         seed: seed?,
@@ -316,8 +323,8 @@
     })
 }
 
-/// The one kind of worker that a class goes to, if it is bound to one.
-fn only_kind(class: &Class) -> Option<KindId> {
+/// The kind of worker that a class is bound to, if there is exactly one.
+fn bound_kind(class: &Class) -> Option<KindId> {
     class.kind.or(match class.kinds.as_deref() {
         Some([one]) => Some(*one),
         _ => None,
@@ -328,12 +335,12 @@
     for (i, route) in operator.routes.iter().enumerate().filter(|(_, r)| !r.path.starts_with('/')) {
         faults.add(
             format!("operator's file: routes[{i}].path"),
-            format!("{:?} does not begin with /", route.path),
+            format!("{:?} does not start with /", route.path),
         );
     }
 }
 
-/// Kinds of worker by what they speak.
+/// Splits the kinds of worker by protocol.
 fn check_workers(
     operator: &Operator,
     name: &str,
@@ -342,12 +349,12 @@
     let (mut beanstalkd, mut http) = (Vec::new(), Vec::new());
     for (i, raw) in operator.workers.iter().enumerate() {
         let key = |field: &str| format!("operator's file: workers[{i}].{field}");
-        if operator.workers[..i].iter().any(|before| before.kind == raw.kind) {
-            faults.add(key("kind"), format!("{:?} stands twice", raw.kind));
+        if operator.workers[..i].iter().any(|earlier| earlier.kind == raw.kind) {
+            faults.add(key("kind"), format!("{:?} is listed twice", raw.kind));
         }
-        let of = |protocol: &str, fields: &[(&'static str, bool)], faults: &mut Faults| {
+        let only_with = |protocol: &str, fields: &[(&'static str, bool)], faults: &mut Faults| {
             for (field, _) in fields.iter().filter(|(_, given)| *given) {
-                faults.add(key(field), format!("goes with \"protocol\": \"{protocol}\" only"));
+                faults.add(key(field), format!("is only valid with \"protocol\": \"{protocol}\""));
             }
         };
         match raw.protocol {
@@ -359,7 +366,7 @@
                     ("forwarded", raw.forwarded.is_some()),
                     ("replay", raw.replay.is_some()),
                 ];
-                of("http", &given, faults);
+                only_with("http", &given, faults);
                 let work_tube = raw.work_tube.clone().unwrap_or_else(|| "work".into());
                 let answers_tube = raw.answers_tube.clone().unwrap_or_else(|| "answers".into());
                 faults.take(check_tube(&key("work_tube"), &work_tube));
@@ -369,10 +376,10 @@
             Protocol::Http => {
                 let given =
                     [("work_tube", raw.work_tube.is_some()), ("answers_tube", raw.answers_tube.is_some())];
-                of("beanstalkd", &given, faults);
+                only_with("beanstalkd", &given, faults);
                 if raw.host.as_ref().is_some_and(|h| h.is_empty() || !h.bytes().all(|b| b.is_ascii_graphic()))
                 {
-                    faults.add(key("host"), "is no host");
+                    faults.add(key("host"), "is not a valid host");
                 }
                 let replay = raw.replay.unwrap_or(64 << 10);
                 if replay > 1 << 20 {
@@ -391,8 +398,8 @@
     (beanstalkd, http)
 }
 
-/// `$GW_FD`, where it is set: a descriptor past standard input, output and error.
-fn inherited(text: Option<String>) -> Result<Option<i32>, String> {
+/// Parses `$GW_FD`: a descriptor other than standard input, output and error.
+fn inherited_fd(text: Option<String>) -> Result<Option<i32>, String> {
     let Some(text) = text else { return Ok(None) };
     match text.trim().parse::<i32>() {
         Ok(fd) if fd >= 3 => Ok(Some(fd)),
@@ -414,7 +421,7 @@
             Some(faults.take(keys.map_err(|e| format!("{}: {e}", key("key_file"))))?)
         }
         None if matches!(listen, Some(AdminAddr::Tcp(_))) => {
-            faults.add(key("key_file"), "is missing: a TCP listener needs a bearer key");
+            faults.add(key("key_file"), "is missing; a TCP listener needs a bearer key");
             None
         }
         None => None,
@@ -424,16 +431,19 @@
 
 fn peers(
     raw: &RawPeers,
-    config: &Raw,
+    config: &PlatformFile,
     platform: Option<&PlatformSettings>,
     faults: &mut Faults,
 ) -> Option<Peers> {
     if platform.is_some_and(|s| !s.peer_messages_allowed) {
-        let words = "the settings forbid talk between dispatchers (allowed.peers)";
-        faults.add("operator's file: peers", words);
+        let message = "the settings forbid messages between dispatchers (allowed.peers)";
+        faults.add("operator's file: peers", message);
     }
-    if config.peers.len() > MOST_PEERS {
-        faults.add("GW_CONFIG: peers", format!("{} are more than {MOST_PEERS}", config.peers.len()));
+    if config.peers.len() > MAX_PEERS {
+        faults.add(
+            "GW_CONFIG: peers",
+            format!("{} peers are more than the maximum of {MAX_PEERS}", config.peers.len()),
+        );
     }
     let keys = read_text(&raw.key_file)
         .and_then(|text| KeyRing::parse(&text).map_err(|e| format!("{}: {e}", raw.key_file)));
@@ -441,7 +451,7 @@
     let Some(listen) = config.peer_listen else {
         faults.add(
             "GW_CONFIG: peer_listen",
-            "is missing: the operator's file asks for talk between dispatchers",
+            "is missing; the operator's file enables messages between dispatchers (peers)",
         );
         return None;
     };
@@ -449,9 +459,9 @@
     Some(Peers { listen, others, keys: keys? })
 }
 
-/// Talk of forwards between the dispatchers of a large tier, where the settings allow it. Where overrides are talked
-/// of, they have the socket.
-fn load_gossip_peers(config: &Raw, platform: &PlatformSettings) -> Option<LoadGossipPeers> {
+/// Load gossip between the dispatchers of a large tier, where the settings allow it. Where overrides are exchanged with
+/// peers, that exchange has the socket and there is no load gossip.
+fn load_gossip_peers(config: &PlatformFile, platform: &PlatformSettings) -> Option<LoadGossipPeers> {
     let (listen, tier) = (config.peer_listen?, platform.settings.instances);
     let own_index = platform.self_index.filter(|index| (*index as usize) < config.peers.len())?;
     let is_cheap = GOSSIP_DATAGRAMS_PER_REQUEST * platform.peer_message_price <= MAX_GOSSIP_COST;
@@ -481,7 +491,7 @@
             None
         }
         Err(e) => {
-            faults.add(key, format!("{text:?}: {e}; a span is written as 30m or 16h"));
+            faults.add(key, format!("{text:?}: {e}; write a duration such as 30m or 16h"));
             None
         }
     }
@@ -492,12 +502,12 @@
     if !path.is_absolute() {
         faults.add("operator's file: state_dir", format!("{} is not an absolute path", path.display()));
     } else if path.exists() && !path.is_dir() {
-        faults.add("operator's file: state_dir", format!("{} is not a folder", path.display()));
+        faults.add("operator's file: state_dir", format!("{} is not a directory", path.display()));
     }
     Some(path)
 }
 
-/// Adds the operator's classes and their kinds to the settings, so that these are read and checked as one.
+/// Adds the operator's classes and their kinds to the settings, so that all classes are parsed and checked together.
 fn add_classes(settings: &mut Map<String, Value>, operator: &Operator) -> Result<(), String> {
     let mut kinds: Vec<String> = match settings.get("skus") {
         Some(kinds) => serde_json::from_value(kinds.clone()).map_err(|e| format!("setting skus: {e}"))?,
@@ -514,7 +524,7 @@
                 });
                 class.insert("skus_open".into(), json!([at]));
             }
-            Some(other) => return Err(format!("operator's file: classes[{i}].kind: {other} is no name")),
+            Some(other) => return Err(format!("operator's file: classes[{i}].kind: {other} is not a name")),
             None => {}
         }
         added.push(Value::Object(class));
@@ -523,14 +533,14 @@
         settings.insert("skus".into(), json!(kinds));
         match settings.entry("classes").or_insert_with(|| json!([])) {
             Value::Array(classes) => classes.extend(added),
-            _ => return Err("GW_CONFIG: setting classes: not a list".into()),
+            _ => return Err("GW_CONFIG: setting classes: is not a list".into()),
         }
     }
     Ok(())
 }
 
 fn check_beanstalkd_listener(
-    raw: RawFront,
+    raw: RawBeanstalkdListener,
     platform: &PlatformSettings,
     memory_bytes: usize,
     faults: &mut Faults,
@@ -547,7 +557,7 @@
         let class = faults.take(position(&platform.classes, &tube.class, &key("class")));
         let tenant = tube.tenant.and_then(|t| faults.take(position(&platform.tenants, &t, &key("tenant"))));
         if tube.budget_ms == Some(0) {
-            faults.add(key("budget_ms"), "must be above 0");
+            faults.add(key("budget_ms"), "must be greater than 0");
         }
         let Some(class) = class else { continue };
         let deadline = Duration::from_micros(platform.settings.classes[class].deadline);
@@ -555,10 +565,13 @@
         tubes.push(Tube { tube: tube.tube, class, tenant, budget, answers: tube.answers });
     }
     if count == 0 {
-        faults.add("operator's file: beanstalkd.tubes", "must hold at least one tube");
+        faults.add("operator's file: beanstalkd.tubes", "must list at least one tube");
     }
     if let Some(t) = tubes.iter().find(|t| tubes.iter().any(|other| other.tube == t.answers)) {
-        faults.add("operator's file: beanstalkd.tubes", format!("{:?} takes jobs and answers", t.answers));
+        faults.add(
+            "operator's file: beanstalkd.tubes",
+            format!("{:?} is used both for jobs and for answers", t.answers),
+        );
     }
     BeanstalkdListenerConfig {
         listen: raw.listen,
@@ -571,16 +584,16 @@
 }
 
 fn check_tube(key: &str, name: &str) -> Result<(), String> {
-    // A dispatcher's name may be added to it.
+    // Leaves room for the dispatcher's name, which may be appended.
     match is_name(name) && name.len() <= 128 {
         true => Ok(()),
-        false => Err(format!("{key}: {name:?} is no name of a tube of 1 to 128 characters")),
+        false => Err(format!("{key}: {name:?} is not a valid tube name of 1 to 128 characters")),
     }
 }
 
 fn position(names: &[String], name: &str, key: &str) -> Result<usize, String> {
     let at = names.iter().position(|n| n == name);
-    at.ok_or_else(|| format!("{key}: the settings have no {name:?}; they have {}", names.join(", ")))
+    at.ok_or_else(|| format!("{key}: the settings do not define {name:?}, only {}", names.join(", ")))
 }
 
 fn read_text(path: &str) -> Result<String, String> {
--- a/dispatcher/src/config/operator.rs
+++ b/dispatcher/src/config/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's file as it is written: its types are its schema.
+//! The operator's file as it is written. Its JSON Schema is generated from these types.
 
 use crate::list::Host;
 use schemars::JsonSchema;
@@ -6,39 +6,39 @@
 use serde_json::{Map, Value};
 use std::net::SocketAddr;
 
-/// What the operator sets beside the platform's configuration. All of it is optional.
+/// Settings of the operator, in addition to the platform's configuration. All of them are optional.
 #[derive(Debug, Default, Deserialize, JsonSchema, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Operator {
-    /// Classes beside those of the settings, in the settings' own form. `kind` binds one to a kind of worker.
+    /// Classes in addition to those of the settings, in the same format. `kind` binds a class to a kind of worker.
     pub classes: Vec<Map<String, Value>>,
-    /// Workers, in discovery's form; discovery is then not asked.
+    /// A fixed list of workers, in the format of discovery; discovery is then not used.
     pub hosts: Vec<Host>,
-    /// Paths beside `/api`.
+    /// Request paths in addition to `/api`.
     pub routes: Vec<RawRoute>,
-    /// Kinds of worker that speak another protocol than the platform's.
+    /// Kinds of worker that use another protocol than the platform's.
     pub workers: Vec<RawWorkers>,
-    /// The front for beanstalkd clients.
+    /// The listener for beanstalkd clients.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub beanstalkd: Option<RawFront>,
-    /// Where operators see and steer this dispatcher.
+    pub beanstalkd: Option<RawBeanstalkdListener>,
+    /// The admin listener, through which operators inspect and control this dispatcher.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub admin: Option<RawAdmin>,
-    /// Talk with the `peers` of the platform's configuration.
+    /// Messages exchanged with the `peers` of the platform's configuration.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub peers: Option<RawPeers>,
-    /// The fleet that this dispatcher is a member of: who is there, and who owns what.
+    /// The fleet that this dispatcher is a member of: membership and ownership of resources.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub fleet: Option<RawFleet>,
-    /// What may be overridden.
+    /// Limits of overrides.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub overrides: Option<RawOverrides>,
-    /// A folder of this dispatcher alone, where overrides outlast a restart.
+    /// A directory used by this dispatcher only, in which overrides persist across restarts.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub state_dir: Option<String>,
 }
 
-/// A path and the class of what comes in there.
+/// A request path and the class of the jobs posted to it.
 #[derive(Debug, Default, Deserialize, JsonSchema, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawRoute {
@@ -48,21 +48,21 @@
     pub class: String,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub budget_ms: Option<u64>,
-    /// Bodies of requests pass as they come; only to workers that speak plain HTTP.
+    /// Request bodies are streamed instead of buffered; only for workers that use plain HTTP.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub stream: bool,
-    /// The largest body of a request, in bytes: 65,536 unless bodies stream, any if they do.
+    /// Maximum size of a request body in bytes (65,536; unlimited where bodies are streamed).
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_body: Option<u64>,
-    /// A client or worker may move nothing for so long while a body passes (30,000).
+    /// Maximum time in milliseconds without progress by a client or worker while a body is transferred (30,000).
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub idle_ms: Option<u64>,
-    /// Bytes a second that a client or worker must move while a body passes, over 5 s (1,024; 0: any).
+    /// Minimum transfer rate of a client or worker in bytes per second, averaged over 5 s (1,024; 0: no minimum).
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub least_rate: Option<u64>,
 }
 
-/// How a route's path is compared: it must be the same, or the beginning.
+/// How a route's path is compared with that of a request: as a whole or as a prefix.
 #[derive(Clone, Copy, Debug, Default, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Matching {
@@ -71,34 +71,34 @@
     Prefix,
 }
 
-/// What a kind of worker speaks.
+/// The protocol of a kind of worker.
 #[derive(Clone, Copy, Debug, Default, Deserialize, JsonSchema, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Protocol {
-    /// It takes jobs from its beanstalkd server.
+    /// Takes jobs from its beanstalkd server.
     #[default]
     Beanstalkd,
-    /// It answers HTTP/1.1 requests on the connection.
+    /// Answers HTTP/1.1 requests on the connection.
     Http,
 }
 
-/// A kind of worker, and what it speaks.
+/// A kind of worker and its protocol.
 #[derive(Clone, Debug, Default, Deserialize, JsonSchema, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawWorkers {
     pub kind: String,
     #[serde(default)]
     pub protocol: Protocol,
-    /// Beanstalkd: the tube that jobs go to (`work`).
+    /// Beanstalkd: the tube that jobs are put into (`work`).
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub work_tube: Option<String>,
-    /// Beanstalkd: the tube that answers come from (`answers`).
+    /// Beanstalkd: the tube that answers are taken from (`answers`).
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub answers_tube: Option<String>,
-    /// HTTP: the `Host` that it is sent, in place of the client's.
+    /// HTTP: replaces the `Host` header of the client.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub host: Option<String>,
-    /// HTTP: whether this dispatcher names itself in `Via` (true).
+    /// HTTP: whether a `Via` header with this dispatcher's name is added (true).
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub via: Option<bool>,
     /// HTTP: whether `X-Forwarded-For`, `-Host` and `-Proto` are sent (true).
@@ -107,27 +107,28 @@
     /// HTTP: whether `Forwarded` is sent (false).
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub forwarded: Option<bool>,
-    /// HTTP: bytes of an upload that are held to be sent again (65,536).
+    /// HTTP: maximum bytes of a request body that are buffered for a further attempt (65,536).
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub replay: Option<usize>,
 }
 
-/// The front for beanstalkd clients.
+/// The listener for beanstalkd clients.
 #[derive(Debug, Deserialize, JsonSchema, Serialize)]
+#[schemars(rename = "RawFront")]
 #[serde(deny_unknown_fields)]
-pub struct RawFront {
+pub struct RawBeanstalkdListener {
     pub listen: SocketAddr,
-    /// The path that jobs are forwarded under to workers that speak HTTP.
-    #[serde(default = "api")]
+    /// The request path of jobs that are forwarded to workers that use HTTP.
+    #[serde(default = "default_path")]
     pub path: String,
-    #[serde(default = "max_connections")]
+    #[serde(default = "default_max_connections")]
     pub max_connections: usize,
-    #[serde(default = "max_jobs")]
+    #[serde(default = "default_max_jobs")]
     pub max_jobs: usize,
     pub tubes: Vec<RawTube>,
 }
 
-/// A tube that jobs are put into, and what they are.
+/// A tube that clients put jobs into, with the class and tenant of these jobs.
 #[derive(Debug, Deserialize, JsonSchema, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawTube {
@@ -146,19 +147,19 @@
 pub struct RawAdmin {
     /// A loopback address with its port, or the path of a Unix socket, which begins with `/`.
     pub listen: String,
-    /// Holds the bearer key, or two, a line each; needed unless `listen` is a Unix socket.
+    /// File with one bearer key or two, one per line; required unless `listen` is a Unix socket.
     #[serde(default)]
     pub key_file: Option<String>,
-    /// Calls in hand at a time.
-    #[serde(default = "admin_connections")]
+    /// Maximum number of concurrent calls.
+    #[serde(default = "default_admin_connections")]
     pub max_connections: usize,
 }
 
-/// Talk between dispatchers.
+/// Messages between dispatchers.
 #[derive(Debug, Deserialize, JsonSchema, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawPeers {
-    /// Holds the key, 64 hexadecimal digits, or two while it is being replaced, a line each.
+    /// File with the key as 64 hexadecimal digits; during key rotation with two keys, one per line.
     pub key_file: String,
 }
 
@@ -168,23 +169,23 @@
 pub struct RawFleet {
     /// This dispatcher's name among `members`.
     pub name: String,
-    /// Where other members reach this one, over TCP.
+    /// TCP address on which this member accepts links from other members.
     pub listen: SocketAddr,
-    /// All members, this one too: the same names in every file; addresses may differ.
+    /// All members, including this one. Names must be the same at all members; addresses may differ.
     pub members: Vec<RawMember>,
-    /// Names of those that decide who owns what: 7 at most; the first five names unless said. They need a
+    /// Names of the members that vote on ownership: 7 at most; by default the first five names. Each needs a
     /// `state_dir`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub voters: Option<Vec<String>>,
-    /// Holds the key of links between members, 64 hexadecimal digits, or two while it is being replaced.
+    /// File with the key of links between members as 64 hexadecimal digits; during key rotation with two keys.
     pub key_file: String,
-    /// How long ownership lasts without renewal, in milliseconds (1,500); the same at all members.
+    /// Duration of an ownership lease in milliseconds (1,500); must be the same at all members.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lease_ms: Option<u64>,
-    /// How far the rate of a clock may be off, in parts of 1,000 (20); the same at all members.
+    /// Maximum error of a clock's rate, per mille (20); must be the same at all members.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub drift: Option<u32>,
-    /// One member probes the suspects of a zone for all.
+    /// For each zone, a single member probes suspect workers on behalf of all.
     #[serde(default)]
     pub one_prober: bool,
 }
@@ -201,7 +202,7 @@
 #[derive(Debug, Deserialize, JsonSchema, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RawOverrides {
-    /// The longest span from setting an override to its end, as `30m` or `16h`; `72h` at most.
+    /// Maximum duration of an override, such as `30m` or `16h`; `72h` at most.
     pub longest: String,
 }
 
@@ -211,18 +212,18 @@
     }
 }
 
-fn api() -> String {
+fn default_path() -> String {
     "/api".into()
 }
 
-fn max_connections() -> usize {
+fn default_max_connections() -> usize {
     64
 }
 
-fn max_jobs() -> usize {
+fn default_max_jobs() -> usize {
     10_000
 }
 
-fn admin_connections() -> usize {
+fn default_admin_connections() -> usize {
     8
 }
