--- a/dispatcher/src/cli/check.rs
+++ b/dispatcher/src/cli/check.rs
@@ -4,45 +4,46 @@
 use crate::config::{self, Config, LoadPhase, Sources};
 use serde_json::{json, Value};
 
-/// Prints what the configuration resolves to, or everything that is wrong with it.
+/// Prints the resolved configuration, or all of its errors.
 pub fn check(sources: Sources) -> Result<(), Failure> {
-    let read = config::read(|key| std::env::var(key).ok(), &sources, LoadPhase::Start);
-    let config = read.map_err(|faults| {
+    let config = config::read(|key| std::env::var(key).ok(), &sources, LoadPhase::Start);
+    let config = config.map_err(|faults| {
         let count = faults.iter().count();
         let plural = if count == 1 { "fault" } else { "faults" };
-        Failure::failed(format!("{faults}\n{count} {plural}; nothing was started"))
+        Failure::failed(format!("{faults}\n{count} {plural} found; nothing was started"))
     })?;
     print_json(&resolved(&config))
 }
 
-/// The configuration as it is used. Keys are never shown.
+/// The resolved configuration as JSON, without secret keys.
 fn resolved(config: &Config) -> Value {
     let (platform, ms) = (&config.platform, |micros: u64| micros as f64 / 1000.0);
-    let names = |at: usize, names: &[String]| names.get(at).cloned().unwrap_or_else(|| at.to_string());
+    let name_of =
+        |index: usize, names: &[String]| names.get(index).cloned().unwrap_or_else(|| index.to_string());
     let classes: Vec<Value> = (platform.classes.iter().zip(&platform.settings.classes))
         .map(|(name, class)| {
-            let kind = class.kind.map(|k| names(k.0 as usize, &platform.kinds));
+            let kind = class.kind.map(|k| name_of(k.0 as usize, &platform.kinds));
             json!({"class": name, "aim_ms": ms(class.aim), "deadline_ms": ms(class.deadline),
                 "effect": format!("{:?}", class.effect), "kind": kind})
         })
         .collect();
     let routes: Vec<Value> = (config.routes.iter())
         .map(|r| {
-            let class = r.class.map(|c| names(c, &platform.classes));
+            let class = r.class.map(|c| name_of(c, &platform.classes));
             json!({"path": r.path, "match": if r.prefix { "prefix" } else { "exact" }, "class": class,
                 "budget_ms": r.budget.map(|b| b.as_millis() as u64)})
         })
         .collect();
-    let beanstalkd = config.beanstalkd.as_ref().map(|front| {
-        let tubes: Vec<Value> = (front.tubes.iter())
+    let beanstalkd = config.beanstalkd.as_ref().map(|listener| {
+        let tubes: Vec<Value> = (listener.tubes.iter())
             .map(|t| {
-                json!({"tube": t.tube, "class": names(t.class, &platform.classes), "answers": t.answers,
-                    "tenant": t.tenant.map(|t| names(t, &platform.tenants)),
+                json!({"tube": t.tube, "class": name_of(t.class, &platform.classes), "answers": t.answers,
+                    "tenant": t.tenant.map(|t| name_of(t, &platform.tenants)),
                     "budget_ms": t.budget.as_millis() as u64})
             })
             .collect();
-        json!({"listen": front.listen.to_string(), "path": front.path, "max_jobs": front.max_jobs,
-            "max_connections": front.max_connections, "tubes": tubes})
+        json!({"listen": listener.listen.to_string(), "path": listener.path, "max_jobs": listener.max_jobs,
+            "max_connections": listener.max_connections, "tubes": tubes})
     });
     json!({
         "name": config.name,
--- a/dispatcher/src/cli/client.rs
+++ b/dispatcher/src/cli/client.rs
@@ -12,23 +12,23 @@
 use std::time::Duration;
 use tokio::net::UnixStream;
 
-/// A call takes this long at most; a dispatcher answers within less.
-const ANSWER_WITHIN: Duration = Duration::from_secs(8);
-const MAX_ANSWER: usize = 64 << 20;
+/// Time limit of a call; a running dispatcher answers earlier.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(8);
+const MAX_ANSWER_BYTES: usize = 64 << 20;
 
-/// Which dispatcher, and the key to it.
+/// The address of a dispatcher's admin listener and the key for it.
 #[derive(Clone, Debug, clap::Args)]
 pub struct Admin {
     /// The admin listener: ADDRESS:PORT on loopback, or the path of its Unix socket
     #[arg(long, value_name = "ADDR")]
     admin: AdminAddr,
-    /// Holds the bearer key
+    /// File with the bearer key
     #[arg(long, value_name = "FILE")]
     key_file: Option<PathBuf>,
 }
 
 impl Admin {
-    /// Makes a call and reads its answer.
+    /// Sends a request and parses the answer.
     pub fn call<T: DeserializeOwned>(
         &self,
         method: Method,
@@ -49,8 +49,10 @@
             return serde_json::from_slice(&answer)
                 .map_err(|e| Failure::failed(format!("{}: not a dispatcher's answer: {e}", self.admin)));
         }
-        let words = serde_json::from_slice::<Fault>(&answer).map(|f| f.error);
-        Err(Failure::failed(words.unwrap_or_else(|_| format!("{} answers {status}", self.admin))))
+        let message = serde_json::from_slice::<Fault>(&answer).map(|f| f.error);
+        Err(Failure::failed(
+            message.unwrap_or_else(|_| format!("{} answered with status {status}", self.admin)),
+        ))
     }
 
     async fn send(
@@ -60,7 +62,7 @@
         key: Option<String>,
         body: Option<Vec<u8>>,
     ) -> Result<(u16, Vec<u8>), Failure> {
-        let client = awc::Client::builder().timeout(ANSWER_WITHIN).disable_redirects();
+        let client = awc::Client::builder().timeout(ANSWER_TIMEOUT).disable_redirects();
         let (client, host) = match &self.admin {
             AdminAddr::Tcp(addr) => (client.finish(), addr.to_string()),
             AdminAddr::Unix(path) => {
@@ -80,12 +82,12 @@
         if let Some(key) = key {
             request = request.bearer_auth(key);
         }
-        let gone = |e: String| {
+        let unreachable = |e: String| {
             Failure::unreachable(format!("--admin: no dispatcher answers at {}: {e}", self.admin))
         };
         let mut answer =
-            request.send_body(body.unwrap_or_default()).await.map_err(|e| gone(e.to_string()))?;
-        let text = answer.body().limit(MAX_ANSWER).await.map_err(|e| gone(e.to_string()))?;
+            request.send_body(body.unwrap_or_default()).await.map_err(|e| unreachable(e.to_string()))?;
+        let text = answer.body().limit(MAX_ANSWER_BYTES).await.map_err(|e| unreachable(e.to_string()))?;
         Ok((answer.status().as_u16(), text.to_vec()))
     }
 }
--- a/dispatcher/src/cli/fleet.rs
+++ b/dispatcher/src/cli/fleet.rs
@@ -1,7 +1,7 @@
 //! `lineroute fleet`.
 
 use super::client::Admin;
-use super::workers::{lines, table};
+use super::workers::{render, table};
 use super::{print, print_json, Failure};
 use crate::fleet::api::{FleetView, ReplaceVoterRequest};
 use awc::http::Method;
@@ -10,7 +10,7 @@
 pub struct Args {
     #[command(flatten)]
     admin: Admin,
-    /// As JSON, for scripts
+    /// Print JSON, for scripts
     #[arg(long)]
     json: bool,
     #[command(subcommand)]
@@ -19,22 +19,22 @@
 
 #[derive(Debug, clap::Subcommand)]
 enum Command {
-    /// Have one member vote in place of another; to be said to the leader
+    /// Replace a voter by another member; must be sent to the leader
     Replace {
-        /// The one that votes no longer
+        /// The voter that is removed
         old: String,
-        /// The one that votes in its place; it needs a `state_dir`
+        /// The member that becomes a voter; it needs a `state_dir`
         new: String,
     },
 }
 
-/// Shows the fleet as a dispatcher sees it, or changes who votes.
+/// Prints the fleet as a dispatcher sees it, or replaces a voter.
 pub fn fleet(args: Args) -> Result<(), Failure> {
     if let Some(Command::Replace { old, new }) = args.command {
-        let order = ReplaceVoterRequest { replace: old, by: new };
-        let done: ReplaceVoterRequest = args.admin.call(Method::POST, "/fleet/voters", Some(&order))?;
+        let request = ReplaceVoterRequest { replace: old, by: new };
+        let done: ReplaceVoterRequest = args.admin.call(Method::POST, "/fleet/voters", Some(&request))?;
         return print(&format!(
-            "{} will vote in place of {}; `lineroute fleet` shows when\n",
+            "{} will replace {} as a voter; `lineroute fleet` shows when it does\n",
             done.by, done.replace
         ));
     }
@@ -59,17 +59,17 @@
         let votes = if m.votes { "yes" } else { "" };
         members.add_row([m.member.as_str(), &m.state, &since, votes, &lag, &m.why]);
     }
-    text += &lines(&members);
+    text += &render(&members);
     let mut owners = table(&["THING", "OWNER", "TOKEN", "LEFT"]);
     for o in &view.owners {
         let left = o.left_ms.map_or(String::new(), |ms| format!("{ms}ms"));
         owners.add_row([&o.thing, &o.owner, &o.token.to_string(), &left]);
     }
     if !view.owners.is_empty() {
-        text += &lines(&owners);
+        text += &render(&owners);
     }
     if !view.orphaned_work.is_empty() {
-        text += &format!("orphaned work that waits: {}\n", view.orphaned_work.join(", "));
+        text += &format!("orphaned work without an owner: {}\n", view.orphaned_work.join(", "));
     }
     print(&text)
 }
--- a/dispatcher/src/cli/mod.rs
+++ b/dispatcher/src/cli/mod.rs
@@ -1,7 +1,7 @@
-//! The command line. Without a sub-command the program runs, as `run` does.
+//! The command line. Without a sub-command a dispatcher is run, as with `run`.
 //!
-//! Exit codes: 0, done; 1, it can't be done, and the message says why; 2, the command's words are off;
-//! 3, no dispatcher answers at the admin address.
+//! Exit codes: 0, success; 1, failure, with the reason in the message; 2, wrong usage; 3, no dispatcher answers at the
+//! admin address.
 
 mod check;
 mod client;
@@ -18,30 +18,30 @@
 use clap_complete::Shell;
 use std::process::ExitCode;
 
-/// Ends the command: what to say, and with which code.
+/// Why a command failed: the message and the exit code.
 #[derive(Debug, PartialEq)]
 pub struct Failure {
     pub code: u8,
-    pub words: String,
+    pub message: String,
 }
 
 impl Failure {
-    pub fn failed(words: impl Into<String>) -> Failure {
-        Failure { code: 1, words: words.into() }
+    pub fn failed(message: impl Into<String>) -> Failure {
+        Failure { code: 1, message: message.into() }
     }
 
-    fn unreachable(words: impl Into<String>) -> Failure {
-        Failure { code: 3, words: words.into() }
+    fn unreachable(message: impl Into<String>) -> Failure {
+        Failure { code: 3, message: message.into() }
     }
 }
 
 /// Takes jobs from clients and pushes them to workers.
 ///
-/// Without a command it runs a dispatcher: GW_CONFIG names the platform's configuration; GW_NAME, GW_LISTEN
-/// and GW_DISCOVERY win over what it says.
+/// Without a command it runs a dispatcher: GW_CONFIG names the platform's configuration file; GW_NAME, GW_LISTEN
+/// and GW_DISCOVERY take precedence over its values.
 #[derive(Debug, Parser)]
 #[command(name = "lineroute", version, args_conflicts_with_subcommands = true)]
-#[command(after_help = "Exit codes: 0 done, 1 it can't be done, 2 wrong usage, 3 no dispatcher answers.")]
+#[command(after_help = "Exit codes: 0 success, 1 failure, 2 wrong usage, 3 no dispatcher answers.")]
 struct Cli {
     #[command(subcommand)]
     command: Option<Command>,
@@ -49,10 +49,10 @@
     run: RunArgs,
 }
 
-/// Where configuration is found.
+/// Paths of the configuration files.
 #[derive(Clone, Debug, Default, clap::Args)]
 pub struct SourceArgs {
-    /// The platform's configuration, in place of what GW_CONFIG names
+    /// The platform's configuration; takes precedence over GW_CONFIG
     #[arg(long, value_name = "FILE")]
     config: Option<String>,
     /// The operator's file
@@ -70,42 +70,42 @@
 pub struct RunArgs {
     #[command(flatten)]
     pub sources: SourceArgs,
-    /// The form of the log, which goes to standard error
+    /// The format of the log, which is written to standard error
     #[arg(long, value_name = "FORM", value_enum, default_value_t)]
     pub log_format: Form,
-    /// What is logged at least
+    /// The lowest level that is logged
     #[arg(long, value_name = "LEVEL", value_enum, default_value_t)]
     pub log: Threshold,
 }
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Run a dispatcher (what no command means)
+    /// Run a dispatcher (the default without a command)
     Run(RunArgs),
-    /// Read all configuration; print what it resolves to, or everything that is wrong with it
+    /// Validate the configuration; print the resolved configuration or all errors
     Check(SourceArgs),
     /// Print the JSON Schema of the operator's file
     Schema,
-    /// Print the operator's file that nginx upstream and location blocks amount to
+    /// Convert nginx upstream and location blocks to an operator's file, and print it
     ImportNginx {
         /// The nginx configuration
         file: String,
     },
-    /// List the workers of a running dispatcher, and what is in force for them
+    /// List the workers of a running dispatcher, and the overrides in force for them
     Workers(workers::Args),
     /// List, set or clear overrides of a running dispatcher
     #[command(subcommand)]
     Overrides(overrides::Command),
-    /// Show the fleet as a running dispatcher sees it: who is there, who owns what
+    /// Show the fleet as a running dispatcher sees it: members and owners of resources
     Fleet(fleet::Args),
-    /// Print completions for a shell
+    /// Print the completion script for a shell
     Completions { shell: Shell },
 }
 
-/// Reads the command line and does what it says; `run` is how a dispatcher is run.
+/// Parses the command line and executes the command; `run` runs a dispatcher.
 pub fn main(run: impl FnOnce(RunArgs) -> Result<(), String>) -> ExitCode {
     let cli = Cli::parse();
-    let done = match cli.command {
+    let result = match cli.command {
         None => run(cli.run).map_err(Failure::failed),
         Some(Command::Run(args)) => run(args).map_err(Failure::failed),
         Some(Command::Check(args)) => check::check(args.into()),
@@ -119,16 +119,16 @@
             Ok(())
         }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Failure { code, words }) => {
-            words.lines().for_each(|line| eprintln!("lineroute: {line}"));
+        Err(Failure { code, message }) => {
+            message.lines().for_each(|line| eprintln!("lineroute: {line}"));
             ExitCode::from(code)
         }
     }
 }
 
-/// Writes to standard output. A reader that has had enough, as `head`, is no fault.
+/// Writes to standard output. A reader that closes the pipe early, such as `head`, is not an error.
 fn print(text: &str) -> Result<(), Failure> {
     use std::io::{ErrorKind, Write};
     match std::io::stdout().write_all(text.as_bytes()) {
@@ -147,9 +147,9 @@
     use super::*;
 
     #[test]
-    fn the_command_line_is_sound_and_a_bare_one_runs() {
+    fn the_command_line_is_valid_and_runs_a_dispatcher_without_a_command() {
         Cli::command().debug_assert();
-        let cli = Cli::try_parse_from(["lineroute", "--operator", "x.json"]).expect("as ever");
+        let cli = Cli::try_parse_from(["lineroute", "--operator", "x.json"]).expect("valid arguments");
         assert!(cli.command.is_none() && cli.run.sources.operator.as_deref() == Some("x.json"));
         assert!(Cli::try_parse_from(["lineroute", "--operator", "x.json", "check"]).is_err());
         assert!(Cli::try_parse_from(["lineroute", "sideways"]).is_err());
--- a/dispatcher/src/cli/overrides.rs
+++ b/dispatcher/src/cli/overrides.rs
@@ -1,8 +1,8 @@
 //! `lineroute overrides`.
 
 use super::client::Admin;
-use super::span::{after, left, moment, until};
-use super::workers::{lines, table};
+use super::span::{format_duration, format_time, parse_duration_from_now, parse_until};
+use super::workers::{render, table};
 use super::{print, print_json, Failure};
 use crate::admin::api::{ClearOrder, Done, Overridden, OverrideLine, SetOrder};
 use awc::http::Method;
@@ -12,26 +12,26 @@
 
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// List the overrides, who set them, and when they end
+    /// List the overrides with who set them and when they end
     List {
         #[command(flatten)]
         admin: Admin,
-        /// As JSON, for scripts
+        /// Print JSON, for scripts
         #[arg(long)]
         json: bool,
     },
-    /// Set an override; it ends by itself
+    /// Set an override, which ends at a given time
     #[command(group(ArgGroup::new("what").required(true).args(["weight", "out_of_service", "pin"])))]
     #[command(group(ArgGroup::new("end").required(true).args(["span", "until"])))]
     Set(SetArgs),
-    /// End an override before its time
+    /// Clear an override before it ends
     Clear {
         #[command(flatten)]
         admin: Admin,
-        /// As `list` shows it
+        /// The ID that `list` shows
         id: String,
         #[command(flatten)]
-        said: Said,
+        reason: Reason,
     },
 }
 
@@ -39,22 +39,22 @@
 pub struct SetArgs {
     #[command(flatten)]
     admin: Admin,
-    /// The worker, by its name in the list
+    /// The worker's name in the worker list
     #[arg(long, value_name = "NAME")]
     worker: String,
-    /// Multiply its share by this, from 0.01 to 100
+    /// Factor for the worker's share, from 0.01 to 100
     #[arg(long, value_name = "X")]
     weight: Option<f64>,
-    /// Send it nothing new; what it has in hand it finishes
+    /// Send no new jobs to the worker; it finishes those it has
     #[arg(long)]
     out_of_service: bool,
-    /// Send the flows of this class, or of one tenant of it, to this worker only
+    /// Send the flows of this class, or of one of its tenants, to this worker only
     #[arg(long, value_name = "CLASS[/TENANT]")]
     pin: Option<String>,
-    /// How long, as 30m or 2h
+    /// Duration, such as 30m or 2h
     #[arg(long = "for", value_name = "SPAN")]
     span: Option<String>,
-    /// Until when: 06:00 (the next one), "2026-12-02 06:00" or RFC 3339
+    /// End: 06:00 (the next one), "2026-12-02 06:00" or RFC 3339
     #[arg(long, value_name = "TIME")]
     until: Option<String>,
     /// Who sets it
@@ -69,8 +69,8 @@
 }
 
 #[derive(Debug, clap::Args)]
-pub struct Said {
-    /// Who clears it; USER, if not given
+pub struct Reason {
+    /// Who clears it; defaults to $USER
     #[arg(long, value_name = "WHO")]
     by: Option<String>,
     /// Why
@@ -78,12 +78,12 @@
     why: Option<String>,
 }
 
-/// Does what the sub-command says.
+/// Executes the sub-command.
 pub fn overrides(command: Command) -> Result<(), Failure> {
     match command {
         Command::List { admin, json } => list(&admin, json),
         Command::Set(args) => set(args),
-        Command::Clear { admin, id, said } => clear(&admin, &id, said),
+        Command::Clear { admin, id, reason } => clear(&admin, &id, reason),
     }
 }
 
@@ -99,11 +99,12 @@
     let mut table =
         table(&["WORKER", "OVERRIDE", "LEFT", "UNTIL", "BY", "AT", "SET", "STANDING", "ID", "WHY"]);
     for line in &answer.overrides {
-        let (left, until, set) = (left(line.left_ms), moment(line.until_ms, now), moment(line.set_ms, now));
-        let (what, standing) = (what(line), standing(line, now));
+        let (left, until, set) =
+            (format_duration(line.left_ms), format_time(line.until_ms, now), format_time(line.set_ms, now));
+        let (description, standing) = (describe(line), standing(line, now));
         table.add_row([
             &line.worker,
-            &what,
+            &description,
             &left,
             &until,
             &line.by,
@@ -114,10 +115,10 @@
             &line.why,
         ]);
     }
-    print(&lines(&table))
+    print(&render(&table))
 }
 
-fn what(line: &OverrideLine) -> String {
+fn describe(line: &OverrideLine) -> String {
     match (line.weight, &line.class, &line.tenant) {
         (Some(weight), ..) => format!("weight {weight}"),
         (_, Some(class), Some(tenant)) => format!("pinned {class}/{tenant}"),
@@ -128,7 +129,7 @@
 
 fn standing(line: &OverrideLine, now: DateTime<Local>) -> String {
     match (&line.beaten, line.kind.as_str()) {
-        (Some(b), _) => format!("beaten by {} ({}, {})", b.id, b.by, moment(b.at_ms, now)),
+        (Some(b), _) => format!("beaten by {} ({}, {})", b.id, b.by, format_time(b.at_ms, now)),
         (None, "pinned") if line.standing != "in force" => format!("{}: falls back", line.standing),
         (None, _) => line.standing.clone(),
     }
@@ -136,11 +137,11 @@
 
 fn set(args: SetArgs) -> Result<(), Failure> {
     let now = Local::now();
-    let usage = |key: &str, words: String| Failure { code: 2, words: format!("{key}: {words}") };
+    let usage = |key: &str, message: String| Failure { code: 2, message: format!("{key}: {message}") };
     let until_ms = match (&args.span, &args.until) {
-        (Some(span), _) => after(span, now).map_err(|e| usage("--for", e))?,
-        (None, Some(time)) => until(time, now).map_err(|e| usage("--until", e))?,
-        (None, None) => return Err(usage("--for", "say how long, or --until when".into())),
+        (Some(span), _) => parse_duration_from_now(span, now).map_err(|e| usage("--for", e))?,
+        (None, Some(time)) => parse_until(time, now).map_err(|e| usage("--until", e))?,
+        (None, None) => return Err(usage("--for", "is missing; give it or --until".into())),
     };
     let SetArgs { admin, worker, weight, out_of_service, pin, by, why, json, .. } = args;
     let order = SetOrder { worker, weight, out_of_service, pin, until_ms, by, why };
@@ -148,24 +149,26 @@
     if json {
         return print_json(&done);
     }
-    let mut said = format!("{}\n", done.id);
+    let mut text = format!("{}\n", done.id);
     if let Some(line) = &done.set {
-        let (what, standing, left) = (what(line), standing(line, now), left(line.left_ms));
-        said += &format!(
-            "{} {what}: {standing}, until {} ({left} left)\n",
+        let (description, standing, left) =
+            (describe(line), standing(line, now), format_duration(line.left_ms));
+        text += &format!(
+            "{} {description}: {standing}, until {} ({left} left)\n",
             line.worker,
-            moment(line.until_ms, now)
+            format_time(line.until_ms, now)
         );
     }
-    print(&said)?;
+    print(&text)?;
     warn_unsaved(&done);
     Ok(())
 }
 
-fn clear(admin: &Admin, id: &str, said: Said) -> Result<(), Failure> {
-    let usual = ClearOrder::default();
-    let by = said.by.or_else(|| std::env::var("USER").ok().filter(|u| !u.is_empty())).unwrap_or(usual.by);
-    let order = ClearOrder { by, why: said.why.unwrap_or(usual.why) };
+fn clear(admin: &Admin, id: &str, reason: Reason) -> Result<(), Failure> {
+    let defaults = ClearOrder::default();
+    let by =
+        reason.by.or_else(|| std::env::var("USER").ok().filter(|u| !u.is_empty())).unwrap_or(defaults.by);
+    let order = ClearOrder { by, why: reason.why.unwrap_or(defaults.why) };
     let path = format!("/overrides/{}", utf8_percent_encode(id, NON_ALPHANUMERIC));
     let done: Done = admin.call(Method::DELETE, &path, Some(&order))?;
     print(&format!("{} cleared\n", done.id))?;
@@ -175,6 +178,6 @@
 
 fn warn_unsaved(done: &Done) {
     if done.saved == Some(false) {
-        eprintln!("lineroute: in force, but not on the disk yet: see the dispatcher's log");
+        eprintln!("lineroute: in force, but not yet written to disk; see the dispatcher's log");
     }
 }
--- a/dispatcher/src/cli/schema.rs
+++ b/dispatcher/src/cli/schema.rs
@@ -3,7 +3,7 @@
 use super::{print_json, Failure};
 use crate::config::Operator;
 
-/// Prints the JSON Schema of the operator's file, made from the types that read it.
+/// Prints the JSON Schema of the operator's file, generated from the types that parse it.
 pub fn schema() -> Result<(), Failure> {
     print_json(&schemars::schema_for!(Operator))
 }
--- a/dispatcher/src/cli/workers.rs
+++ b/dispatcher/src/cli/workers.rs
@@ -10,20 +10,20 @@
 pub struct Args {
     #[command(flatten)]
     admin: Admin,
-    /// As JSON, for scripts
+    /// Print JSON, for scripts
     #[arg(long)]
     json: bool,
 }
 
-/// A table without frames, for people.
-pub fn table(heads: &[&str]) -> Table {
+/// A table without borders.
+pub fn table(headings: &[&str]) -> Table {
     let mut table = Table::new();
-    table.load_preset(presets::NOTHING).set_header(heads.to_vec());
+    table.load_preset(presets::NOTHING).set_header(headings.to_vec());
     table
 }
 
-/// The table as lines without blanks at their ends.
-pub fn lines(table: &Table) -> String {
+/// The table as text, without trailing spaces.
+pub fn render(table: &Table) -> String {
     table.lines().map(|line| line.trim_end().to_owned() + "\n").collect()
 }
 
@@ -39,16 +39,16 @@
     let mut table = table(&["WORKER", "ADDRESS", "ZONE", "KIND", "STATE", "FORWARDS", "IN FORCE"]);
     for line in &answer.workers {
         let WorkerLine { worker, addr, zone, kind, state, forwards, .. } = line;
-        let mut force = Vec::new();
+        let mut in_force = Vec::new();
         if line.out_of_service {
-            force.push("out-of-service".to_owned());
+            in_force.push("out-of-service".to_owned());
         }
         if line.weight != 1.0 {
-            force.push(format!("weight {}", line.weight));
+            in_force.push(format!("weight {}", line.weight));
         }
-        force.extend(line.pinned.iter().map(|p| format!("pinned {p}")));
-        let (forwards, force) = (forwards.to_string(), force.join(", "));
-        table.add_row([worker, addr, zone, kind, state, &forwards, &force]);
+        in_force.extend(line.pinned.iter().map(|p| format!("pinned {p}")));
+        let (forwards, in_force) = (forwards.to_string(), in_force.join(", "));
+        table.add_row([worker, addr, zone, kind, state, &forwards, &in_force]);
     }
-    print(&lines(&table))
+    print(&render(&table))
 }
--- a/dispatcher/src/config/checked.rs
+++ b/dispatcher/src/config/checked.rs
@@ -193,7 +193,7 @@
     pub peers: Vec<SocketAddr>,
     /// The index of this dispatcher in `peers`.
     pub own_index: u32,
-    /// A multicast or broadcast address that reaches all of them, if there is one.
+    /// An address that reaches all of them, if there is one.
     pub all_peers: Option<SocketAddr>,
     /// The zone of this dispatcher, if any.
     pub zone_name: Option<String>,
--- a/dispatcher/src/config/faults.rs
+++ b/dispatcher/src/config/faults.rs
@@ -13,15 +13,15 @@
 pub struct Faults(Vec<String>);
 
 impl Faults {
-    pub fn add(&mut self, key: impl fmt::Display, words: impl fmt::Display) {
+    pub fn add(&mut self, key: impl fmt::Display, message: impl fmt::Display) {
         if self.0.len() < MAX_FAULTS {
-            self.0.push(format!("{key}: {words}"));
+            self.0.push(format!("{key}: {message}"));
         }
     }
 
     /// Returns the value of a result, or records its error.
     pub fn take<T>(&mut self, result: Result<T, String>) -> Option<T> {
-        result.map_err(|words| self.0.push(words)).ok()
+        result.map_err(|message| self.0.push(message)).ok()
     }
 
     pub fn is_empty(&self) -> bool {
@@ -98,10 +98,10 @@
 /// Records all errors of the platform's settings.
 pub fn check_settings(value: Value, faults: &mut Faults) {
     collect_faults_with("GW_CONFIG: setting", value, faults, |value| {
-        let Err(words) = lineroute_settings::parse(&value.to_string()) else { return Ok(()) };
-        let words = words.strip_prefix("setting ").unwrap_or(&words);
-        let (path, words) = words.split_once(": ").unwrap_or(("", words));
-        Err((parse_path(path), words.to_owned()))
+        let Err(message) = lineroute_settings::parse(&value.to_string()) else { return Ok(()) };
+        let message = message.strip_prefix("setting ").unwrap_or(&message);
+        let (path, message) = message.split_once(": ").unwrap_or(("", message));
+        Err((parse_path(path), message.to_owned()))
     });
 }
 
@@ -125,8 +125,8 @@
 ) {
     // Paths in the file; indexes in `value` differ once elements have been removed.
     let mut removed_paths: Vec<Vec<Step>> = Vec::new();
-    while let Err((mut path, words)) = read(&value) {
-        let named = |kind: &str| words.strip_prefix(kind)?.split('`').nth(1).map(str::to_owned);
+    while let Err((mut path, message)) = read(&value) {
+        let named = |kind: &str| message.strip_prefix(kind)?.split('`').nth(1).map(str::to_owned);
         if let Some(field) = named("unknown field ") {
             let is_missing = path.last() != Some(&Step::Key(field.clone()));
             path.extend(is_missing.then_some(Step::Key(field)));
@@ -140,7 +140,7 @@
         if !removed_here {
             let at = format_path(&original);
             let key = if at.is_empty() { source.to_owned() } else { format!("{source}: {at}") };
-            faults.add(key, &words);
+            faults.add(key, &message);
         }
         // Errors name some settings without the unit that their key ends with.
         let with_unit = path.split_last().and_then(|(last, parents)| match last {
