--- a/dispatcher/src/cli/fleet.rs
+++ b/dispatcher/src/cli/fleet.rs
@@ -45,10 +45,10 @@
     let leader = view.leader.as_deref().unwrap_or("nobody");
     let mut text = format!(
         "{}, incarnation {}: vote {}; {leader} leads (term {})\n",
-        view.name, view.born, view.vote, view.term
+        view.name, view.incarnation, view.vote, view.term
     );
-    let may = if view.may.is_empty() { "nothing".into() } else { view.may.join(", ") };
-    text += &format!("may act for: {may}\n");
+    let permitted = if view.permitted.is_empty() { "nothing".into() } else { view.permitted.join(", ") };
+    text += &format!("may act for: {permitted}\n");
     if let Some(why) = &view.why_not {
         text += &format!("why not more: {why}\n");
     }
@@ -63,13 +63,13 @@
     let mut owners = table(&["THING", "OWNER", "TOKEN", "LEFT"]);
     for o in &view.owners {
         let left = o.left_ms.map_or(String::new(), |ms| format!("{ms}ms"));
-        owners.add_row([&o.thing, &o.owner, &o.token.to_string(), &left]);
+        owners.add_row([&o.resource, &o.owner, &o.token.to_string(), &left]);
     }
     if !view.owners.is_empty() {
         text += &render(&owners);
     }
     if !view.orphaned_work.is_empty() {
-        text += &format!("orphaned work without an owner: {}\n", view.orphaned_work.join(", "));
+        text += &format!("unfinished orphaned work: {}\n", view.orphaned_work.join(", "));
     }
     print(&text)
 }
--- a/dispatcher/src/fleet/links.rs
+++ b/dispatcher/src/fleet/links.rs
@@ -1,6 +1,6 @@
-//! Links between members: TCP, one for each way, opened when there is something to say. What is said and how
-//! it is proven is `lineroute_fleet::link`; here are the sockets and their bounds. A frame that can't be sent is
-//! one that is lost: whoever needs an answer asks again.
+//! TCP links between members, one for each direction, opened when there is a frame to send. The link protocol and its
+//! authentication are in `lineroute_fleet::link`; this module has the sockets and their limits. A frame that can't be sent is
+//! lost: senders that need an answer repeat their request.
 
 use crate::accept::AcceptRetry;
 use crate::config::Fleet;
@@ -23,77 +23,76 @@
 use tokio::time::timeout;
 use tracing::{debug, warn};
 
-/// Links that this process opens at a time; the one unused for longest gives way.
-pub const MOST_OUT: usize = 64;
-/// Links that it takes; further callers wait until they are closed.
-pub const MOST_IN: usize = 96;
-/// Frames that wait for one link; more are lost.
-const QUEUE: usize = 256;
-const CONNECT: Duration = Duration::from_millis(500);
-/// A handshake must be over by then, a write through.
-const HANDSHAKE: Duration = Duration::from_secs(1);
-const WRITE: Duration = Duration::from_secs(2);
-/// A link that is not used ends.
-const IDLE_OUT: Duration = Duration::from_secs(10);
-const IDLE_IN: Duration = Duration::from_secs(60);
-/// Between two calls on a member that could not be reached.
-const BACK_OFF: Duration = Duration::from_millis(100);
-/// A process that was heard within this time, over a link that is still open, is there.
-const HERE: Duration = Duration::from_secs(1);
-/// Refusals are told of this often at most.
-const TELL: Duration = Duration::from_secs(5);
+/// Maximum number of outgoing links; the least recently used one is closed for a new one.
+pub const MAX_OUTGOING: usize = 64;
+/// Maximum number of incoming links; further connections wait until one is closed.
+pub const MAX_INCOMING: usize = 96;
+/// Maximum number of frames queued for a link; further frames are dropped.
+const MAX_QUEUED_FRAMES: usize = 256;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(1);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Links that are idle for longer are closed.
+const OUTGOING_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+const INCOMING_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Delay before a member that could not be reached is connected to again.
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
+/// A process counts as running if it sent a frame within this time over a link that is still open.
+const PRESENCE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Minimum time between two warnings about links.
+const WARNING_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Whom links are for.
-pub trait Hearer {
-    /// A frame of a member has come.
-    fn frame(&self, from: Member, frame: Frame);
-    /// The newest incarnation that is known of a member.
-    fn known(&self, member: Member) -> Option<u64>;
-    /// A member knows of this incarnation of this process.
-    fn told(&self, born: u64);
+/// Receives what arrives over the links.
+pub trait LinkHandler {
+    /// A member has sent a frame.
+    fn receive_frame(&self, from: Member, frame: Frame);
+    /// The newest known incarnation number of a member.
+    fn known_incarnation(&self, member: Member) -> Option<u64>;
+    /// Another member knows this incarnation number of this member.
+    fn incarnation_known(&self, number: u64);
 }
 
 #[derive(Clone, Copy)]
-struct Heard {
+struct IncarnationPresence {
     incarnation: Incarnation,
-    at: Instant,
-    open: usize,
+    last_frame: Instant,
+    open_links: usize,
 }
 
-struct Out {
+struct OutgoingLink {
     queue: mpsc::Sender<Vec<u8>>,
-    used: Instant,
+    last_used: Instant,
 }
 
-/// Counts of what went wrong, for those who look.
+/// Statistics of all links.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Counts {
+pub struct LinkStats {
     pub sent: u64,
-    pub taken: u64,
-    pub bytes_out: u64,
+    pub received: u64,
+    pub bytes_sent: u64,
     pub lost: u64,
     pub refused: u64,
 }
 
-/// All links of this process.
+/// The links of this process.
 pub struct Links {
     me: Weak<Links>,
-    member: Weak<dyn Hearer>,
+    handler: Weak<dyn LinkHandler>,
     names: Vec<String>,
     addrs: Vec<SocketAddr>,
-    roster: [u8; 16],
+    member_list_digest: [u8; 16],
     incarnation: Cell<Incarnation>,
     keys: RefCell<KeyRing>,
-    out: RefCell<FxHashMap<Member, Out>>,
-    heard: RefCell<FxHashMap<Member, Heard>>,
-    counts: Cell<Counts>,
-    told: Cell<Option<Instant>>,
-    taken: Cell<usize>,
+    outgoing: RefCell<FxHashMap<Member, OutgoingLink>>,
+    presence: RefCell<FxHashMap<Member, IncarnationPresence>>,
+    stats: Cell<LinkStats>,
+    last_warning: Cell<Option<Instant>>,
+    incoming: Cell<usize>,
 }
 
 fn nonce() -> [u8; 16] {
     let mut nonce = [0; 16];
-    // Without random numbers a handshake can be played again: none is made then.
+    // Without random numbers a handshake could be replayed; callers make none if this is all zeros.
     if getrandom::fill(&mut nonce).is_err() {
         nonce = [0; 16];
     }
@@ -101,105 +100,105 @@
 }
 
 impl Links {
-    pub fn new(config: &Fleet, incarnation: Incarnation, member: Weak<dyn Hearer>) -> Rc<Links> {
+    pub fn new(config: &Fleet, incarnation: Incarnation, handler: Weak<dyn LinkHandler>) -> Rc<Links> {
         Rc::new_cyclic(|me| Links {
             me: me.clone(),
-            member,
+            handler,
             names: config.names.clone(),
             addrs: config.addrs.clone(),
-            roster: member_list_digest(&config.names),
+            member_list_digest: member_list_digest(&config.names),
             incarnation: Cell::new(incarnation),
             keys: RefCell::new(config.keys.clone()),
-            out: RefCell::default(),
-            heard: RefCell::default(),
-            counts: Cell::default(),
-            told: Cell::new(None),
-            taken: Cell::new(0),
+            outgoing: RefCell::default(),
+            presence: RefCell::default(),
+            stats: Cell::default(),
+            last_warning: Cell::new(None),
+            incoming: Cell::new(0),
         })
     }
 
-    pub fn counts(&self) -> Counts {
-        self.counts.get()
+    pub fn stats(&self) -> LinkStats {
+        self.stats.get()
     }
 
-    fn count(&self, change: impl FnOnce(&mut Counts)) {
-        let mut counts = self.counts.get();
-        change(&mut counts);
-        self.counts.set(counts);
+    fn count(&self, change: impl FnOnce(&mut LinkStats)) {
+        let mut stats = self.stats.get();
+        change(&mut stats);
+        self.stats.set(stats);
     }
 
-    /// Goes over to other keys: for new links.
+    /// Replaces the keys for new links.
     pub fn rekey(&self, keys: KeyRing) {
         *self.keys.borrow_mut() = keys;
     }
 
-    /// Goes on as another incarnation: links tell of it anew.
-    pub fn reborn(&self, incarnation: Incarnation) {
+    /// Continues as another incarnation; new links announce it.
+    pub fn set_incarnation(&self, incarnation: Incarnation) {
         self.incarnation.set(incarnation);
-        self.out.borrow_mut().clear();
+        self.outgoing.borrow_mut().clear();
     }
 
-    fn passport(&self) -> LocalIdentity {
+    fn local_identity(&self) -> LocalIdentity {
         let (incarnation, members) = (self.incarnation.get(), self.names.len() as u16);
         LocalIdentity {
             incarnation,
             members,
-            member_list_digest: self.roster,
+            member_list_digest: self.member_list_digest,
             keys: self.keys.borrow().clone(),
         }
     }
 
-    /// Sends a frame, over a link that is there or a new one.
+    /// Sends a frame over an open link or a new one.
     pub fn send(&self, to: Member, frame: &Frame) {
         let bytes = frame.encode();
-        let mut out = self.out.borrow_mut();
-        if !out.contains_key(&to) {
-            if out.len() >= MOST_OUT {
-                let oldest = out.iter().min_by_key(|(_, o)| o.used).map(|(member, _)| *member);
-                oldest.iter().for_each(|member| drop(out.remove(member)));
+        let mut outgoing = self.outgoing.borrow_mut();
+        if !outgoing.contains_key(&to) {
+            if outgoing.len() >= MAX_OUTGOING {
+                let oldest = outgoing.iter().min_by_key(|(_, o)| o.last_used).map(|(member, _)| *member);
+                oldest.iter().for_each(|member| drop(outgoing.remove(member)));
             }
-            let (queue, frames) = mpsc::channel(QUEUE);
-            out.insert(to, Out { queue, used: Instant::now() });
+            let (queue, frames) = mpsc::channel(MAX_QUEUED_FRAMES);
+            outgoing.insert(to, OutgoingLink { queue, last_used: Instant::now() });
             if let Some(me) = self.me.upgrade() {
-                actix_rt::spawn(me.speak(to, frames));
+                actix_rt::spawn(me.run_outgoing(to, frames));
             }
         }
-        let Some(link) = out.get_mut(&to) else { return };
-        link.used = Instant::now();
+        let Some(link) = outgoing.get_mut(&to) else { return };
+        link.last_used = Instant::now();
         let size = bytes.len() as u64;
         match link.queue.try_send(bytes) {
-            Ok(()) => self.count(|c| (c.sent, c.bytes_out) = (c.sent + 1, c.bytes_out + size)),
+            Ok(()) => self.count(|c| (c.sent, c.bytes_sent) = (c.sent + 1, c.bytes_sent + size)),
             Err(_) => self.count(|c| c.lost += 1),
         }
     }
 
-    /// Says what is in the queue, as long as there is anything to say.
-    async fn speak(self: Rc<Self>, to: Member, mut frames: mpsc::Receiver<Vec<u8>>) {
+    /// Sends the frames of a queue until it is idle.
+    async fn run_outgoing(self: Rc<Self>, to: Member, mut frames: mpsc::Receiver<Vec<u8>>) {
         loop {
-            // Dropped at its await, a receive has taken nothing out of the queue.
-            let Ok(Some(first)) = timeout(IDLE_OUT, frames.recv()).await else { break };
-            let spoken = match self.dial(to).await {
-                Ok((stream, sealer)) => say(stream, sealer, first, &mut frames).await,
+            // Cancel-safe: a receive that is dropped at its await has taken nothing out of the queue.
+            let Ok(Some(first)) = timeout(OUTGOING_IDLE_TIMEOUT, frames.recv()).await else { break };
+            let result = match self.connect(to).await {
+                Ok((stream, sealer)) => send_frames(stream, sealer, first, &mut frames).await,
                 Err(e) => Err(e),
             };
-            match spoken {
+            match result {
                 Ok(()) => break,
-                Err(e) => debug!(member = self.name(to), error = %e, "fleet: a link ended"),
+                Err(e) => debug!(member = self.name(to), error = %e, "fleet: an outgoing link ended"),
             }
-            // What waited is old by now.
+            // Frames that were queued meanwhile are outdated.
             let mut lost = 0;
             while frames.try_recv().is_ok() {
                 lost += 1;
             }
             self.count(|c| c.lost += lost);
             let jitter = Duration::from_millis(u64::from(nonce()[0]) / 2);
-            tokio::time::sleep(BACK_OFF + jitter).await;
+            tokio::time::sleep(RECONNECT_DELAY + jitter).await;
         }
-        // A newer link may have taken its place: then its own queue is closed.
-        let mut out = self.out.borrow_mut();
+        // A newer link may have replaced this one in the map; only this one's queue is closed.
+        let mut outgoing = self.outgoing.borrow_mut();
         frames.close();
-        if out.get(&to).is_some_and(|o| o.queue.is_closed()) {
-            out.remove(&to);
+        if outgoing.get(&to).is_some_and(|o| o.queue.is_closed()) {
+            outgoing.remove(&to);
         }
     }
 
@@ -207,25 +206,30 @@
         self.names.get(usize::from(member.0)).map_or("?", String::as_str)
     }
 
-    async fn dial(&self, to: Member) -> io::Result<(TcpStream, Sealer)> {
+    async fn connect(&self, to: Member) -> io::Result<(TcpStream, Sealer)> {
         let addr = self.addrs.get(usize::from(to.0)).copied().ok_or(io::ErrorKind::NotFound)?;
-        let late = |_| io::Error::from(io::ErrorKind::TimedOut);
-        let stream = timeout(CONNECT, TcpStream::connect(addr)).await.map_err(late)??;
+        let timed_out = |_| io::Error::from(io::ErrorKind::TimedOut);
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await.map_err(timed_out)??;
         stream.set_nodelay(true)?;
-        let (stream, peer, sealer) = timeout(HANDSHAKE, self.greet(stream, to)).await.map_err(late)??;
-        if let (Some(known), Some(member)) = (peer.known_incarnation, self.member.upgrade()) {
-            member.told(known);
+        let (stream, peer, sealer) =
+            timeout(HANDSHAKE_TIMEOUT, self.client_handshake(stream, to)).await.map_err(timed_out)??;
+        if let (Some(known), Some(handler)) = (peer.known_incarnation, self.handler.upgrade()) {
+            handler.incarnation_known(known);
         }
-        self.look_at(&peer);
+        self.check_member_list(&peer);
         Ok((stream, sealer))
     }
 
-    async fn greet(&self, mut stream: TcpStream, to: Member) -> io::Result<(TcpStream, Peer, Sealer)> {
+    async fn client_handshake(
+        &self,
+        mut stream: TcpStream,
+        to: Member,
+    ) -> io::Result<(TcpStream, Peer, Sealer)> {
         let nonce = nonce();
         if nonce == [0; 16] {
             return Err(io::Error::other("no random numbers"));
         }
-        let (mut handshake, hello) = ClientHandshake::new(self.passport(), to, nonce);
+        let (mut handshake, hello) = ClientHandshake::new(self.local_identity(), to, nonce);
         stream.write_all(&hello).await?;
         let mut bytes = [0; 512];
         loop {
@@ -239,54 +243,56 @@
                     stream.write_all(&proof).await?;
                     return Ok((stream, peer, sealer));
                 }
-                Err(refusal) => {
-                    self.refuse(self.name(to), &refusal);
-                    return Err(io::Error::other(refusal));
+                Err(error) => {
+                    self.record_refusal(self.name(to), &error);
+                    return Err(io::Error::other(error));
                 }
             }
         }
     }
 
-    fn look_at(&self, peer: &Peer) {
+    fn check_member_list(&self, peer: &Peer) {
         if !peer.same_member_list {
             let name = self.name(peer.incarnation.member);
-            self.tell(|| warn!(member = name, "fleet: its list of members has other names than this one's"));
+            self.warn_rarely(|| {
+                warn!(member = name, "fleet: its list of members has other names than this one's")
+            });
         }
     }
 
-    fn refuse(&self, who: &str, refusal: &LinkError) {
+    fn record_refusal(&self, who: &str, error: &LinkError) {
         self.count(|c| c.refused += 1);
-        let refused = self.counts.get().refused;
-        self.tell(|| warn!(who, cause = %refusal, refused, "fleet: a link is refused"));
+        let refused = self.stats.get().refused;
+        self.warn_rarely(|| warn!(who, cause = %error, refused, "fleet: a link is refused"));
     }
 
-    /// Tells of something now and then only.
-    fn tell(&self, tell: impl FnOnce()) {
-        if self.told.get().is_none_or(|at| at.elapsed() >= TELL) {
-            self.told.set(Some(Instant::now()));
-            tell();
+    /// Logs a warning unless another was logged within [`WARNING_INTERVAL`].
+    fn warn_rarely(&self, log: impl FnOnce()) {
+        if self.last_warning.get().is_none_or(|at| at.elapsed() >= WARNING_INTERVAL) {
+            self.last_warning.set(Some(Instant::now()));
+            log();
         }
     }
 
-    /// Takes links of others.
+    /// Accepts links of other members.
     pub async fn listen(self: Rc<Self>, socket: TcpListener) {
         let mut retry = AcceptRetry::new("fleet");
         loop {
-            // Those who come beyond the bound wait in the kernel until a link has ended.
-            while self.taken.get() >= MOST_IN {
+            // Connections beyond the limit wait in the kernel's backlog until a link has ended.
+            while self.incoming.get() >= MAX_INCOMING {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
             match socket.accept().await {
                 Ok((stream, from)) => {
                     retry.succeeded();
-                    self.taken.set(self.taken.get() + 1);
+                    self.incoming.set(self.incoming.get() + 1);
                     let me = self.clone();
                     actix_rt::spawn(async move {
                         let _ = stream.set_nodelay(true);
-                        if let Err(e) = me.hear(stream, from).await {
-                            debug!(from = %from, error = %e, "fleet: a link to this member ended");
+                        if let Err(e) = me.run_incoming(stream, from).await {
+                            debug!(from = %from, error = %e, "fleet: an incoming link ended");
                         }
-                        me.taken.set(me.taken.get() - 1);
+                        me.incoming.set(me.incoming.get() - 1);
                     });
                 }
                 Err(e) => retry.failed(&e).await,
@@ -294,126 +300,137 @@
         }
     }
 
-    async fn hear(&self, mut stream: TcpStream, from: SocketAddr) -> io::Result<()> {
+    async fn run_incoming(&self, mut stream: TcpStream, from: SocketAddr) -> io::Result<()> {
         let nonce = nonce();
         if nonce == [0; 16] {
             return Err(io::Error::other("no random numbers"));
         }
-        let mut handshake = ServerHandshake::new(self.passport(), nonce);
+        let mut handshake = ServerHandshake::new(self.local_identity(), nonce);
         let mut bytes = vec![0; 16 << 10];
-        let shake = async {
+        let server_handshake = async {
             loop {
                 let size = stream.read(&mut bytes[..512]).await?;
                 if size == 0 {
-                    self.refuse(&from.to_string(), &LinkError::ClosedBeforeProof);
+                    self.record_refusal(&from.to_string(), &LinkError::ClosedBeforeProof);
                     return Err(io::Error::from(io::ErrorKind::UnexpectedEof));
                 }
-                let known = |member| self.member.upgrade().and_then(|m| m.known(member));
-                let here = |incarnation: Incarnation| self.is_here(incarnation);
-                match handshake.receive(&bytes[..size], known, here) {
+                let known = |member| self.handler.upgrade().and_then(|h| h.known_incarnation(member));
+                let is_duplicate = |incarnation: Incarnation| self.is_duplicate(incarnation);
+                match handshake.receive(&bytes[..size], known, is_duplicate) {
                     Ok(HandshakeStep::Incomplete) => {}
-                    Ok(HandshakeStep::Send(words)) => stream.write_all(&words).await?,
+                    Ok(HandshakeStep::Send(message)) => stream.write_all(&message).await?,
                     Ok(HandshakeStep::Established(peer, opener)) => return Ok((peer, opener)),
-                    Err(refusal) => {
-                        self.refuse(&from.to_string(), &refusal);
-                        return Err(io::Error::other(refusal));
+                    Err(error) => {
+                        self.record_refusal(&from.to_string(), &error);
+                        return Err(io::Error::other(error));
                     }
                 }
             }
         };
-        let (peer, mut opener) =
-            timeout(HANDSHAKE, shake).await.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-        self.look_at(&peer);
-        let open = Open::new(self, peer.incarnation);
+        let (peer, mut opener) = timeout(HANDSHAKE_TIMEOUT, server_handshake)
+            .await
+            .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
+        self.check_member_list(&peer);
+        let link = IncomingLink::new(self, peer.incarnation);
         loop {
             loop {
                 let body = opener
                     .next_frame()
-                    .inspect_err(|refusal| self.refuse(self.name(peer.incarnation.member), refusal));
+                    .inspect_err(|error| self.record_refusal(self.name(peer.incarnation.member), error));
                 let Some(body) = body.map_err(io::Error::other)? else { break };
                 let Some(frame) = Frame::decode(&body) else {
-                    self.refuse(self.name(peer.incarnation.member), &LinkError::Malformed);
+                    self.record_refusal(self.name(peer.incarnation.member), &LinkError::Malformed);
                     return Err(io::ErrorKind::InvalidData.into());
                 };
-                open.heard();
-                self.count(|c| c.taken += 1);
-                if let Some(member) = self.member.upgrade() {
-                    member.frame(peer.incarnation.member, frame);
+                link.frame_received();
+                self.count(|c| c.received += 1);
+                if let Some(handler) = self.handler.upgrade() {
+                    handler.receive_frame(peer.incarnation.member, frame);
                 }
             }
-            let size = timeout(IDLE_IN, stream.read(&mut bytes))
+            let size = timeout(INCOMING_IDLE_TIMEOUT, stream.read(&mut bytes))
                 .await
                 .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
             if size == 0 {
                 return Ok(());
             }
             opener.push(&bytes[..size]);
-            // A member that talks without end must not hold up clients.
+            // Lets client requests run between the reads of a member that sends without pause.
             tokio::task::yield_now().await;
         }
     }
 
-    /// Whether another process than this incarnation's was just heard as the same member, over a link that is open.
-    fn is_here(&self, incarnation: Incarnation) -> bool {
-        let heard = self.heard.borrow().get(&incarnation.member).copied();
-        heard.is_some_and(|h| h.incarnation != incarnation && h.open > 0 && h.at.elapsed() < HERE)
+    /// Whether another process has just sent frames as the same member over a link that is still open.
+    fn is_duplicate(&self, incarnation: Incarnation) -> bool {
+        let last = self.presence.borrow().get(&incarnation.member).copied();
+        last.is_some_and(|last| {
+            last.incarnation != incarnation
+                && last.open_links > 0
+                && last.last_frame.elapsed() < PRESENCE_TIMEOUT
+        })
     }
 
-    /// Whether one of these says that a process of this name is there already.
+    /// Asks these members whether another process runs as this member; true if one says so.
     pub async fn is_taken(&self, asked: &[Member]) -> bool {
         let me = self.incarnation.get().member;
-        let calls = asked.iter().filter(|m| **m != me).map(|to| async move {
+        let requests = asked.iter().filter(|m| **m != me).map(|to| async move {
             let addr = self.addrs.get(usize::from(to.0)).copied()?;
-            let stream = timeout(CONNECT, TcpStream::connect(addr)).await.ok()?.ok()?;
-            let (_, peer, _) = timeout(CONNECT, self.greet(stream, *to)).await.ok()?.ok()?;
+            let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await.ok()?.ok()?;
+            let (_, peer, _) =
+                timeout(CONNECT_TIMEOUT, self.client_handshake(stream, *to)).await.ok()?.ok()?;
             Some(peer.duplicate)
         });
-        let answers = futures_util::future::join_all(calls).await;
-        answers.into_iter().flatten().any(|here| here)
+        let answers = futures_util::future::join_all(requests).await;
+        answers.into_iter().flatten().any(|duplicate| duplicate)
     }
 }
 
-/// A link of another that is open, for as long as it is.
-struct Open<'a> {
+/// An open incoming link; counted until it is dropped.
+struct IncomingLink<'a> {
     links: &'a Links,
     incarnation: Incarnation,
 }
 
-impl<'a> Open<'a> {
-    fn new(links: &'a Links, incarnation: Incarnation) -> Open<'a> {
-        let mut heard = links.heard.borrow_mut();
-        let new = Heard { incarnation, at: Instant::now(), open: 0 };
-        let entry = heard.entry(incarnation.member).or_insert(new);
+impl<'a> IncomingLink<'a> {
+    fn new(links: &'a Links, incarnation: Incarnation) -> IncomingLink<'a> {
+        let mut last = links.presence.borrow_mut();
+        let new = IncarnationPresence { incarnation, last_frame: Instant::now(), open_links: 0 };
+        let entry = last.entry(incarnation.member).or_insert(new);
         if entry.incarnation != incarnation {
-            // One that only asks whether it is there says nothing, and takes nobody's place.
-            return Open { links, incarnation };
+            // A process that only checks for a duplicate sends no frames, so a link replaces another incarnation's entry only
+            // with its first frame.
+            return IncomingLink { links, incarnation };
         }
-        entry.open += 1;
-        Open { links, incarnation }
+        entry.open_links += 1;
+        IncomingLink { links, incarnation }
     }
 
-    fn heard(&self) {
-        let mut heard = self.links.heard.borrow_mut();
-        let Some(entry) = heard.get_mut(&self.incarnation.member) else { return };
+    fn frame_received(&self) {
+        let mut last = self.links.presence.borrow_mut();
+        let Some(entry) = last.get_mut(&self.incarnation.member) else { return };
         if entry.incarnation != self.incarnation {
-            *entry = Heard { incarnation: self.incarnation, at: Instant::now(), open: 1 };
+            *entry = IncarnationPresence {
+                incarnation: self.incarnation,
+                last_frame: Instant::now(),
+                open_links: 1,
+            };
         }
-        entry.at = Instant::now();
+        entry.last_frame = Instant::now();
     }
 }
 
-impl Drop for Open<'_> {
+impl Drop for IncomingLink<'_> {
     fn drop(&mut self) {
-        if let Some(entry) = self.links.heard.borrow_mut().get_mut(&self.incarnation.member) {
+        if let Some(entry) = self.links.presence.borrow_mut().get_mut(&self.incarnation.member) {
             if entry.incarnation == self.incarnation {
-                entry.open = entry.open.saturating_sub(1);
+                entry.open_links = entry.open_links.saturating_sub(1);
             }
         }
     }
 }
 
-/// Says frames until there are none for a while; an error where the link ends first.
-async fn say(
+/// Sends frames until none is queued for [`OUTGOING_IDLE_TIMEOUT`]; an error if the link ends first.
+async fn send_frames(
     stream: TcpStream,
     mut sealer: Sealer,
     first: Vec<u8>,
@@ -421,27 +438,27 @@
 ) -> io::Result<()> {
     let (mut read, mut write) = stream.into_split();
     let mut next = Some(first);
-    let mut none = [0; 16];
+    let mut unexpected = [0; 16];
     loop {
         let mut bytes = Vec::new();
-        // Whatever waits goes out in one write.
+        // All queued frames are sent in one write.
         while let Some(frame) = next.take().or_else(|| frames.try_recv().ok()) {
             bytes.extend(sealer.seal(&frame));
             if bytes.len() > 64 << 10 {
                 break;
             }
         }
-        timeout(WRITE, write.write_all(&bytes))
+        timeout(WRITE_TIMEOUT, write.write_all(&bytes))
             .await
             .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-        // Each branch may be dropped at its await: nothing was taken out by then.
+        // Both branches are cancel-safe: a branch dropped at its await has taken nothing out.
         next = tokio::select! {
-            frame = timeout(IDLE_OUT, frames.recv()) => match frame {
+            frame = timeout(OUTGOING_IDLE_TIMEOUT, frames.recv()) => match frame {
                 Ok(Some(frame)) => Some(frame),
                 _ => return Ok(()),
             },
-            // The other side never speaks on this link: if anything comes, it is its end.
-            _ = read.read(&mut none) => return Err(io::ErrorKind::ConnectionReset.into()),
+            // The other side sends nothing on this link after the handshake, so a read returns only when the link has ended.
+            _ = read.read(&mut unexpected) => return Err(io::ErrorKind::ConnectionReset.into()),
         };
     }
 }
--- a/dispatcher/src/fleet/mod.rs
+++ b/dispatcher/src/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! This dispatcher as a member of its fleet. What is said and decided is `lineroute_fleet`; here are the sockets,
-//! the disk, the clock, and who is told. [`Handle::permit`] is the one gate that everything done for the fleet
-//! passes, right before it is done.
+//! This dispatcher as a member of its fleet. The protocol and its decisions are in `lineroute_fleet`; this module has the
+//! sockets, the disk, the clock and the delivery of events. [`Handle::permit`] is the one check that every operation for the
+//! fleet must pass immediately before it begins.
 
 pub mod api;
 mod links;
@@ -20,7 +20,7 @@
 use lineroute_fleet::node::{Event, Node, NodeConfig, RecoveredReplica};
 use lineroute_fleet::status::Status;
 use lineroute_fleet::{Incarnation, Member, Resource, Time, Token};
-use links::{Counts, Hearer, Links};
+use links::{LinkHandler, LinkStats, Links};
 use prober::Prober;
 use raft_log_writer::RaftLogWriter;
 use raft_state::Recovered;
@@ -32,33 +32,34 @@
 use tokio::time::{interval, MissedTickBehavior};
 use tracing::{error, info, warn};
 
-/// A name that another process had a moment ago is asked for once more after this.
-const ASK_AGAIN: Duration = Duration::from_millis(1200);
-/// Last words of a member that leaves.
-const LAST_WORDS: Duration = Duration::from_millis(100);
+/// Where another process appears to use this member's name, the check is repeated after this time: that process may just
+/// have ended.
+const DUPLICATE_RECHECK_DELAY: Duration = Duration::from_millis(1200);
+/// Time for the last frames of a member that leaves to be sent.
+const LEAVE_FLUSH_DELAY: Duration = Duration::from_millis(100);
 
-/// Descriptors that a fleet of so many members may take.
+/// Maximum number of descriptors used for a fleet of this many members.
 pub fn max_sockets(members: usize) -> usize {
-    links::MOST_OUT.min(members) + links::MOST_IN.min(members * 2) + 4
+    links::MAX_OUTGOING.min(members) + links::MAX_INCOMING.min(members * 2) + 4
 }
 
-/// A clock that never goes back; in tests its rate may be off.
+/// A monotonic clock; tests can set an error of its rate.
 #[derive(Clone, Copy)]
 struct Clock {
-    began: Instant,
+    started: Instant,
     test: TestClock,
 }
 
 impl Clock {
     fn now(&self) -> Time {
-        let span = self.began.elapsed();
+        let span = self.started.elapsed();
         match self.test.ppm {
             0 => span,
             ppm => span.mul_f64(1.0 + ppm as f64 / 1e6),
         }
     }
 
-    /// The time of day, in milliseconds: for numbers that must grow with each incarnation, and for nothing else.
+    /// The time of day in milliseconds. Only for numbers that must increase with each incarnation.
     fn unix_ms(&self) -> u64 {
         overrides::now().saturating_add_signed(self.test.offset_ms)
     }
@@ -70,50 +71,51 @@
     links: Rc<Links>,
     clock: Clock,
     names: Vec<String>,
-    began_unix: u64,
+    started_unix_ms: u64,
     directory: Option<StateDirectory>,
     prober: RefCell<Option<Rc<Prober>>>,
 }
 
-/// The fleet as the rest of the program has it.
+/// Handle to the fleet for the rest of the program.
 #[derive(Clone)]
 pub struct Handle(Rc<Inner>);
 
-impl Hearer for Inner {
-    fn frame(&self, from: Member, frame: Frame) {
+impl LinkHandler for Inner {
+    fn receive_frame(&self, from: Member, frame: Frame) {
         self.node.borrow_mut().receive(self.clock.now(), from, frame);
         self.flush();
     }
 
-    fn known(&self, member: Member) -> Option<u64> {
+    fn known_incarnation(&self, member: Member) -> Option<u64> {
         let node = self.node.borrow();
         let known = node.members().all().find(|(m, _)| *m == member).and_then(|(_, seen)| seen.incarnation);
         known.map(|incarnation| incarnation.number)
     }
 
-    fn told(&self, born: u64) {
-        self.node.borrow_mut().handle_known_incarnation(self.clock.now(), born);
+    fn incarnation_known(&self, number: u64) {
+        self.node.borrow_mut().handle_known_incarnation(self.clock.now(), number);
         self.flush();
     }
 }
 
-/// Joins the fleet: opens the disk, listens, and begins to tick.
+/// Joins the fleet: opens the state directory, listens, and starts the timer.
 ///
 /// # Errors
-/// The address or the disk can't be had, or another process is this member already.
+/// The address or the state directory can't be opened, or another process runs as this member.
 pub async fn start(config: Fleet, flows: Flows) -> Result<Handle, String> {
-    let clock = Clock { began: Instant::now(), test: config.clock };
+    let clock = Clock { started: Instant::now(), test: config.clock };
     let directory = config.state_dir.as_deref().map(StateDirectory::open).transpose()?;
-    let began_unix = clock.unix_ms();
-    let born = match &directory {
-        Some(directory) => directory.next_incarnation(began_unix)?,
-        None => began_unix,
+    let started_unix_ms = clock.unix_ms();
+    let incarnation_number = match &directory {
+        Some(directory) => directory.next_incarnation(started_unix_ms)?,
+        None => started_unix_ms,
     };
-    let mut dice = [0; 16];
-    getrandom::fill(&mut dice).map_err(|e| format!("fleet: no random numbers: {e}"))?;
-    let (seed, random) = (u64::from_be_bytes(half(&dice[..8])), u64::from_be_bytes(half(&dice[8..])));
-    let incarnation = Incarnation { member: config.me, number: born };
-    let (kept, written) = match &directory {
+    let mut random_bytes = [0; 16];
+    getrandom::fill(&mut random_bytes).map_err(|e| format!("fleet: no random numbers: {e}"))?;
+    let (seed, random) =
+        (u64::from_be_bytes(to_array(&random_bytes[..8])), u64::from_be_bytes(to_array(&random_bytes[8..])));
+    let incarnation = Incarnation { member: config.me, number: incarnation_number };
+    let (recovered, written) = match &directory {
         Some(directory) => {
             let Recovered { replica_id, log, state } =
                 directory.raft_state(replica_id_of(config.me, random))?;
@@ -128,8 +130,8 @@
         voters: config.voters.clone(),
         timing: config.timing,
         seed,
-        // Seconds, with room for a million tokens in each.
-        floor: (began_unix / 1000) << 20,
+        // Seconds since 1970, each with a range of a million tokens.
+        floor: (started_unix_ms / 1000) << 20,
     };
     let socket = open_patiently(|| TcpListener::bind(config.listen))
         .await
@@ -137,22 +139,22 @@
     let at = socket.local_addr().map_err(|e| format!("fleet.listen: {e}"))?;
     let inner = Rc::new_cyclic(|me: &Weak<Inner>| Inner {
         me: me.clone(),
-        node: RefCell::new(Node::new(node_config, kept)),
-        links: Links::new(&config, incarnation, me.clone() as Weak<dyn Hearer>),
+        node: RefCell::new(Node::new(node_config, recovered)),
+        links: Links::new(&config, incarnation, me.clone() as Weak<dyn LinkHandler>),
         clock,
         names: config.names.clone(),
-        began_unix,
+        started_unix_ms,
         directory,
         prober: RefCell::default(),
     });
     if inner.links.is_taken(&config.voters).await {
-        tokio::time::sleep(ASK_AGAIN).await;
+        tokio::time::sleep(DUPLICATE_RECHECK_DELAY).await;
         if inner.links.is_taken(&config.voters).await {
             let name = &config.names[usize::from(config.me.0)];
             return Err(format!("fleet.name: another process is {name:?} already, and answers the voters"));
         }
     }
-    info!(addr = %at, members = config.names.len(), voters = config.voters.len(), born, "fleet: listens");
+    info!(addr = %at, members = config.names.len(), voters = config.voters.len(), born = incarnation_number, "fleet: listens");
     actix_rt::spawn(inner.links.clone().listen(socket));
     let handle = Handle(inner.clone());
     if config.one_prober {
@@ -186,7 +188,7 @@
     Ok(handle)
 }
 
-fn half(bytes: &[u8]) -> [u8; 8] {
+fn to_array(bytes: &[u8]) -> [u8; 8] {
     bytes.try_into().unwrap_or_default()
 }
 
@@ -195,90 +197,107 @@
         self.names.get(usize::from(member.0)).map_or("?", String::as_str)
     }
 
-    /// Sends what the node says, and tells of what has happened: each change once.
+    /// Sends the frames and handles the events that the node has produced since the last call.
     fn flush(&self) {
         let (out, events) = {
             let mut node = self.node.borrow_mut();
             (node.take_frames(), node.take_events())
         };
         out.iter().for_each(|(to, frame)| self.links.send(*to, frame));
-        events.into_iter().for_each(|event| self.happened(event));
+        events.into_iter().for_each(|event| self.handle_event(event));
     }
 
-    fn happened(&self, event: Event) {
+    fn handle_event(&self, event: Event) {
         match event {
             Event::MemberChanged(member, seen) => {
-                let (name, born) = (self.name(member), seen.incarnation.map_or(0, |l| l.number));
+                let (name, number) = (self.name(member), seen.incarnation.map_or(0, |l| l.number));
                 match seen.state {
                     MemberState::Dead | MemberState::Suspect => {
-                        warn!(member = name, born, cause = seen.reason, "fleet: {}", state_word(seen.state));
+                        warn!(
+                            member = name,
+                            born = number,
+                            cause = seen.reason,
+                            "fleet: {}",
+                            state_name(seen.state)
+                        );
                     }
-                    state => info!(member = name, born, cause = seen.reason, "fleet: {}", state_word(state)),
+                    state => info!(
+                        member = name,
+                        born = number,
+                        cause = seen.reason,
+                        "fleet: {}",
+                        state_name(state)
+                    ),
                 }
             }
             Event::NewIncarnation(incarnation) => {
                 warn!(
                     born = incarnation.number,
-                    "fleet: this process was declared dead, and goes on as a new incarnation"
+                    "fleet: this process was declared dead and continues as a new incarnation"
                 );
-                let kept =
+                let stored =
                     self.directory.as_ref().map(|directory| directory.next_incarnation(incarnation.number));
-                if let Some(Err(e)) = kept {
-                    error!(error = e, "fleet: the new incarnation can't be kept");
+                if let Some(Err(e)) = stored {
+                    error!(error = e, "fleet: the new incarnation number can't be stored");
                 }
-                self.links.reborn(incarnation);
+                self.links.set_incarnation(incarnation);
             }
-            Event::Acquired(thing, token) => info!(thing = %thing, token, "fleet: this process owns it"),
-            Event::Lost(thing, cause) => {
-                info!(thing = %thing, cause, "fleet: this process owns it no longer")
+            Event::Acquired(resource, token) => {
+                info!(thing = %resource, token, "fleet: this process owns the resource")
+            }
+            Event::Lost(resource, cause) => {
+                info!(thing = %resource, cause, "fleet: this process no longer owns the resource")
             }
             Event::Stalled(gap) => {
                 warn!(ms = gap.as_millis() as u64, "fleet: this process did not run; its leases are dropped");
             }
             Event::LeaderChanged(leader) => {
-                info!(leader = leader.map_or("nobody", |l| self.name(l)), "fleet: another leads the voters");
+                info!(
+                    leader = leader.map_or("nobody", |l| self.name(l)),
+                    "fleet: the leader of the voters has changed"
+                );
             }
-            Event::ReplicaStarted => info!("fleet: this process votes from now on"),
+            Event::ReplicaStarted => info!("fleet: this process is a voter from now on"),
             Event::ReplicaFailed(cause) => {
                 error!(cause, "fleet: this process has no vote until it is started again")
             }
-            Event::OwnerReport(from, share) => self.shared(from, share),
-            Event::HealthCheckRequested(from, request) => self.asked(from, request),
+            Event::OwnerReport(from, report) => self.handle_owner_report(from, report),
+            Event::HealthCheckRequested(from, request) => self.handle_health_check_request(from, request),
         }
     }
 
-    fn shared(&self, _from: Member, share: OwnerReport) {
+    fn handle_owner_report(&self, _from: Member, report: OwnerReport) {
         let prober = self.prober.borrow().clone();
-        prober.iter().for_each(|prober| prober.shared(&share));
+        prober.iter().for_each(|prober| prober.handle_owner_report(&report));
     }
 
-    fn asked(&self, _from: Member, request: HealthCheckRequest) {
+    fn handle_health_check_request(&self, _from: Member, request: HealthCheckRequest) {
         let prober = self.prober.borrow().clone();
-        prober.iter().for_each(|prober| prober.asked(&request));
+        prober.iter().for_each(|prober| prober.handle_health_check_request(&request));
     }
 }
 
-/// An operation for the fleet, fenced by the token of a thing that this process owns.
+/// An operation for the fleet, fenced by the token of a resource that this process owns.
 #[derive(Clone)]
 pub struct FencedOperation {
     fleet: Handle,
-    thing: Resource,
+    resource: Resource,
 }
 
 impl FencedOperation {
-    /// An operation under a thing; whether it may begin is asked when it does.
-    pub fn new(fleet: Handle, thing: Resource) -> FencedOperation {
-        FencedOperation { fleet, thing }
+    /// An operation under a resource; whether it may begin is checked when it begins.
+    pub fn new(fleet: Handle, resource: Resource) -> FencedOperation {
+        FencedOperation { fleet, resource }
     }
 
-    /// The value of the header `X-Fence`, to be asked for in the step that sends the bytes; none if the operation may
-    /// not begin.
+    /// The value of the header `X-Fence`; `None` if the operation may not begin. To be called in the same step that sends the
+    /// request.
     pub fn fencing_token_header(&self) -> Option<String> {
-        self.fleet.permit(&self.thing).map(|token| format!("{} {token}", self.thing))
+        self.fleet.permit(&self.resource).map(|token| format!("{} {token}", self.resource))
     }
 }
 
-fn state_word(state: MemberState) -> &'static str {
+fn state_name(state: MemberState) -> &'static str {
     match state {
         MemberState::Unheard => "unheard",
         MemberState::Alive => "well",
@@ -289,51 +308,51 @@
 }
 
 impl Handle {
-    /// Under which token an operation for a thing may begin at this very moment; nothing if it may not.
-    pub fn permit(&self, thing: &Resource) -> Option<Token> {
-        self.0.node.borrow().permit(thing, self.0.clock.now())
+    /// The token under which an operation for a resource may begin now; `None` if it may not.
+    pub fn permit(&self, resource: &Resource) -> Option<Token> {
+        self.0.node.borrow().permit(resource, self.0.clock.now())
     }
 
-    /// Would own a thing from now on, or no longer.
-    pub fn set_wanted(&self, thing: &Resource, wished: bool) {
-        self.0.node.borrow_mut().set_wanted(thing, wished);
+    /// Sets whether this process tries to own a resource.
+    pub fn set_wanted(&self, resource: &Resource, wanted: bool) {
+        self.0.node.borrow_mut().set_wanted(resource, wanted);
     }
 
-    /// Shares what an owner found with all members; false where it may not.
-    pub fn broadcast_report(&self, thing: &Resource, words: Vec<u8>) -> bool {
-        let shared = self.0.node.borrow_mut().broadcast_report(self.0.clock.now(), thing, words);
+    /// Sends an owner's report to all members; false if this process may not.
+    pub fn broadcast_report(&self, resource: &Resource, payload: Vec<u8>) -> bool {
+        let sent = self.0.node.borrow_mut().broadcast_report(self.0.clock.now(), resource, payload);
         self.flush();
-        shared
+        sent
     }
 
-    /// Asks the owner of a thing for a health check; false where none is known.
-    pub fn request_health_check(&self, thing: &Resource, words: Vec<u8>) -> bool {
-        let asked = self.0.node.borrow_mut().request_health_check(thing, words);
+    /// Asks the owner of a resource for a health check; false if no owner is known.
+    pub fn request_health_check(&self, resource: &Resource, payload: Vec<u8>) -> bool {
+        let sent = self.0.node.borrow_mut().request_health_check(resource, payload);
         self.flush();
-        asked
+        sent
     }
 
-    /// Members that take part, this one too.
+    /// The number of active members, including this one.
     pub fn active_members(&self) -> usize {
         self.0.node.borrow().members().active().len()
     }
 
-    /// Goes over to other keys.
+    /// Replaces the keys for new links.
     pub fn rekey(&self, keys: KeyRing) {
         self.0.links.rekey(keys);
     }
 
-    /// Gives everything back and says so.
+    /// Releases all resources and announces that this member leaves.
     pub async fn leave(&self) {
         self.0.node.borrow_mut().leave(self.0.clock.now());
         self.flush();
-        tokio::time::sleep(LAST_WORDS).await;
+        tokio::time::sleep(LEAVE_FLUSH_DELAY).await;
     }
 
-    /// Has one member vote in place of another.
+    /// Replaces a voter by another member.
     ///
     /// # Errors
-    /// This process does not lead, or a name is of no member.
+    /// This process is not the leader, or a name is not that of a member.
     pub fn replace_voter(&self, old: &str, new: &str) -> Result<(), String> {
         let find = |name: &str| {
             let at = self.0.names.iter().position(|n| n == name);
@@ -353,7 +372,7 @@
         }
     }
 
-    fn status(&self) -> (Status, Counts) {
-        (self.0.node.borrow().status(), self.0.links.counts())
+    fn status(&self) -> (Status, LinkStats) {
+        (self.0.node.borrow().status(), self.0.links.stats())
     }
 }
--- a/dispatcher/src/fleet/prober.rs
+++ b/dispatcher/src/fleet/prober.rs
@@ -1,5 +1,6 @@
-//! One prober for a zone: where probes cost workers time, one owner looks at the suspects of all and shares what
-//! it found; the others ask it to, and wait. Without an owner each looks for itself, at its share of the rate.
+//! A single prober for each zone. Where probes cost workers time, the owner of a zone probes the suspect workers of all
+//! members and sends them the results; the others request probes from it and wait. Without an owner each member probes by
+//! itself, at its share of the rate.
 
 use super::{FencedOperation, Handle};
 use crate::facade::{Load, Outcome, TargetId};
@@ -12,38 +13,38 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// An owner that has shared nothing by then is asked again, or done without.
-const SHARE_WITHIN: Duration = Duration::from_millis(800);
-/// Nobody waits for others longer than this.
-const LONGEST: Duration = Duration::from_secs(3);
-/// What was found so lately is not looked for again: all that ask meanwhile are served by the next look.
-const FRESH: Duration = Duration::from_millis(200);
-/// Suspects that are waited for; further ones are looked at by this process.
+/// Time limit for the owner's report; then it is asked again or this process probes by itself.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(800);
+/// Maximum total time to wait for an owner's report.
+const MAX_WAIT: Duration = Duration::from_secs(3);
+/// A target that was probed within this time is not probed again: all requests until then share the next probe.
+const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum number of suspects waiting for an owner's report; this process probes further ones itself.
 const MAX_WAITING: usize = 256;
 
-/// Who sees to probes in place of their carriers.
+/// Coordinates probes across the fleet, so that the targets need not make each of them.
 pub trait ProbeCoordinator {
-    /// Whether a probe is seen to: `Flows::probe_ended` is called for it in the end. If not, the caller makes it, and
-    /// for the fleet if it is given a fenced operation.
+    /// `Ok` where the probe is taken over: `Flows::probe_ended` is called for it eventually. Otherwise the caller makes the
+    /// probe, on behalf of the fleet if the error contains a fenced operation.
     fn delegate_probe(&self, target: TargetId, name: &str, zone: &str)
         -> Result<(), Option<FencedOperation>>;
-    /// A fenced operation could not be done: this process may not act for the fleet any longer.
+    /// A fenced operation was not started because this process may no longer act for the fleet.
     fn permit_lost(&self, name: &str);
-    /// A probe that this process made has ended.
+    /// A probe made by this process has ended.
     fn probe_finished(&self, name: &str, zone: &str, outcome: Outcome, load: Option<Load>);
 }
 
-/// A target that this process would have looked at.
+/// A target that waits to be probed by the owner of its zone.
 struct Waiting {
     target: TargetId,
     zone: String,
     since: Instant,
-    next: Instant,
+    next_request: Instant,
 }
 
-/// What an owner found, in few bytes.
+/// The result of a probe in the compact form in which an owner reports it.
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
-struct Found {
+struct ProbeReport {
     name: String,
     outcome: u8,
     load: Option<[Option<f64>; 3]>,
@@ -52,107 +53,117 @@
 const OUTCOMES: [Outcome; 6] =
     [Outcome::Served, Outcome::Fault, Outcome::NoRoom, Outcome::TimedOut, Outcome::NoRoute, Outcome::Cut];
 
-/// The prober of this process: it owns some zones and waits for the owners of others.
+/// The prober of this process: probes the zones that it owns and waits for the owners of the others.
 pub struct Prober {
     fleet: Handle,
     flows: Flows,
     waiting: RefCell<FxHashMap<String, Waiting>>,
-    /// Health checks that are under way, by name: what is asked for meanwhile is answered by them.
+    /// Running health checks by worker name; requests that arrive meanwhile share their results.
     checking: RefCell<FxHashMap<String, Instant>>,
-    /// When an owned zone's targets were last found out.
-    found: RefCell<FxHashMap<String, Instant>>,
-    wished: RefCell<FxHashMap<String, Resource>>,
+    /// When targets of owned zones were last probed, by worker name.
+    last_probes: RefCell<FxHashMap<String, Instant>>,
+    /// The resources of known zones, by zone.
+    wanted: RefCell<FxHashMap<String, Resource>>,
 }
 
 impl Prober {
     pub fn new(fleet: Handle, flows: Flows) -> Rc<Prober> {
-        let (waiting, checking, found, wished) = Default::default();
-        Rc::new(Prober { fleet, flows, waiting, checking, found, wished })
+        let (waiting, checking, last_probes, wanted) = Default::default();
+        Rc::new(Prober { fleet, flows, waiting, checking, last_probes, wanted })
     }
 
-    /// The thing that stands for a zone's probes. Each zone seen is wished for: one of those who see it owns it.
-    fn thing(&self, zone: &str) -> Option<Resource> {
-        if let Some(thing) = self.wished.borrow().get(zone) {
-            return Some(thing.clone());
+    /// The resource for the probes of a zone. Each member tries to own that of every zone in its list; one of them does.
+    fn zone_resource(&self, zone: &str) -> Option<Resource> {
+        if let Some(resource) = self.wanted.borrow().get(zone) {
+            return Some(resource.clone());
         }
-        let thing = Resource::new(format!("probe/{zone}"))?;
-        self.fleet.set_wanted(&thing, true);
-        self.wished.borrow_mut().insert(zone.into(), thing.clone());
-        Some(thing)
+        let resource = Resource::new(format!("probe/{zone}"))?;
+        self.fleet.set_wanted(&resource, true);
+        self.wanted.borrow_mut().insert(zone.into(), resource.clone());
+        Some(resource)
     }
 
-    /// A fenced operation under a thing that this process owns at present.
-    fn operation(&self, thing: &Resource) -> Option<FencedOperation> {
-        self.fleet.permit(thing).map(|_| FencedOperation::new(self.fleet.clone(), thing.clone()))
+    /// A fenced operation under a resource, if this process owns it at present.
+    fn operation(&self, resource: &Resource) -> Option<FencedOperation> {
+        self.fleet.permit(resource).map(|_| FencedOperation::new(self.fleet.clone(), resource.clone()))
     }
 
-    /// Looks that others have waited for too long are made by this process, at its share of the rate.
+    /// Repeats requests that the owner has not answered in time, or makes the probe itself, at this process's share of the
+    /// rate.
     pub fn tick(&self) {
-        for seen in self.flows.listed_targets() {
-            let _ = self.thing(&seen.zone);
+        for listed in self.flows.listed_targets() {
+            let _ = self.zone_resource(&listed.zone);
         }
         let now = Instant::now();
         let due: Vec<(String, TargetId, String, Duration)> = {
             let mut waiting = self.waiting.borrow_mut();
-            let due = waiting.iter_mut().filter(|(_, w)| w.next <= now);
+            let due = waiting.iter_mut().filter(|(_, w)| w.next_request <= now);
             due.map(|(name, w)| {
-                w.next = now + SHARE_WITHIN;
+                w.next_request = now + REPORT_TIMEOUT;
                 (name.clone(), w.target, w.zone.clone(), now - w.since)
             })
             .collect()
         };
         for (name, target, zone, waited) in due {
-            let Some(thing) = self.thing(&zone) else { continue };
+            let Some(resource) = self.zone_resource(&zone) else { continue };
             let share = 1.0 / self.fleet.active_members().max(1) as f64;
-            let owned = self.operation(&thing);
-            let asked = owned.is_none()
-                && waited < LONGEST
-                && self.fleet.request_health_check(&thing, name.clone().into_bytes());
-            if owned.is_some() {
+            let operation = self.operation(&resource);
+            let requested = operation.is_none()
+                && waited < MAX_WAIT
+                && self.fleet.request_health_check(&resource, name.clone().into_bytes());
+            if operation.is_some() {
                 self.checking.borrow_mut().insert(name.clone(), now);
             }
-            if !asked && (owned.is_some() || waited >= LONGEST || dice() < share) {
+            if !requested && (operation.is_some() || waited >= MAX_WAIT || random_fraction() < share) {
                 self.waiting.borrow_mut().remove(&name);
-                self.flows.probe(target, owned);
+                self.flows.probe(target, operation);
             }
         }
-        self.checking.borrow_mut().retain(|_, since| since.elapsed() < LONGEST);
-        self.found.borrow_mut().retain(|_, at| at.elapsed() < FRESH);
+        self.checking.borrow_mut().retain(|_, since| since.elapsed() < MAX_WAIT);
+        self.last_probes.borrow_mut().retain(|_, at| at.elapsed() < MIN_PROBE_INTERVAL);
     }
 
-    /// Puts a look off that would find what was just found; true if it was.
-    fn is_fresh(&self, name: &str, zone: &str, target: TargetId) -> bool {
-        let Some(at) = self.found.borrow().get(name).copied().filter(|at| at.elapsed() < FRESH) else {
+    /// Postpones the probe of a target that was probed within [`MIN_PROBE_INTERVAL`]; true if it was.
+    fn postpone_if_recent(&self, name: &str, zone: &str, target: TargetId) -> bool {
+        let Some(at) =
+            self.last_probes.borrow().get(name).copied().filter(|at| at.elapsed() < MIN_PROBE_INTERVAL)
+        else {
             return false;
         };
-        let waiting = Waiting { target, zone: zone.into(), since: Instant::now(), next: at + FRESH };
+        let waiting = Waiting {
+            target,
+            zone: zone.into(),
+            since: Instant::now(),
+            next_request: at + MIN_PROBE_INTERVAL,
+        };
         self.waiting.borrow_mut().entry(name.into()).or_insert(waiting);
         true
     }
 
-    /// An owner shares what it found. The fence was looked at before this.
-    pub fn shared(&self, share: &OwnerReport) {
-        let Ok(found) = postcard::from_bytes::<Found>(&share.payload) else { return };
-        let Some(outcome) = OUTCOMES.get(usize::from(found.outcome)).copied() else { return };
-        let of_it = |w: &Waiting| self.thing(&w.zone).as_ref() == Some(&share.resource);
-        let waited = self.waiting.borrow().get(&found.name).is_some_and(of_it);
+    /// Handles the report of an owner, whose fencing token has been checked.
+    pub fn handle_owner_report(&self, report: &OwnerReport) {
+        let Ok(probe) = postcard::from_bytes::<ProbeReport>(&report.payload) else { return };
+        let Some(outcome) = OUTCOMES.get(usize::from(probe.outcome)).copied() else { return };
+        let is_of_resource = |w: &Waiting| self.zone_resource(&w.zone).as_ref() == Some(&report.resource);
+        let waited = self.waiting.borrow().get(&probe.name).is_some_and(is_of_resource);
         if !waited {
             return;
         }
-        let Some(waiting) = self.waiting.borrow_mut().remove(&found.name) else { return };
-        let load = found.load.map(|[free, waiting, held]| Load { free, waiting, held });
+        let Some(waiting) = self.waiting.borrow_mut().remove(&probe.name) else { return };
+        let load = probe.load.map(|[free, waiting, held]| Load { free, waiting, held });
         self.flows.shared_probe_ended(waiting.target, outcome, load);
     }
 
-    /// Somebody would have this process look at a target of a zone that it owns.
-    pub fn asked(&self, request: &HealthCheckRequest) {
+    /// Handles another member's request to probe a target of a zone that this process owns.
+    pub fn handle_health_check_request(&self, request: &HealthCheckRequest) {
         let Ok(name) = std::str::from_utf8(&request.payload) else { return };
         let Some(operation) = self.operation(&request.resource) else { return };
-        let seen = self.flows.listed_targets().into_iter().find(|seen| *seen.name == *name);
-        let of_it = seen.filter(|seen| self.thing(&seen.zone).as_ref() == Some(&request.resource));
-        let found = of_it.and_then(|seen| Some((self.flows.find_target(&seen.name)?, seen.zone)));
-        let Some((target, zone)) = found else { return };
-        if self.is_fresh(name, &zone, target) {
+        let listed = self.flows.listed_targets().into_iter().find(|listed| *listed.name == *name);
+        let listed =
+            listed.filter(|listed| self.zone_resource(&listed.zone).as_ref() == Some(&request.resource));
+        let target = listed.and_then(|listed| Some((self.flows.find_target(&listed.name)?, listed.zone)));
+        let Some((target, zone)) = target else { return };
+        if self.postpone_if_recent(name, &zone, target) {
             return;
         }
         if self.checking.borrow_mut().insert(name.into(), Instant::now()).is_none() {
@@ -168,13 +179,13 @@
         name: &str,
         zone: &str,
     ) -> Result<(), Option<FencedOperation>> {
-        let Some(thing) = self.thing(zone) else { return Err(None) };
-        if let Some(operation) = self.operation(&thing) {
-            if self.is_fresh(name, zone, target) {
+        let Some(resource) = self.zone_resource(zone) else { return Err(None) };
+        if let Some(operation) = self.operation(&resource) {
+            if self.postpone_if_recent(name, zone, target) {
                 return Ok(());
             }
             return match self.checking.borrow_mut().insert(name.into(), Instant::now()) {
-                // Asked for by another just now: the one look is for all.
+                // A probe is running for another request; its result serves this one too.
                 Some(_) => Ok(()),
                 None => Err(Some(operation)),
             };
@@ -184,9 +195,9 @@
             return Err(None);
         }
         let now = Instant::now();
-        let asked = self.fleet.request_health_check(&thing, name.as_bytes().to_vec());
-        let next = if asked { now + SHARE_WITHIN } else { now };
-        waiting.insert(name.into(), Waiting { target, zone: zone.into(), since: now, next });
+        let requested = self.fleet.request_health_check(&resource, name.as_bytes().to_vec());
+        let next_request = if requested { now + REPORT_TIMEOUT } else { now };
+        waiting.insert(name.into(), Waiting { target, zone: zone.into(), since: now, next_request });
         Ok(())
     }
 
@@ -196,19 +207,19 @@
 
     fn probe_finished(&self, name: &str, zone: &str, outcome: Outcome, load: Option<Load>) {
         self.checking.borrow_mut().remove(name);
-        self.found.borrow_mut().insert(name.into(), Instant::now());
-        let Some(thing) = self.thing(zone) else { return };
+        self.last_probes.borrow_mut().insert(name.into(), Instant::now());
+        let Some(resource) = self.zone_resource(zone) else { return };
         let Some(outcome) = OUTCOMES.iter().position(|o| *o == outcome) else { return };
         let load = load.map(|l| [l.free, l.waiting, l.held]);
-        let found = Found { name: name.into(), outcome: outcome as u8, load };
-        if let Ok(words) = postcard::to_stdvec(&found) {
-            // Where the zone is another's by now, what was found stays with this process.
-            self.fleet.broadcast_report(&thing, words);
+        let report = ProbeReport { name: name.into(), outcome: outcome as u8, load };
+        if let Ok(payload) = postcard::to_stdvec(&report) {
+            // Not sent if this process has lost the zone meanwhile; the result is then used here only.
+            self.fleet.broadcast_report(&resource, payload);
         }
     }
 }
 
-fn dice() -> f64 {
+fn random_fraction() -> f64 {
     let mut bytes = [0; 4];
     match getrandom::fill(&mut bytes) {
         Ok(()) => f64::from(u32::from_be_bytes(bytes)) / f64::from(u32::MAX),
--- a/dispatcher/src/fleet/raft_log_writer.rs
+++ b/dispatcher/src/fleet/raft_log_writer.rs
@@ -1,5 +1,5 @@
-//! The Raft log writer: a thread that persists changes of the Raft state, so that a disk that stalls does not hold up
-//! the clients of this process. It sleeps while there is nothing to write, and runs only where this process votes.
+//! The Raft log writer: a thread that persists changes of the Raft state, so that a stalled disk does not delay the
+//! clients of this process. It blocks while there is nothing to write, and runs only where this process is a voter.
 
 use super::raft_state::DurableRaftState;
 use crate::stops;
@@ -9,50 +9,52 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tracing::warn;
 
-/// Changes that may wait for the disk. A leader sends no voter more than the engine's window before it has answered,
-/// so this is reached only by a voter whose disk has failed.
+/// Maximum number of changes queued for the disk. A leader sends a voter at most the engine's window before it waits for an
+/// answer, so only a voter whose disk has failed reaches this limit.
 const MAX_QUEUED_CHANGES: usize = 4096;
-const GONE: &str = "the Raft log writer has ended";
+const WRITER_ENDED: &str = "the Raft log writer has ended";
 
-/// The number of a change and whether it is persisted.
+/// The number of a change and whether it was persisted.
 pub type Persisted = (u64, Result<(), String>);
 
-/// What the thread is asked to write.
+/// A request to the writer's thread.
 enum WriteCommand {
-    Keep(u64, LogChange),
+    Append(u64, LogChange),
     Compact(LogChange),
     Replace(LogChange, Sender<Result<(), String>>),
 }
 
-/// Hands changes to the writer's thread.
+/// Sends changes to the writer's thread.
 pub struct RaftLogWriter {
     commands: SyncSender<WriteCommand>,
 }
 
 impl RaftLogWriter {
-    /// Starts the thread. The receiver tells which changes were kept, in their order.
+    /// Starts the thread. The receiver reports the results of the appended changes in their order.
     ///
     /// # Errors
-    /// The system gives no thread.
+    /// The thread can't be created.
     pub fn start(state: DurableRaftState) -> Result<(RaftLogWriter, UnboundedReceiver<Persisted>), String> {
-        let (commands, todo) = sync_channel(MAX_QUEUED_CHANGES);
-        let (kept, told) = unbounded_channel();
+        let (commands, queue) = sync_channel(MAX_QUEUED_CHANGES);
+        let (results, persisted) = unbounded_channel();
         let thread = thread::Builder::new().name("fleet-votes".into());
-        thread.spawn(move || write(state, &todo, &kept)).map_err(|e| format!("fleet: no thread: {e}"))?;
-        Ok((RaftLogWriter { commands }, told))
+        thread
+            .spawn(move || write(state, &queue, &results))
+            .map_err(|e| format!("fleet: can't create a thread: {e}"))?;
+        Ok((RaftLogWriter { commands }, persisted))
     }
 }
 
 /// Persists changes until all senders are gone; those that arrive together share one sync.
-fn write(mut state: DurableRaftState, todo: &Receiver<WriteCommand>, kept: &UnboundedSender<Persisted>) {
-    let mut next = todo.recv().ok();
+fn write(mut state: DurableRaftState, queue: &Receiver<WriteCommand>, results: &UnboundedSender<Persisted>) {
+    let mut next = queue.recv().ok();
     while let Some(command) = next.take() {
         match command {
-            WriteCommand::Keep(number, change) => {
+            WriteCommand::Append(number, change) => {
                 let (mut last, mut changes) = (number, vec![change]);
                 loop {
-                    match todo.try_recv() {
-                        Ok(WriteCommand::Keep(number, change)) => {
+                    match queue.try_recv() {
+                        Ok(WriteCommand::Append(number, change)) => {
                             last = number;
                             changes.push(change);
                         }
@@ -64,11 +66,11 @@
                     }
                 }
                 stops::at("votes.keep");
-                let _ = kept.send((last, state.append(&changes)));
+                let _ = results.send((last, state.append(&changes)));
             }
             WriteCommand::Compact(change) => {
                 if let Err(e) = state.replace(&change) {
-                    warn!(error = e, "fleet: the Raft state could not be compacted, and goes on as it is");
+                    warn!(error = e, "fleet: the Raft state could not be compacted and remains as it is");
                 }
             }
             WriteCommand::Replace(change, done) => {
@@ -76,25 +78,25 @@
             }
         }
         if next.is_none() {
-            next = todo.recv().ok();
+            next = queue.recv().ok();
         }
     }
 }
 
 impl LogStore for RaftLogWriter {
     fn append(&mut self, number: u64, change: &LogChange) -> Result<WriteStatus, String> {
-        let given = self.commands.try_send(WriteCommand::Keep(number, change.clone()));
-        given.map(|()| WriteStatus::Pending).map_err(|e| format!("the disk does not keep up: {e}"))
+        let queued = self.commands.try_send(WriteCommand::Append(number, change.clone()));
+        queued.map(|()| WriteStatus::Pending).map_err(|e| format!("the disk does not keep up: {e}"))
     }
 
     fn replace(&mut self, change: &LogChange) -> Result<(), String> {
-        let (done, told) = channel();
-        self.commands.send(WriteCommand::Replace(change.clone(), done)).map_err(|_| GONE)?;
-        told.recv().map_err(|_| GONE)?
+        let (done, result) = channel();
+        self.commands.send(WriteCommand::Replace(change.clone(), done)).map_err(|_| WRITER_ENDED)?;
+        result.recv().map_err(|_| WRITER_ENDED)?
     }
 
     fn compact(&mut self, change: &LogChange) {
-        // Where there is no place it is asked for again when the log has grown on.
+        // If the queue is full, the compaction is requested again when the log has grown further.
         let _ = self.commands.try_send(WriteCommand::Compact(change.clone()));
     }
 }
