--- a/dispatcher/src/nginx.rs
+++ b/dispatcher/src/nginx.rs
@@ -1,6 +1,6 @@
-//! Turns nginx's `upstream` and `location` blocks into the operator's settings. Pure text to settings: each
-//! upstream becomes a kind of worker and a class bound to it, each location a route to that class. What can't
-//! be kept as nginx would is not dropped in silence: it is rejected by its line and name.
+//! Converts nginx's `upstream` and `location` blocks to an operator's file. Each upstream becomes a kind of worker, each
+//! location a class bound to that kind and a route to the class. Directives that can't be converted faithfully are not
+//! ignored: they are rejected with their line and name.
 
 use crate::config::{Matching, Operator, Protocol, RawRoute, RawWorkers};
 use crate::list::{Host, State};
@@ -9,8 +9,8 @@
 
 /// nginx's own default for `proxy_read_timeout`.
 const READ_TIMEOUT_MS: u64 = 60_000;
-/// An answer within this part of the time-out counts as in time.
-const AIM_PART: u64 = 4;
+/// The latency target of a class (`aim_ms`) is its time-out divided by this.
+const AIM_DIVISOR: u64 = 4;
 
 #[derive(Debug, PartialEq)]
 enum Token {
@@ -20,7 +20,7 @@
     Close,
 }
 
-/// A directive with the line it begins on, and its block if it has one.
+/// A directive with the line that it starts on, and its block if it has one.
 #[derive(Debug)]
 struct Directive {
     line: usize,
@@ -30,11 +30,11 @@
 }
 
 impl Directive {
-    fn error(&self, words: &str) -> String {
-        format!("line {}: {}: {words}", self.line, self.name)
+    fn error(&self, message: &str) -> String {
+        format!("line {}: {}: {message}", self.line, self.name)
     }
 
-    fn only(&self) -> Result<&str, String> {
+    fn single_argument(&self) -> Result<&str, String> {
         match &self.arguments[..] {
             [one] => Ok(one),
             _ => Err(self.error("takes one argument")),
@@ -42,7 +42,7 @@
     }
 }
 
-fn tokens(text: &str) -> Result<Vec<(usize, Token)>, String> {
+fn tokenize(text: &str) -> Result<Vec<(usize, Token)>, String> {
     let mut found = Vec::new();
     let mut rest = text.chars().peekable();
     let mut line = 1;
@@ -81,11 +81,11 @@
     Ok(found)
 }
 
-/// Reads directives up to the end of their block, without recursion: blocks that are open wait in `outer`.
-fn directives(text: &str) -> Result<Vec<Directive>, String> {
+/// Parses directives without recursion: the enclosing blocks are kept on the stack `outer`.
+fn parse_directives(text: &str) -> Result<Vec<Directive>, String> {
     let mut outer: Vec<(Directive, Vec<Directive>)> = Vec::new();
-    let (mut here, mut current): (Vec<Directive>, Option<Directive>) = (Vec::new(), None);
-    for (line, token) in tokens(text)? {
+    let (mut siblings, mut current): (Vec<Directive>, Option<Directive>) = (Vec::new(), None);
+    for (line, token) in tokenize(text)? {
         match (token, current.take()) {
             (Token::Word(name), None) => {
                 current = Some(Directive { line, name, arguments: Vec::new(), block: None });
@@ -94,27 +94,28 @@
                 directive.arguments.push(word);
                 current = Some(directive);
             }
-            (Token::Semicolon, Some(directive)) => here.push(directive),
-            (Token::Open, Some(directive)) => outer.push((directive, std::mem::take(&mut here))),
+            (Token::Semicolon, Some(directive)) => siblings.push(directive),
+            (Token::Open, Some(directive)) => outer.push((directive, std::mem::take(&mut siblings))),
             (Token::Close, None) => {
-                let (mut directive, around) = outer.pop().ok_or(format!("line {line}: unexpected \"}}\""))?;
-                directive.block = Some(std::mem::replace(&mut here, around));
-                here.push(directive);
+                let (mut directive, parents) =
+                    outer.pop().ok_or(format!("line {line}: unexpected \"}}\""))?;
+                directive.block = Some(std::mem::replace(&mut siblings, parents));
+                siblings.push(directive);
             }
             (Token::Semicolon, None) => return Err(format!("line {line}: unexpected \";\"")),
             (Token::Open, None) => return Err(format!("line {line}: unexpected \"{{\"")),
-            (Token::Close, Some(d)) => return Err(d.error("is not ended by \";\"")),
+            (Token::Close, Some(d)) => return Err(d.error("is not terminated by \";\"")),
         }
     }
     match (current, outer.pop()) {
-        (Some(directive), _) => Err(directive.error("is not ended by \";\"")),
+        (Some(directive), _) => Err(directive.error("is not terminated by \";\"")),
         (None, Some((directive, _))) => Err(directive.error("its block is not closed")),
-        (None, None) => Ok(here),
+        (None, None) => Ok(siblings),
     }
 }
 
 struct Location<'a> {
-    at: &'a Directive,
+    directive: &'a Directive,
     path: String,
     matching: Matching,
     upstream: String,
@@ -122,50 +123,50 @@
     effect: &'static str,
 }
 
-/// The operator's settings that these blocks amount to.
+/// Converts the blocks to the contents of an operator's file.
 pub fn import(text: &str) -> Result<Operator, String> {
-    let top = directives(text)?;
+    let top = parse_directives(text)?;
     let (mut upstreams, mut locations): (Vec<&Directive>, Vec<Location>) = (Vec::new(), Vec::new());
-    let mut open: Vec<&Directive> = top.iter().rev().collect();
-    while let Some(directive) = open.pop() {
+    let mut pending: Vec<&Directive> = top.iter().rev().collect();
+    while let Some(directive) = pending.pop() {
         match (directive.name.as_str(), &directive.block) {
             ("http" | "server", Some(block)) if directive.arguments.is_empty() => {
-                open.extend(block.iter().rev());
+                pending.extend(block.iter().rev());
             }
             ("upstream", Some(_)) => upstreams.push(directive),
-            ("location", Some(block)) => locations.push(location(directive, block)?),
+            ("location", Some(block)) => locations.push(parse_location(directive, block)?),
             _ => return Err(directive.error("not supported here")),
         }
     }
     let mut operator = Operator::default();
     for upstream in &upstreams {
-        let name = upstream.only()?;
+        let name = upstream.single_argument()?;
         if operator.hosts.iter().any(|h| h.kind == name) {
-            return Err(upstream.error("a second one of this name"));
+            return Err(upstream.error("duplicate name"));
         }
-        let hosts = upstream.block.iter().flatten().map(|d| host(d, name));
+        let hosts = upstream.block.iter().flatten().map(|d| parse_server(d, name));
         operator.hosts.extend(hosts.collect::<Result<Vec<_>, _>>()?);
         if !operator.hosts.iter().any(|h| h.kind == name) {
             return Err(upstream.error("has no server"));
         }
     }
-    // What stands behind nginx answers on the connection.
+    // Servers behind nginx answer HTTP requests on the connection.
     operator.workers = (upstreams.iter())
-        .filter_map(|u| u.only().ok())
+        .filter_map(|u| u.single_argument().ok())
         .map(|kind| RawWorkers { kind: kind.into(), protocol: Protocol::Http, ..RawWorkers::default() })
         .collect();
     for location in locations {
-        let Location { at, path, matching, upstream, timeout_ms, effect } = location;
+        let Location { directive, path, matching, upstream, timeout_ms, effect } = location;
         if !operator.hosts.iter().any(|h| h.kind == upstream) {
-            return Err(at.error(&format!("no upstream is named {upstream:?}")));
+            return Err(directive.error(&format!("no upstream is named {upstream:?}")));
         }
         if operator.routes.iter().any(|r| r.path == path && r.matching == matching) {
-            return Err(at.error("a second one of this path"));
+            return Err(directive.error("duplicate path"));
         }
-        // Locations differ in time-outs and repeats: each is a class of its own.
+        // Locations can differ in time-out and in whether requests may be repeated, so each has its own class.
         let class = format!("{upstream}{path}");
         let class = if matching == Matching::Exact { format!("={class}") } else { class };
-        let settings = json!({"name": class, "kind": upstream, "aim_ms": (timeout_ms / AIM_PART).max(1),
+        let settings = json!({"name": class, "kind": upstream, "aim_ms": (timeout_ms / AIM_DIVISOR).max(1),
             "deadline_ms": timeout_ms, "late_share": 0.5, "effect": effect});
         operator.classes.extend(settings.as_object().cloned());
         operator.routes.push(RawRoute {
@@ -180,14 +181,16 @@
     Ok(operator)
 }
 
-fn host(directive: &Directive, upstream: &str) -> Result<Host, String> {
+fn parse_server(directive: &Directive, upstream: &str) -> Result<Host, String> {
     if directive.name != "server" || directive.block.is_some() {
-        return Err(directive.error("not supported in an upstream: shares follow measured response times"));
+        return Err(
+            directive.error("not supported in an upstream; load is balanced by measured response times")
+        );
     }
     let (addr, parameters) =
-        directive.arguments.split_first().ok_or_else(|| directive.error("names no address"))?;
+        directive.arguments.split_first().ok_or_else(|| directive.error("has no address"))?;
     let addr: SocketAddr =
-        addr.parse().map_err(|_| directive.error(&format!("{addr:?} is no address with a port")))?;
+        addr.parse().map_err(|_| directive.error(&format!("{addr:?} is not an address with a port")))?;
     let mut state = State::Up;
     for parameter in parameters {
         match parameter.as_str() {
@@ -208,30 +211,32 @@
     })
 }
 
-fn location<'a>(at: &'a Directive, block: &[Directive]) -> Result<Location<'a>, String> {
-    let (matching, path) = match at.arguments.iter().map(String::as_str).collect::<Vec<_>>()[..] {
+fn parse_location<'a>(location: &'a Directive, block: &[Directive]) -> Result<Location<'a>, String> {
+    let (matching, path) = match location.arguments.iter().map(String::as_str).collect::<Vec<_>>()[..] {
         [path] | ["^~", path] => (Matching::Prefix, path),
         ["=", path] => (Matching::Exact, path),
-        [modifier, _] => return Err(at.error(&format!("modifier {modifier:?} is not supported"))),
-        _ => return Err(at.error("takes a path")),
+        [modifier, _] => return Err(location.error(&format!("modifier {modifier:?} is not supported"))),
+        _ => return Err(location.error("takes one path")),
     };
     if !path.starts_with('/') {
-        return Err(at.error(&format!("{path:?} does not begin with /")));
+        return Err(location.error(&format!("{path:?} does not start with /")));
     }
-    // nginx sends a POST again only where it is told that this is harmless.
+    // nginx retries a POST only where `non_idempotent` allows it.
     let (mut upstream, mut timeout_ms, mut effect) = (None, READ_TIMEOUT_MS, "once");
     for directive in block {
         match directive.name.as_str() {
             _ if directive.block.is_some() => return Err(directive.error("not supported here")),
             "proxy_pass" => {
-                let url = directive.only()?;
-                let name = url.strip_prefix("http://").ok_or_else(|| directive.error("only http:// is"))?;
+                let url = directive.single_argument()?;
+                let name = url
+                    .strip_prefix("http://")
+                    .ok_or_else(|| directive.error("only http:// is supported"))?;
                 if name.contains(['/', '$', ':']) {
-                    return Err(directive.error("must name an upstream and nothing behind it"));
+                    return Err(directive.error("must be the name of an upstream without a port or path"));
                 }
                 upstream = Some(name.to_owned());
             }
-            "proxy_read_timeout" => timeout_ms = time(directive)?,
+            "proxy_read_timeout" => timeout_ms = parse_time(directive)?,
             "proxy_next_upstream" => {
                 for word in &directive.arguments {
                     match word.as_str() {
@@ -245,22 +250,22 @@
             _ => return Err(directive.error("not supported in a location")),
         }
     }
-    let upstream = upstream.ok_or_else(|| at.error("has no proxy_pass"))?;
-    Ok(Location { at, path: path.into(), matching, upstream, timeout_ms, effect })
+    let upstream = upstream.ok_or_else(|| location.error("has no proxy_pass"))?;
+    Ok(Location { directive: location, path: path.into(), matching, upstream, timeout_ms, effect })
 }
 
-/// nginx's times: seconds unless a unit is given.
-fn time(directive: &Directive) -> Result<u64, String> {
-    let text = directive.only()?;
+/// Parses an nginx time in milliseconds; without a unit it is in seconds.
+fn parse_time(directive: &Directive) -> Result<u64, String> {
+    let text = directive.single_argument()?;
     let digits = text.trim_end_matches(|c: char| c.is_ascii_alphabetic());
     let factor = match &text[digits.len()..] {
         "ms" => 1,
         "" | "s" => 1000,
         "m" => 60_000,
         "h" => 3_600_000,
-        _ => return Err(directive.error(&format!("{text:?} is no time"))),
+        _ => return Err(directive.error(&format!("{text:?} is not a time"))),
     };
-    let number: u64 = digits.parse().map_err(|_| directive.error(&format!("{text:?} is no time")))?;
+    let number: u64 = digits.parse().map_err(|_| directive.error(&format!("{text:?} is not a time")))?;
     let ms = number.checked_mul(factor).filter(|ms| (1..=86_400_000).contains(ms));
     ms.ok_or_else(|| directive.error(&format!("{text:?} is out of range")))
 }
@@ -307,7 +312,7 @@
     #[case("upstream u { server 127.0.0.1:1 }", &["server", ";"])]
     #[case("}", &["line 1"])]
     #[case("\"open", &["line 1", "quote"])]
-    fn what_is_not_supported_is_rejected_by_line_and_name(#[case] text: &str, #[case] words: &[&str]) {
+    fn unsupported_directives_are_rejected_with_line_and_name(#[case] text: &str, #[case] words: &[&str]) {
         let error = import(text).unwrap_err();
         assert!(words.iter().all(|w| error.contains(w)), "{error}");
     }
