--- a/dispatcher/src/config/mod.rs
+++ b/dispatcher/src/config/mod.rs
@@ -141,7 +141,7 @@
 
 /// Checks the parts of the operator's file that do not depend on the platform's configuration.
 fn check_operator_only(operator: &Operator, faults: &mut Faults) {
-    admin(operator.admin.as_ref(), faults);
+    check_admin(operator.admin.as_ref(), faults);
     max_override_ms(operator, faults);
     check_routes(operator, faults);
     check_workers(operator, "lineroute", faults);
@@ -160,7 +160,7 @@
         (None, given) => given.ok_or_else(|| format!("{key} is not set, and GW_CONFIG has no {field}")),
     };
     let listen = faults.take(address("GW_LISTEN", raw.listen, "listen"));
-    let inherited_fd = faults.take(inherited_fd(variable("GW_FD")));
+    let inherited_fd = faults.take(parse_inherited_fd(variable("GW_FD")));
     let admin_console = match variable("GW_ADMIN_ADDR") {
         Some(text) => {
             faults.take(text.parse().map(Some).map_err(|e| format!("GW_ADMIN_ADDR: {text:?}: {e}")))
@@ -207,9 +207,9 @@
         );
     }
     let (beanstalkd_workers, http_workers) = check_workers(&operator, &name, faults);
-    let admin = admin(operator.admin.as_ref(), faults);
+    let admin = check_admin(operator.admin.as_ref(), faults);
     let max_override_ms = max_override_ms(&operator, faults);
-    let state_dir = state_dir(operator.state_dir.as_deref(), faults);
+    let state_dir = check_state_dir(operator.state_dir.as_deref(), faults);
     // Cordons set through the admin console must survive a replacement of the process: without a state directory they
     // are stored below `$TMPDIR`.
     let state_dir = match (state_dir, admin_console.flatten()) {
@@ -220,7 +220,7 @@
         }
         (None, None) => None,
     };
-    let peers = operator.peers.as_ref().and_then(|p| peers(p, &raw, platform.as_ref(), faults));
+    let peers = operator.peers.as_ref().and_then(|p| check_peers(p, &raw, platform.as_ref(), faults));
     let load_gossip =
         platform.as_ref().filter(|_| peers.is_none()).and_then(|platform| load_gossip_peers(&raw, platform));
     let clock = variable("LINEROUTE_TEST_CLOCK");
@@ -399,7 +399,7 @@
 }
 
 /// Parses `$GW_FD`: a descriptor other than standard input, output and error.
-fn inherited_fd(text: Option<String>) -> Result<Option<i32>, String> {
+fn parse_inherited_fd(text: Option<String>) -> Result<Option<i32>, String> {
     let Some(text) = text else { return Ok(None) };
     match text.trim().parse::<i32>() {
         Ok(fd) if fd >= 3 => Ok(Some(fd)),
@@ -407,7 +407,7 @@
     }
 }
 
-fn admin(raw: Option<&RawAdmin>, faults: &mut Faults) -> Option<Admin> {
+fn check_admin(raw: Option<&RawAdmin>, faults: &mut Faults) -> Option<Admin> {
     let raw = raw?;
     let key = |field: &str| format!("operator's file: admin.{field}");
     let listen = faults.take(raw.listen.parse::<AdminAddr>().map_err(|e| format!("{}: {e}", key("listen"))));
@@ -429,7 +429,7 @@
     Some(Admin { listen: listen?, keys, max_connections: raw.max_connections })
 }
 
-fn peers(
+fn check_peers(
     raw: &RawPeers,
     config: &PlatformFile,
     platform: Option<&PlatformSettings>,
@@ -497,7 +497,7 @@
     }
 }
 
-fn state_dir(path: Option<&str>, faults: &mut Faults) -> Option<PathBuf> {
+fn check_state_dir(path: Option<&str>, faults: &mut Faults) -> Option<PathBuf> {
     let path = PathBuf::from(path?);
     if !path.is_absolute() {
         faults.add("operator's file: state_dir", format!("{} is not an absolute path", path.display()));
--- a/dispatcher/src/config/operator.rs
+++ b/dispatcher/src/config/operator.rs
@@ -145,7 +145,7 @@
 #[derive(Debug, Deserialize, JsonSchema, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawAdmin {
-    /// A loopback address with its port, or the path of a Unix socket, which begins with `/`.
+    /// A loopback address with its port, or the path of a Unix socket, which starts with `/`.
     pub listen: String,
     /// File with one bearer key or two, one per line; required unless `listen` is a Unix socket.
     #[serde(default)]
