--- a/dispatcher/src/admin/calls.rs
+++ b/dispatcher/src/admin/calls.rs
@@ -6,7 +6,7 @@
 };
 use crate::body::Budgets;
 use crate::facade::Stage;
-use crate::fleet::api::ReplaceOrder;
+use crate::fleet::api::ReplaceVoterRequest;
 use crate::flow::{Flows, PermitStatsReport};
 use crate::listeners::http::ListenerLifecycle;
 use crate::overrides::{now, Overrides};
@@ -109,11 +109,11 @@
 
     /// Replaces a voter of the fleet by another member.
     fn replace(&self, body: &[u8]) -> Result<Reply, Reply> {
-        let order: ReplaceOrder = parse_body(body)?;
+        let order: ReplaceVoterRequest = parse_body(body)?;
         let Some(fleet) = &self.fleet else {
             return Err(error_reply(StatusCode::NOT_FOUND, None, "the operator's file names no fleet"));
         };
-        let done = fleet.replace(&order.replace, &order.by);
+        let done = fleet.replace_voter(&order.replace, &order.by);
         done.map_err(|message| error_reply(StatusCode::CONFLICT, None, message))?;
         Ok(json(StatusCode::OK, &order))
     }
--- a/dispatcher/src/cli/fleet.rs
+++ b/dispatcher/src/cli/fleet.rs
@@ -1,16 +1,16 @@
 //! `lineroute fleet`.
 
 use super::client::Admin;
-use super::workers::{lines, table};
+use super::workers::{render, table};
 use super::{print, print_json, Failure};
-use crate::fleet::api::{FleetView, ReplaceOrder};
+use crate::fleet::api::{FleetView, ReplaceVoterRequest};
 use awc::http::Method;
 
 #[derive(Debug, clap::Args)]
 pub struct Args {
     #[command(flatten)]
     admin: Admin,
-    /// As JSON, for scripts
+    /// Print JSON, for scripts
     #[arg(long)]
     json: bool,
     #[command(subcommand)]
@@ -19,22 +19,22 @@
 
 #[derive(Debug, clap::Subcommand)]
 enum Command {
-    /// Have one member vote in place of another; to be said to the leader
+    /// Replace a voter by another member; must be sent to the leader
     Replace {
-        /// The one that votes no longer
+        /// The voter that is removed
         old: String,
-        /// The one that votes in its place; it needs a `state_dir`
+        /// The member that becomes a voter; it needs a `state_dir`
         new: String,
     },
 }
 
-/// Shows the fleet as a dispatcher sees it, or changes who votes.
+/// Prints the fleet as a dispatcher sees it, or replaces a voter.
 pub fn fleet(args: Args) -> Result<(), Failure> {
     if let Some(Command::Replace { old, new }) = args.command {
-        let order = ReplaceOrder { replace: old, by: new };
-        let done: ReplaceOrder = args.admin.call(Method::POST, "/fleet/voters", Some(&order))?;
+        let request = ReplaceVoterRequest { replace: old, by: new };
+        let done: ReplaceVoterRequest = args.admin.call(Method::POST, "/fleet/voters", Some(&request))?;
         return print(&format!(
-            "{} will vote in place of {}; `lineroute fleet` shows when\n",
+            "{} will replace {} as a voter; `lineroute fleet` shows when it does\n",
             done.by, done.replace
         ));
     }
@@ -45,10 +45,10 @@
     let leader = view.leader.as_deref().unwrap_or("nobody");
     let mut text = format!(
         "{}, incarnation {}: vote {}; {leader} leads (term {})\n",
-        view.name, view.born, view.vote, view.term
+        view.name, view.incarnation, view.vote, view.term
     );
-    let may = if view.may.is_empty() { "nothing".into() } else { view.may.join(", ") };
-    text += &format!("may act for: {may}\n");
+    let permitted = if view.permitted.is_empty() { "nothing".into() } else { view.permitted.join(", ") };
+    text += &format!("may act for: {permitted}\n");
     if let Some(why) = &view.why_not {
         text += &format!("why not more: {why}\n");
     }
@@ -59,17 +59,17 @@
         let votes = if m.votes { "yes" } else { "" };
         members.add_row([m.member.as_str(), &m.state, &since, votes, &lag, &m.why]);
     }
-    text += &lines(&members);
+    text += &render(&members);
     let mut owners = table(&["THING", "OWNER", "TOKEN", "LEFT"]);
     for o in &view.owners {
         let left = o.left_ms.map_or(String::new(), |ms| format!("{ms}ms"));
-        owners.add_row([&o.thing, &o.owner, &o.token.to_string(), &left]);
+        owners.add_row([&o.resource, &o.owner, &o.token.to_string(), &left]);
     }
     if !view.owners.is_empty() {
-        text += &lines(&owners);
+        text += &render(&owners);
     }
     if !view.orphaned_work.is_empty() {
-        text += &format!("orphaned work that waits: {}\n", view.orphaned_work.join(", "));
+        text += &format!("unfinished orphaned work: {}\n", view.orphaned_work.join(", "));
     }
     print(&text)
 }
--- a/dispatcher/src/listeners/http.rs
+++ b/dispatcher/src/listeners/http.rs
@@ -317,7 +317,7 @@
             return;
         };
         taken.slot.mark_unread_since(since);
-        let proxied = self.routes.iter().any(|r| r.passing.is_some());
+        let proxied = self.routes.iter().any(|r| r.proxy.is_some());
         let (lifecycle, flows) = (self.lifecycle.clone(), self.flows.clone());
         actix_rt::spawn(async move {
             let guarded = GuardedStream::new(stream, taken.slot.clone(), proxied);
@@ -386,8 +386,8 @@
 
     async fn respond(&self, request: Request, slot: Option<Rc<ConnectionSlot>>) -> Response<BoxBody> {
         if let Some(route) = Route::find(&self.routes, request.path()) {
-            if let Some(passing) = &route.passing {
-                return self.pass(request, route, passing, slot).await;
+            if let Some(proxy) = &route.proxy {
+                return self.pass(request, route, proxy, slot).await;
             }
         }
         self.respond_buffered(request, slot.as_deref()).await.map_into_boxed_body()
