--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -169,7 +169,7 @@
             Ok(cost.broken == 0)
         }
         Command::Idle { members, json } => {
-            let idle: Vec<_> = members.into_iter().map(lineroute_lab::sim::idle).collect();
+            let idle: Vec<_> = members.into_iter().map(lineroute_lab::sim::measure_idle).collect();
             idle.iter().try_for_each(|idle| print(idle, json))?;
             Ok(true)
         }
--- a/lab/src/scale/membership.rs
+++ b/lab/src/scale/membership.rs
@@ -1,10 +1,10 @@
 //! The fleet's membership at several sizes, in virtual time: bytes, processor time, how soon a failure is known, and
-//! members that are declared dead while they live. Beside it the whole member with leases, as `idle` plays it.
+//! members that are declared dead while they live. Beside it the whole member with leases, as `measure_idle` plays it.
 
 use super::report::{Mechanism, Options, Role, Row, SizeUnit};
 use super::target;
 use super::usage::ThreadTimer;
-use crate::sim::idle;
+use crate::sim::measure_idle;
 use lineroute_fleet::members::{MemberState, Members};
 use lineroute_fleet::timing::Timing;
 use lineroute_fleet::{Incarnation, Member};
@@ -58,8 +58,8 @@
             membership,
         ),
     ];
-    let idles: Vec<_> = sizes.iter().map(|count| idle(*count)).collect();
-    let idle_points = |value: fn(&crate::sim::Idle) -> f64| -> Vec<(f64, f64)> {
+    let idles: Vec<_> = sizes.iter().map(|count| measure_idle(*count)).collect();
+    let idle_points = |value: fn(&crate::sim::IdleCost) -> f64| -> Vec<(f64, f64)> {
         idles.iter().map(|i| (f64::from(i.members), value(i))).collect()
     };
     let voter_points =
@@ -102,7 +102,7 @@
 }
 
 /// Bytes a second that leases cost each voter, sent and received: all of them together, but for the members' ends.
-fn voter_bytes(idle: &crate::sim::Idle, calm: &Outcome) -> f64 {
+fn voter_bytes(idle: &crate::sim::IdleCost, calm: &Outcome) -> f64 {
     let leases = (idle.bytes_per_s * 2.0 - calm.bytes_per_second) * f64::from(idle.members);
     let at_voters = if idle.members > idle.voters { leases / 2.0 } else { leases };
     at_voters / f64::from(idle.voters)
--- a/lab/src/sim/mod.rs
+++ b/lab/src/sim/mod.rs
@@ -43,7 +43,7 @@
 
 /// What a member of a fleet costs in which nothing happens.
 #[derive(Debug, Serialize)]
-pub struct Idle {
+pub struct IdleCost {
     pub members: u16,
     pub voters: u16,
     /// Of one member, on average over all, in virtual time.
@@ -56,7 +56,7 @@
 
 /// Plays a calm fleet of so many members, five of them voters: a long run less a short one, so that the beginning,
 /// when all get to know each other, is in neither.
-pub fn idle(members: u16) -> Idle {
+pub fn measure_idle(members: u16) -> IdleCost {
     let play = |seconds| {
         let began = Instant::now();
         let report = World::calm(1, Size { members, voters: members.min(5), seconds }).run();
@@ -64,7 +64,7 @@
     };
     let ((short, short_took), (long, long_took)) = (play(20), play(60));
     let each = f64::from(members) * 40.0;
-    Idle {
+    IdleCost {
         members,
         voters: members.min(5),
         bytes_per_s: (long.bytes - short.bytes) as f64 / each,
