--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -176,7 +176,7 @@
         Command::Ownership { seed, seeds, json } => {
             let summary = lineroute_lab::sim::sweep(seed, seeds);
             print(&summary, json)?;
-            Ok(summary.broken.is_empty())
+            Ok(summary.violations.is_empty())
         }
         Command::Scale { name, quick, seed, json, out } => lineroute_lab::scale::command::run(
             name.as_deref(),
--- a/lab/src/sim/disk.rs
+++ b/lab/src/sim/disk.rs
@@ -1,4 +1,4 @@
-//! Disks of the simulation: they take their time, fill up, and are lost.
+//! Simulated disks of the voters: writes take time, a disk can be full, and its contents can be lost.
 
 use lineroute_fleet::consensus::ReplicaId;
 use lineroute_fleet::log::{LogChange, LogStore, WriteStatus};
@@ -6,31 +6,31 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// What outlasts a process.
+/// The state of a disk, which survives a restart of its process.
 #[derive(Clone, Debug, Default)]
-pub struct Platter {
+pub struct DiskState {
     pub replica_id: Option<ReplicaId>,
     pub changes: Vec<LogChange>,
     pub full: bool,
-    /// What it was given and has not kept yet, by number; lost with the process.
-    pub under_way: VecDeque<(u64, LogChange)>,
-    /// Whether it takes its time at all.
+    /// Changes that are not durable yet, with their log numbers; lost when the process ends.
+    pub pending_writes: VecDeque<(u64, LogChange)>,
+    /// Writes complete later. If false, `append` is durable at once.
     pub slow: bool,
-    /// One write is being made. What comes meanwhile goes with the next.
-    pub writes: bool,
+    /// A write is in progress. Changes that are appended meanwhile are part of the next write.
+    pub write_in_progress: bool,
 }
 
-impl Platter {
-    /// Keeps all up to a number, in one write; nothing if that was done.
-    pub fn settle(&mut self, number: u64) -> Option<Result<(), String>> {
-        let mut any = false;
-        while let Some((_, change)) = self.under_way.pop_front_if(|(n, _)| *n <= number) {
-            any = true;
+impl DiskState {
+    /// Makes all pending changes up to a log number durable in one write. Returns `None` if none is pending.
+    pub fn complete_writes(&mut self, number: u64) -> Option<Result<(), String>> {
+        let mut had_pending = false;
+        while let Some((_, change)) = self.pending_writes.pop_front_if(|(n, _)| *n <= number) {
+            had_pending = true;
             if !self.full {
                 self.changes.push(change);
             }
         }
-        match (any, self.full) {
+        match (had_pending, self.full) {
             (false, _) => None,
             (true, true) => Some(Err("the disk is full".into())),
             (true, false) => Some(Ok(())),
@@ -39,38 +39,38 @@
 }
 
 #[derive(Clone)]
-pub struct SimDisk(pub Rc<RefCell<Platter>>);
+pub struct SimDisk(pub Rc<RefCell<DiskState>>);
 
 impl LogStore for SimDisk {
     fn append(&mut self, number: u64, change: &LogChange) -> Result<WriteStatus, String> {
-        let mut platter = self.0.borrow_mut();
-        if platter.slow {
-            platter.under_way.push_back((number, change.clone()));
+        let mut disk_state = self.0.borrow_mut();
+        if disk_state.slow {
+            disk_state.pending_writes.push_back((number, change.clone()));
             return Ok(WriteStatus::Pending);
         }
-        if platter.full {
+        if disk_state.full {
             return Err("the disk is full".into());
         }
-        platter.changes.push(change.clone());
+        disk_state.changes.push(change.clone());
         Ok(WriteStatus::Durable)
     }
 
     fn replace(&mut self, change: &LogChange) -> Result<(), String> {
-        let mut platter = self.0.borrow_mut();
-        if platter.full {
+        let mut disk_state = self.0.borrow_mut();
+        if disk_state.full {
             return Err("the disk is full".into());
         }
-        // What is under way comes first, and is in the new one.
-        platter.under_way.clear();
-        platter.changes = vec![change.clone()];
+        // Pending changes precede the replacement, which includes them.
+        disk_state.pending_writes.clear();
+        disk_state.changes = vec![change.clone()];
         Ok(())
     }
 
     fn compact(&mut self, change: &LogChange) {
-        // What is under way stays so: the change holds it, and keeping it again changes nothing.
-        let mut platter = self.0.borrow_mut();
-        if !platter.full && platter.under_way.is_empty() {
-            platter.changes = vec![change.clone()];
+        // Pending changes stay pending: the compacted change includes them, and applying them again is idempotent.
+        let mut disk_state = self.0.borrow_mut();
+        if !disk_state.full && disk_state.pending_writes.is_empty() {
+            disk_state.changes = vec![change.clone()];
         }
     }
 }
--- a/lab/src/sim/mod.rs
+++ b/lab/src/sim/mod.rs
@@ -1,5 +1,6 @@
-//! The pure crate of the fleet in virtual time: many nodes, a network that delays, loses and cuts, disks that
-//! fill and are lost, processes that stop, die and come back, clocks of different rates. One seed, one run.
+//! Deterministic simulation of `lineroute-fleet` in virtual time: many nodes, a network that delays and drops frames
+//! and partitions, disks that fill up or lose their contents, processes that are stopped, killed and restarted, and
+//! clocks that run at different rates. The same seed gives the same run.
 
 mod disk;
 mod rules;
@@ -13,68 +14,73 @@
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// What many seeds come to.
+/// Totals over the runs of many seeds.
 #[derive(Debug, Default, Serialize)]
 pub struct Summary {
     pub seeds: u64,
-    /// Seeds that broke a rule, with the first break of each.
-    pub broken: Vec<(u64, String)>,
+    /// Seeds that violated an invariant, with the first violation of each.
+    #[serde(rename = "broken")]
+    pub violations: Vec<(u64, String)>,
     pub kills: u64,
     pub stops: u64,
-    pub cuts: u64,
-    pub reborn: u64,
-    pub wins: u64,
-    /// Milliseconds without an owner while a majority could hear itself, after calm began: median and longest.
+    #[serde(rename = "cuts")]
+    pub partitions: u64,
+    #[serde(rename = "reborn")]
+    pub new_incarnations: u64,
+    #[serde(rename = "wins")]
+    pub acquisitions: u64,
+    /// Time that a resource had no owner although a connected majority of the voters was running.
     pub ownerless_median_ms: u64,
     pub ownerless_longest_ms: u64,
 }
 
-/// The size of a seed's fleet: mostly small ones, now and then a large one.
+/// The size of a seed's fleet: mostly 5 to 15 members, 3 % of the seeds 20 to 99, 0.5 % 100 to 300.
 pub fn size_of(seed: u64) -> Size {
-    let mut dice = fastrand::Rng::with_seed(seed ^ 0x51ce);
-    let voters = [3, 5, 5, 5, 7][dice.usize(0..5)];
-    let members = match dice.u32(0..200) {
-        0 => dice.u16(100..=300),
-        1..=6 => dice.u16(20..100),
-        _ => dice.u16(voters.max(5)..=15),
+    let mut rng = fastrand::Rng::with_seed(seed ^ 0x51ce);
+    let voters = [3, 5, 5, 5, 7][rng.usize(0..5)];
+    let members = match rng.u32(0..200) {
+        0 => rng.u16(100..=300),
+        1..=6 => rng.u16(20..100),
+        _ => rng.u16(voters.max(5)..=15),
     };
     Size { members, voters, seconds: if members >= 100 { 12 } else { 30 } }
 }
 
-/// What a member of a fleet costs in which nothing happens.
+/// The cost of a member in an idle fleet.
 #[derive(Debug, Serialize)]
 pub struct IdleCost {
     pub members: u16,
     pub voters: u16,
-    /// Of one member, on average over all, in virtual time.
+    /// Sent by one member per second of virtual time, averaged over all members.
     pub bytes_per_s: f64,
     pub frames_per_s: f64,
-    /// Processor time of one member, in parts of 1,000 of a core; the simulation's own is in it.
+    /// CPU time of one member in thousandths of a core, including the simulation's own.
     pub cpu_permille: f64,
-    pub broken: Vec<String>,
+    #[serde(rename = "broken")]
+    pub violations: Vec<String>,
 }
 
-/// Plays a calm fleet of so many members, five of them voters: a long run less a short one, so that the beginning,
-/// when all get to know each other, is in neither.
+/// Simulates a fleet without faults, with at most five voters. The result is the difference of a long and a short run,
+/// which leaves out the cost of the start, when members discover each other.
 pub fn measure_idle(members: u16) -> IdleCost {
-    let play = |seconds| {
+    let simulate = |seconds| {
         let began = Instant::now();
-        let report = World::calm(1, Size { members, voters: members.min(5), seconds }).run();
+        let report = World::without_faults(1, Size { members, voters: members.min(5), seconds }).run();
         (report, began.elapsed().as_secs_f64())
     };
-    let ((short, short_took), (long, long_took)) = (play(20), play(60));
-    let each = f64::from(members) * 40.0;
+    let ((short, short_elapsed), (long, long_elapsed)) = (simulate(20), simulate(60));
+    let member_seconds = f64::from(members) * 40.0;
     IdleCost {
         members,
         voters: members.min(5),
-        bytes_per_s: (long.bytes - short.bytes) as f64 / each,
-        frames_per_s: (long.frames - short.frames) as f64 / each,
-        cpu_permille: (long_took - short_took) * 1e3 / each,
-        broken: [short.broken, long.broken].concat(),
+        bytes_per_s: (long.bytes - short.bytes) as f64 / member_seconds,
+        frames_per_s: (long.frames - short.frames) as f64 / member_seconds,
+        cpu_permille: (long_elapsed - short_elapsed) * 1e3 / member_seconds,
+        violations: [short.violations, long.violations].concat(),
     }
 }
 
-/// Plays seeds on all cores.
+/// Simulates `count` seeds, from `from` on, in parallel on all cores.
 pub fn sweep(from: u64, count: u64) -> Summary {
     let (next, summary) = (AtomicU64::new(from), Mutex::new((Summary::default(), Vec::new())));
     let bar = ProgressBar::new(count);
@@ -87,25 +93,28 @@
                     return;
                 }
                 let report = World::new(seed, size_of(seed)).run();
-                let mut all = summary.lock().expect("no holder panics");
-                let (summary, gaps) = &mut *all;
+                let mut locked = summary.lock().expect("no thread panics while it holds the lock");
+                let (summary, ownerless_ms) = &mut *locked;
                 summary.seeds += 1;
                 summary.kills += report.kills;
                 summary.stops += report.stops;
-                summary.cuts += report.cuts;
-                summary.reborn += report.reborn;
-                summary.wins += report.wins;
-                summary.broken.extend(report.broken.into_iter().next().map(|words| (seed, words)));
-                gaps.extend(report.gaps_ms);
+                summary.partitions += report.partitions;
+                summary.new_incarnations += report.new_incarnations;
+                summary.acquisitions += report.acquisitions;
+                summary
+                    .violations
+                    .extend(report.violations.into_iter().next().map(|message| (seed, message)));
+                ownerless_ms.extend(report.ownerless_ms);
                 bar.inc(1);
             });
         }
     });
     bar.finish_and_clear();
-    let (mut summary, mut gaps) = summary.into_inner().expect("no holder panics");
-    gaps.sort_unstable();
-    summary.broken.sort();
-    summary.ownerless_median_ms = gaps.get(gaps.len() / 2).copied().unwrap_or(0);
-    summary.ownerless_longest_ms = gaps.last().copied().unwrap_or(0);
+    let (mut summary, mut ownerless_ms) =
+        summary.into_inner().expect("no thread panics while it holds the lock");
+    ownerless_ms.sort_unstable();
+    summary.violations.sort();
+    summary.ownerless_median_ms = ownerless_ms.get(ownerless_ms.len() / 2).copied().unwrap_or(0);
+    summary.ownerless_longest_ms = ownerless_ms.last().copied().unwrap_or(0);
     summary
 }
--- a/lab/src/sim/rules.rs
+++ b/lab/src/sim/rules.rs
@@ -1,64 +1,72 @@
-//! The rules that must hold at every moment of true time.
+//! Invariants that must hold at every moment of the simulation's reference time.
 
-use super::world::{Process, What, World, LOOK};
+use super::world::{Process, SimEvent, World, CHECK_INTERVAL};
 use lineroute_fleet::{Member, Resource};
 
 impl World {
-    /// A member may act for a thing at this moment of true time.
-    pub(super) fn acts(&mut self, member: u16, thing: &Resource) {
+    /// Checks the fencing token of a member's permit for a resource, if it has one now: it may be neither lower than
+    /// the highest token so far nor equal to another member's.
+    pub(super) fn check_token(&mut self, member: u16, resource: &Resource) {
         let now = self.clock(member);
         let Some(token) =
-            self.processes[usize::from(member)].node.as_ref().and_then(|n| n.permit(thing, now))
+            self.processes[usize::from(member)].node.as_ref().and_then(|n| n.permit(resource, now))
         else {
             return;
         };
         let me = Member(member);
-        let (highest, holder) = self.highest.get(thing).copied().unwrap_or((0, me));
+        let (highest, holder) = self.highest_tokens.get(resource).copied().unwrap_or((0, me));
         if token < highest || (token == highest && holder != me) {
-            let words = format!(
-                "{:?}: {thing}: member {member} may act by {token} after member {} had {highest}",
+            let message = format!(
+                "{:?}: {resource}: member {member} has a permit with token {token} after member {} had token {highest}",
                 self.now, holder.0
             );
-            self.report.broken.push(words);
+            self.report.violations.push(message);
         }
-        self.highest.insert(thing.clone(), (token.max(highest), me));
+        self.highest_tokens.insert(resource.clone(), (token.max(highest), me));
     }
 
-    /// Whether a majority of the voters runs, with its votes, and hears itself.
+    /// Whether a majority of the voters runs with its votes and no partition is in force.
     fn has_majority(&self) -> bool {
         let voters = self.processes.iter().take(usize::from(self.size.voters));
-        let well = |p: &Process| {
+        let is_active = |p: &Process| {
             !p.stopped
                 && p.node.as_ref().is_some_and(|n| matches!(n.status().vote.as_str(), "votes" | "leads"))
         };
-        self.cuts.is_empty() && voters.filter(|p| well(p)).count() * 2 > usize::from(self.size.voters)
+        self.partitions.is_empty()
+            && voters.filter(|p| is_active(p)).count() * 2 > usize::from(self.size.voters)
     }
 
-    /// The rules, at this moment: nobody but one may act for a thing, and tokens only grow.
-    pub(super) fn look(&mut self) {
-        self.at(LOOK, What::Look);
-        if !self.ownerless.is_empty() && !self.has_majority() {
-            self.bad = self.now;
+    /// Checks that at most one member has a permit for each resource, and that its token is not stale. Also records how
+    /// long a resource had no owner.
+    pub(super) fn check_invariants(&mut self) {
+        self.schedule(CHECK_INTERVAL, SimEvent::CheckInvariants);
+        if !self.ownerless_since.is_empty() && !self.has_majority() {
+            self.no_majority_at = self.now;
         }
-        for thing in self.things.clone() {
+        for resource in self.resources.clone() {
             let mut owners = Vec::new();
             for member in 0..self.size.members {
                 let now = self.clock(member);
                 let process = &self.processes[usize::from(member)];
                 let Some(node) = process.node.as_ref().filter(|_| !process.stopped) else { continue };
-                if node.permit(&thing, now).is_some() {
+                if node.permit(&resource, now).is_some() {
                     owners.push(member);
                 }
             }
             if owners.len() > 1 {
-                self.report.broken.push(format!("{:?}: {thing}: members {owners:?} may all act", self.now));
+                self.report.violations.push(format!(
+                    "{:?}: {resource}: members {owners:?} have permits at the same time",
+                    self.now
+                ));
             }
-            owners.iter().for_each(|member| self.acts(*member, &thing));
+            owners.iter().for_each(|member| self.check_token(*member, &resource));
             match owners.is_empty() {
-                true => drop(self.ownerless.entry(thing).or_insert(self.now)),
+                true => drop(self.ownerless_since.entry(resource).or_insert(self.now)),
                 false => {
-                    if let Some(since) = self.ownerless.remove(&thing) {
-                        self.report.gaps_ms.push((self.now - since.max(self.bad)).as_millis() as u64);
+                    if let Some(since) = self.ownerless_since.remove(&resource) {
+                        self.report
+                            .ownerless_ms
+                            .push((self.now - since.max(self.no_majority_at)).as_millis() as u64);
                     }
                 }
             }
--- a/lab/src/sim/world.rs
+++ b/lab/src/sim/world.rs
@@ -1,7 +1,7 @@
-//! One fleet in virtual time, with everything that can break, and the rules that must hold at every moment of
-//! true time.
+//! Simulation of one fleet in virtual time with fault injection. Invariants are checked against the simulation's
+//! reference time, not the members' own clocks.
 
-use super::disk::{Platter, SimDisk};
+use super::disk::{DiskState, SimDisk};
 use lineroute_fleet::consensus::replica_id_of;
 use lineroute_fleet::frame::Frame;
 use lineroute_fleet::log::Log;
@@ -14,14 +14,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The last part of a run is calm: by its end everything must have an owner.
-const CALM: Duration = Duration::from_secs(8);
-/// In a calm everything must have an owner again after this.
-const OWNED_AGAIN: Duration = Duration::from_secs(4);
-/// Rules are looked at this often.
-pub(super) const LOOK: Duration = Duration::from_millis(10);
+/// No faults are injected in the last part of a run: by its end each resource must have an owner.
+const FAULT_FREE_PERIOD: Duration = Duration::from_secs(8);
+/// Without faults, each resource must have an owner again after at most this time.
+const MAX_OWNERLESS: Duration = Duration::from_secs(4);
+/// Interval between two checks of the invariants.
+pub(super) const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How large a fleet is, and for how long it is played.
+/// The size of a fleet and the length of its simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     pub members: u16,
@@ -29,20 +29,20 @@
     pub seconds: u64,
 }
 
-/// What a run comes to.
+/// The result of one run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     pub kills: u64,
     pub stops: u64,
-    pub cuts: u64,
-    /// Processes that were declared dead while they lived, stopped or cut off or not.
-    pub reborn: u64,
-    /// Things won, all members together.
-    pub wins: u64,
-    /// For each loss of an owner, how long nobody owned the thing while a majority could hear itself.
-    pub gaps_ms: Vec<u64>,
-    /// Of everything that happened, in order.
+    pub partitions: u64,
+    /// Times that a living member was declared dead and began a new incarnation.
+    pub new_incarnations: u64,
+    /// Resources acquired, by all members together.
+    pub acquisitions: u64,
+    /// For each loss of an owner, how long the resource had none while a connected majority of voters was running.
+    pub ownerless_ms: Vec<u64>,
+    /// Hash of all events of all nodes, in order.
     pub digest: u64,
     pub frames: u64,
     pub bytes: u64,
@@ -50,77 +50,84 @@
 
 pub(super) struct Process {
     pub(super) node: Option<Node<SimDisk>>,
-    platter: Rc<RefCell<Platter>>,
-    born: u64,
-    /// True time at which its clock began, and its rate against true time, in parts of a million.
+    disk_state: Rc<RefCell<DiskState>>,
+    incarnation: u64,
+    /// Reference time at which its clock started.
     began: Time,
-    rate: u64,
+    /// Rate of its clock against reference time, in parts per million.
+    clock_rate_ppm: u64,
     pub(super) stopped: bool,
-    /// Counts starts and ends of the process, so that ticks of an earlier one are let drop.
+    /// Incremented with each start and end of the process: events of an earlier one are discarded.
     generation: u64,
-    /// What came while it was stopped.
+    /// Frames that arrived while it was stopped.
     inbox: Vec<(Member, Frame)>,
-    kept: Vec<(u64, Result<(), String>)>,
+    /// Results of writes that completed while it was stopped.
+    completed_writes: Vec<(u64, Result<(), String>)>,
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum What {
+pub(super) enum SimEvent {
     Tick(u16, u64),
     Deliver(u64),
-    /// A disk has kept a change, unless the process has died meanwhile.
-    Written(u16, u64, u64),
-    Trouble,
-    Mend(Mend),
-    Look,
+    /// A disk completed a write: member, generation of its process, log number.
+    WriteCompleted(u16, u64, u64),
+    InjectFault,
+    Repair(Repair),
+    CheckInvariants,
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Mend {
+pub(super) enum Repair {
     Start(u16),
-    GoOn(u16),
-    Join(u64),
-    Empty(u16),
+    Resume(u16),
+    HealPartition(u64),
+    FreeDisk(u16),
 }
 
-/// A cut: who hears nobody (`deaf`), and who is heard by nobody (`mute`), among the first and not the others.
+/// A network partition between a group of members and all others, in one or both directions.
 #[derive(Clone, Debug)]
-pub(super) struct Cut {
+pub(super) struct Partition {
     number: u64,
+    /// By member: whether it belongs to the group.
     group: Vec<bool>,
-    out: bool,
-    back: bool,
+    /// Frames from the group to the others are dropped.
+    blocks_outbound: bool,
+    /// Frames from the others to the group are dropped.
+    blocks_inbound: bool,
 }
 
 pub struct World {
     pub(super) size: Size,
     timing: Timing,
     pub(super) now: Time,
-    dice: fastrand::Rng,
+    rng: fastrand::Rng,
     pub(super) processes: Vec<Process>,
-    queue: BinaryHeap<Reverse<(Time, u64, What)>>,
+    queue: BinaryHeap<Reverse<(Time, u64, SimEvent)>>,
     count: u64,
-    letters: BTreeMap<u64, (Member, Member, Frame)>,
-    pub(super) cuts: Vec<Cut>,
-    /// Lost frames of 1,000 and the longest delay.
+    frames_in_flight: BTreeMap<u64, (Member, Member, Frame)>,
+    pub(super) partitions: Vec<Partition>,
+    /// Frames lost, in thousandths.
     loss: u32,
-    delay: Duration,
-    /// Nothing breaks any more.
-    calm: bool,
-    /// How long disks take at most; now and then one stands still for much longer.
-    disk: Duration,
-    pub(super) things: Vec<Resource>,
-    /// By thing: the highest token that anybody could act under, and who.
-    pub(super) highest: BTreeMap<Resource, (Token, Member)>,
-    pub(super) ownerless: BTreeMap<Resource, Time>,
-    /// When last no majority of the voters could run and hear each other.
-    pub(super) bad: Time,
+    /// Mean delay of a frame; the longest is twice as long.
+    mean_delay: Duration,
+    /// No more faults are injected.
+    faults_ended: bool,
+    /// Longest time of a disk write, except for occasional stalls of up to 1.5 s.
+    max_write_time: Duration,
+    pub(super) resources: Vec<Resource>,
+    /// By resource: the highest token that any member had a permit with, and that member.
+    pub(super) highest_tokens: BTreeMap<Resource, (Token, Member)>,
+    /// Resources without an owner, and since when.
+    pub(super) ownerless_since: BTreeMap<Resource, Time>,
+    /// The last time at which there was no connected majority of running voters while a resource had no owner.
+    pub(super) no_majority_at: Time,
     pub(super) report: Report,
 }
 
 impl World {
     pub fn new(seed: u64, size: Size) -> World {
-        let mut dice = fastrand::Rng::with_seed(seed);
-        let things = ["probe/a", "probe/b", "ledger"].into_iter().filter_map(Resource::new).collect();
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let resources = ["probe/a", "probe/b", "ledger"].into_iter().filter_map(Resource::new).collect();
         let mut world = World {
             size,
             timing: Timing::default(),
@@ -128,126 +135,131 @@
             processes: Vec::new(),
             queue: BinaryHeap::new(),
             count: 0,
-            letters: BTreeMap::new(),
-            cuts: Vec::new(),
-            loss: [0, 0, 10, 50][dice.usize(0..4)],
-            delay: Duration::from_millis([1, 5, 20, 60][dice.usize(0..4)]),
-            calm: false,
-            disk: Duration::from_millis([0, 1, 10, 100][dice.usize(0..4)]),
-            things,
-            highest: BTreeMap::new(),
-            ownerless: BTreeMap::new(),
-            bad: Time::ZERO,
+            frames_in_flight: BTreeMap::new(),
+            partitions: Vec::new(),
+            loss: [0, 0, 10, 50][rng.usize(0..4)],
+            mean_delay: Duration::from_millis([1, 5, 20, 60][rng.usize(0..4)]),
+            faults_ended: false,
+            max_write_time: Duration::from_millis([0, 1, 10, 100][rng.usize(0..4)]),
+            resources,
+            highest_tokens: BTreeMap::new(),
+            ownerless_since: BTreeMap::new(),
+            no_majority_at: Time::ZERO,
             report: Report::default(),
-            dice,
+            rng,
         };
         for _ in 0..size.members {
-            let rate = world.dice.u64(990_000..=1_010_000);
-            let (platter, began) = (Rc::default(), Time::ZERO);
+            let rate = world.rng.u64(990_000..=1_010_000);
+            let (disk_state, began) = (Rc::default(), Time::ZERO);
             let process = Process {
                 node: None,
-                platter,
-                born: 0,
+                disk_state,
+                incarnation: 0,
                 began,
-                rate,
+                clock_rate_ppm: rate,
                 stopped: false,
                 generation: 0,
                 inbox: Vec::new(),
-                kept: Vec::new(),
+                completed_writes: Vec::new(),
             };
             world.processes.push(process);
         }
         (0..size.members).for_each(|m| world.start(m));
-        world.at(Duration::from_secs(3), What::Trouble);
-        world.at(LOOK, What::Look);
+        world.schedule(Duration::from_secs(3), SimEvent::InjectFault);
+        world.schedule(CHECK_INTERVAL, SimEvent::CheckInvariants);
         world
     }
 
-    pub(super) fn at(&mut self, after: Duration, what: What) {
+    pub(super) fn schedule(&mut self, after: Duration, event: SimEvent) {
         self.count += 1;
-        self.queue.push(Reverse((self.now + after, self.count, what)));
+        self.queue.push(Reverse((self.now + after, self.count, event)));
     }
 
-    /// A process's own clock at this moment.
+    /// The current time on a member's own clock.
     pub(super) fn clock(&self, member: u16) -> Time {
         let process = &self.processes[usize::from(member)];
         let span = self.now.saturating_sub(process.began).as_nanos() as u64;
-        // Not from zero: a process reads its clock some time after its start.
-        Duration::from_nanos((span as u128 * u128::from(process.rate) / 1_000_000) as u64 + 1)
+        // Never zero: a process reads its clock some time after its start.
+        Duration::from_nanos((span as u128 * u128::from(process.clock_rate_ppm) / 1_000_000) as u64 + 1)
     }
 
     fn start(&mut self, member: u16) {
         let voters: Vec<Member> = (0..self.size.voters).map(Member).collect();
-        let votes = member < self.size.voters;
-        let seed = self.dice.u64(..);
-        let (now, disk) = (self.now, self.disk);
+        let is_voter = member < self.size.voters;
+        let seed = self.rng.u64(..);
+        let (now, max_write_time) = (self.now, self.max_write_time);
         let process = &mut self.processes[usize::from(member)];
-        process.born += 1;
+        process.incarnation += 1;
         process.generation += 1;
         (process.began, process.stopped) = (now, false);
         process.inbox.clear();
-        process.kept.clear();
-        let kept = votes.then(|| {
-            let mut platter = process.platter.borrow_mut();
-            platter.under_way.clear();
-            (platter.writes, platter.slow) = (false, !disk.is_zero());
-            let new = platter.replica_id.is_none();
-            let replica_id = *platter.replica_id.get_or_insert_with(|| replica_id_of(Member(member), seed));
-            let log = (!platter.changes.is_empty()).then(|| {
+        process.completed_writes.clear();
+        let recovered = is_voter.then(|| {
+            let mut disk_state = process.disk_state.borrow_mut();
+            disk_state.pending_writes.clear();
+            (disk_state.write_in_progress, disk_state.slow) = (false, !max_write_time.is_zero());
+            let is_new = disk_state.replica_id.is_none();
+            let replica_id =
+                *disk_state.replica_id.get_or_insert_with(|| replica_id_of(Member(member), seed));
+            let log = (!disk_state.changes.is_empty()).then(|| {
                 let mut log = Log::default();
-                platter.changes.iter().for_each(|change| log.apply(change));
+                disk_state.changes.iter().for_each(|change| log.apply(change));
                 log
             });
-            assert!(!new || log.is_none());
-            RecoveredReplica { replica_id, log, disk: SimDisk(process.platter.clone()) }
+            assert!(!is_new || log.is_none());
+            RecoveredReplica { replica_id, log, disk: SimDisk(process.disk_state.clone()) }
         });
         let node_config = NodeConfig {
-            incarnation: Incarnation { member: Member(member), number: process.born },
+            incarnation: Incarnation { member: Member(member), number: process.incarnation },
             members: self.size.members,
             voters,
             timing: self.timing,
             seed,
             floor: now.as_secs(),
         };
-        let mut node = Node::new(node_config, kept);
-        self.things.iter().for_each(|thing| node.set_wanted(thing, true));
+        let mut node = Node::new(node_config, recovered);
+        self.resources.iter().for_each(|resource| node.set_wanted(resource, true));
         node.set_recovers(true);
         process.node = Some(node);
         let generation = process.generation;
-        let first = Duration::from_micros(self.dice.u64(0..50_000));
-        self.at(first, What::Tick(member, generation));
+        let first = Duration::from_micros(self.rng.u64(0..50_000));
+        self.schedule(first, SimEvent::Tick(member, generation));
     }
 
-    /// The same with nothing that breaks or is lost, and links as within one building.
-    pub fn calm(seed: u64, size: Size) -> World {
+    /// A fleet without faults or loss, with the short delays of a local network.
+    pub fn without_faults(seed: u64, size: Size) -> World {
         let mut world = World::new(seed, size);
-        world.queue.retain(|Reverse((_, _, what))| *what != What::Trouble);
-        (world.loss, world.calm) = (0, true);
-        (world.delay, world.disk) = (Duration::from_millis(1), Duration::from_millis(1));
+        world.queue.retain(|Reverse((_, _, event))| *event != SimEvent::InjectFault);
+        (world.loss, world.faults_ended) = (0, true);
+        (world.mean_delay, world.max_write_time) = (Duration::from_millis(1), Duration::from_millis(1));
         world
     }
 
-    /// Plays the run to its end.
+    /// Runs the simulation to its end, or until an invariant is violated.
     pub fn run(mut self) -> Report {
-        let end = Duration::from_secs(self.size.seconds) + CALM;
-        while let Some(Reverse((at, _, what))) = self.queue.pop() {
-            if at > end || !self.report.broken.is_empty() {
+        let end = Duration::from_secs(self.size.seconds) + FAULT_FREE_PERIOD;
+        while let Some(Reverse((at, _, event))) = self.queue.pop() {
+            if at > end || !self.report.violations.is_empty() {
                 break;
             }
             self.now = at;
-            match what {
-                What::Tick(member, generation) => self.tick(member, generation),
-                What::Deliver(letter) => self.deliver(letter),
-                What::Written(member, generation, number) => self.written(member, generation, number),
-                What::Trouble => self.trouble(end),
-                What::Mend(mend) => self.mend(mend),
-                What::Look => self.look(),
+            match event {
+                SimEvent::Tick(member, generation) => self.tick(member, generation),
+                SimEvent::Deliver(frame_id) => self.deliver(frame_id),
+                SimEvent::WriteCompleted(member, generation, number) => {
+                    self.write_completed(member, generation, number)
+                }
+                SimEvent::InjectFault => self.inject_fault(end),
+                SimEvent::Repair(repair) => self.repair(repair),
+                SimEvent::CheckInvariants => self.check_invariants(),
             }
         }
-        for (thing, since) in &self.ownerless {
-            let alone = self.now.saturating_sub(*since);
-            if self.report.broken.is_empty() && alone > OWNED_AGAIN {
-                self.report.broken.push(format!("{thing} had no owner for {alone:?} of calm"));
+        for (resource, since) in &self.ownerless_since {
+            let unowned_for = self.now.saturating_sub(*since);
+            if self.report.violations.is_empty() && unowned_for > MAX_OWNERLESS {
+                self.report.violations.push(format!(
+                    "{resource}: no owner for {unowned_for:?} although no faults were injected"
+                ));
             }
         }
         self.report
@@ -259,99 +271,102 @@
         if process.generation != generation {
             return;
         }
-        // A tick of its own clock; while it is stopped nothing happens, and the next comes late.
-        let span = self.timing.tick_interval.as_nanos() as u64 * 1_000_000 / process.rate;
+        // Ticks follow the member's own clock. A stopped process does nothing.
+        let span = self.timing.tick_interval.as_nanos() as u64 * 1_000_000 / process.clock_rate_ppm;
         if !process.stopped {
             if let Some(node) = &mut process.node {
                 node.tick(now);
-                self.drain(member);
+                self.process_output(member);
             }
         }
-        self.at(Duration::from_nanos(span), What::Tick(member, generation));
+        self.schedule(Duration::from_nanos(span), SimEvent::Tick(member, generation));
     }
 
-    /// Takes what a node says and does.
-    fn drain(&mut self, member: u16) {
+    /// Handles a node's outgoing frames and events, and starts a disk write if there are pending changes.
+    fn process_output(&mut self, member: u16) {
         let Some(node) = &mut self.processes[usize::from(member)].node else { return };
         let (out, events) = (node.take_frames(), node.take_events());
         for event in events {
-            self.note(&event);
+            self.add_to_digest(&event);
             match event {
-                Event::Acquired(thing, token) => {
-                    self.report.wins += 1;
-                    self.won(member, &thing, token);
+                Event::Acquired(resource, token) => {
+                    self.report.acquisitions += 1;
+                    self.acquired(member, &resource, token);
                 }
-                Event::NewIncarnation(_) => self.report.reborn += 1,
+                Event::NewIncarnation(_) => self.report.new_incarnations += 1,
                 _ => {}
             }
         }
         for (to, frame) in out {
             self.send(Member(member), to, frame);
         }
-        self.spin(member);
+        self.begin_write(member);
     }
 
-    /// Begins the next write of a disk, of all that it was given by now.
-    fn spin(&mut self, member: u16) {
+    /// Starts a disk write of all pending changes, unless one is in progress.
+    fn begin_write(&mut self, member: u16) {
         let process = &self.processes[usize::from(member)];
         let generation = process.generation;
         let number = {
-            let mut platter = process.platter.borrow_mut();
-            let last = platter.under_way.back().map(|(n, _)| *n).filter(|_| !platter.writes);
-            platter.writes |= last.is_some();
+            let mut disk_state = process.disk_state.borrow_mut();
+            let last =
+                disk_state.pending_writes.back().map(|(n, _)| *n).filter(|_| !disk_state.write_in_progress);
+            disk_state.write_in_progress |= last.is_some();
             last
         };
         let Some(number) = number else { return };
-        let stands = !self.calm && self.dice.u32(0..200) == 0;
-        let most = if stands { Duration::from_millis(1500) } else { self.disk };
-        let takes = Duration::from_micros(self.dice.u64(0..=most.as_micros() as u64));
-        self.at(takes, What::Written(member, generation, number));
+        let stalls = !self.faults_ended && self.rng.u32(0..200) == 0;
+        let longest = if stalls { Duration::from_millis(1500) } else { self.max_write_time };
+        let duration = Duration::from_micros(self.rng.u64(0..=longest.as_micros() as u64));
+        self.schedule(duration, SimEvent::WriteCompleted(member, generation, number));
     }
 
-    fn written(&mut self, member: u16, generation: u64, number: u64) {
+    fn write_completed(&mut self, member: u16, generation: u64, number: u64) {
         let process = &mut self.processes[usize::from(member)];
         if process.generation != generation {
             return;
         }
-        process.platter.borrow_mut().writes = false;
-        let Some(result) = process.platter.borrow_mut().settle(number) else { return self.spin(member) };
+        process.disk_state.borrow_mut().write_in_progress = false;
+        let Some(result) = process.disk_state.borrow_mut().complete_writes(number) else {
+            return self.begin_write(member);
+        };
         if process.stopped {
-            // It is told when it runs again.
-            process.kept.push((number, result));
-            return self.spin(member);
+            // Reported to the process when it is resumed.
+            process.completed_writes.push((number, result));
+            return self.begin_write(member);
         }
-        self.told(member, number, result);
+        self.notify_persisted(member, number, result);
     }
 
-    fn told(&mut self, member: u16, number: u64, result: Result<(), String>) {
+    fn notify_persisted(&mut self, member: u16, number: u64, result: Result<(), String>) {
         let now = self.clock(member);
         if let Some(node) = &mut self.processes[usize::from(member)].node {
             node.persisted(now, number, result);
         }
-        self.drain(member);
+        self.process_output(member);
     }
 
-    /// Orphaned work that was taken over is worked on for a while and settled.
-    fn won(&mut self, member: u16, thing: &Resource, _token: Token) {
-        let Some(incarnation) = thing.as_orphaned_work() else { return };
-        if self.dice.u32(0..3) > 0 {
+    /// In two of three cases, completes the recovery of orphaned work at once; otherwise its lease is kept.
+    fn acquired(&mut self, member: u16, resource: &Resource, _token: Token) {
+        let Some(incarnation) = resource.as_orphaned_work() else { return };
+        if self.rng.u32(0..3) > 0 {
             if let Some(node) = &mut self.processes[usize::from(member)].node {
                 node.complete_recovery(incarnation);
             }
         }
     }
 
-    fn note(&mut self, event: &Event) {
+    fn add_to_digest(&mut self, event: &Event) {
         let text = format!("{:?} {event:?}", self.now);
         for byte in text.bytes() {
             self.report.digest = (self.report.digest ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
         }
     }
 
-    fn hears(&self, from: Member, to: Member) -> bool {
-        !self.cuts.iter().any(|cut| {
-            let (a, b) = (cut.group[usize::from(from.0)], cut.group[usize::from(to.0)]);
-            (cut.out && a && !b) || (cut.back && b && !a)
+    fn is_connected(&self, from: Member, to: Member) -> bool {
+        !self.partitions.iter().any(|partition| {
+            let (a, b) = (partition.group[usize::from(from.0)], partition.group[usize::from(to.0)]);
+            (partition.blocks_outbound && a && !b) || (partition.blocks_inbound && b && !a)
         })
     }
 
@@ -360,22 +375,22 @@
         if self.size.members < 100 || self.loss == 0 {
             self.report.bytes += frame.encode().len() as u64;
         }
-        if !self.hears(from, to) || self.dice.u32(0..1000) < self.loss {
+        if !self.is_connected(from, to) || self.rng.u32(0..1000) < self.loss {
             return;
         }
-        let delay = Duration::from_micros(self.dice.u64(100..=self.delay.as_micros() as u64 * 2));
+        let delay = Duration::from_micros(self.rng.u64(100..=self.mean_delay.as_micros() as u64 * 2));
         self.count += 1;
-        self.letters.insert(self.count, (from, to, frame));
-        let letter = self.count;
-        self.at(delay, What::Deliver(letter));
+        self.frames_in_flight.insert(self.count, (from, to, frame));
+        let frame_id = self.count;
+        self.schedule(delay, SimEvent::Deliver(frame_id));
     }
 
-    fn deliver(&mut self, letter: u64) {
-        let Some((from, to, frame)) = self.letters.remove(&letter) else { return };
+    fn deliver(&mut self, frame_id: u64) {
+        let Some((from, to, frame)) = self.frames_in_flight.remove(&frame_id) else { return };
         let now = self.clock(to.0);
         let process = &mut self.processes[usize::from(to.0)];
         if process.stopped {
-            // It waits in the kernel, as far as there is room.
+            // The frame waits in the socket buffer, if there is room.
             if process.inbox.len() < 256 {
                 process.inbox.push((from, frame));
             }
@@ -383,32 +398,32 @@
         }
         if let Some(node) = &mut process.node {
             node.receive(now, from, frame);
-            self.drain(to.0);
+            self.process_output(to.0);
         }
     }
 
-    /// Breaks one thing, as the dice say, and comes again unless the calm begins.
-    fn trouble(&mut self, end: Time) {
-        if self.now + CALM + Duration::from_secs(4) > end {
-            self.calm = true;
+    /// Injects one random fault and schedules the next, unless the fault-free period is near.
+    fn inject_fault(&mut self, end: Time) {
+        if self.now + FAULT_FREE_PERIOD + Duration::from_secs(4) > end {
+            self.faults_ended = true;
             return;
         }
-        let member = self.dice.u16(0..self.size.members);
-        // Voters and owners are struck more often than their number: they are what may break.
-        let voter = self.dice.u16(0..self.size.voters);
-        let owner = self.highest.values().map(|(_, m)| m.0).next().unwrap_or(voter);
-        let who = [member, voter, owner][self.dice.usize(0..3)];
-        let span = Duration::from_millis(self.dice.u64(20..4000));
-        match self.dice.u32(0..12) {
-            0..=3 => self.kill(who, span, false),
-            4..=6 => self.stop(who, span),
-            7 | 8 => self.cut(span),
+        let member = self.rng.u16(0..self.size.members);
+        // Voters and owners are chosen more often than other members, since their faults can violate invariants.
+        let voter = self.rng.u16(0..self.size.voters);
+        let owner = self.highest_tokens.values().map(|(_, m)| m.0).next().unwrap_or(voter);
+        let target = [member, voter, owner][self.rng.usize(0..3)];
+        let span = Duration::from_millis(self.rng.u64(20..4000));
+        match self.rng.u32(0..12) {
+            0..=3 => self.kill(target, span, false),
+            4..=6 => self.stop(target, span),
+            7 | 8 => self.partition(span),
             9 => {
-                self.processes[usize::from(voter)].platter.borrow_mut().full = true;
-                self.at(span, What::Mend(Mend::Empty(voter)));
+                self.processes[usize::from(voter)].disk_state.borrow_mut().full = true;
+                self.schedule(span, SimEvent::Repair(Repair::FreeDisk(voter)));
             }
             10 => {
-                // One lost disk at a time: more than that is a lost majority, which nothing mends by itself.
+                // Only one disk is lost at a time: the loss of a majority needs an operator.
                 self.kill(voter, span, true);
             }
             _ => {
@@ -417,25 +432,25 @@
                 }
             }
         }
-        let next = Duration::from_millis(self.dice.u64(100..3000));
-        self.at(next, What::Trouble);
+        let next = Duration::from_millis(self.rng.u64(100..3000));
+        self.schedule(next, SimEvent::InjectFault);
     }
 
     fn kill(&mut self, member: u16, span: Duration, wipe: bool) {
-        let alone = self.now > Duration::from_secs(6) && self.uninitialized_replicas() == 0;
+        let may_wipe = self.now > Duration::from_secs(6) && self.uninitialized_replicas() == 0;
         let process = &mut self.processes[usize::from(member)];
         if process.node.take().is_none() {
             return;
         }
         self.report.kills += 1;
         process.generation += 1;
-        if wipe && alone {
-            *process.platter.borrow_mut() = Platter::default();
+        if wipe && may_wipe {
+            *process.disk_state.borrow_mut() = DiskState::default();
         }
-        self.at(span, What::Mend(Mend::Start(member)));
+        self.schedule(span, SimEvent::Repair(Repair::Start(member)));
     }
 
-    /// Voters whose replica is new or not there: while there is one, no other disk is lost.
+    /// Voters that are not running or whose replica is uninitialized. While there is one, no other disk is wiped.
     fn uninitialized_replicas(&self) -> usize {
         let voters = self.processes.iter().take(usize::from(self.size.voters));
         let started = |p: &Process| {
@@ -450,60 +465,62 @@
         if process.node.is_some() && !process.stopped {
             process.stopped = true;
             self.report.stops += 1;
-            self.at(span, What::Mend(Mend::GoOn(member)));
+            self.schedule(span, SimEvent::Repair(Repair::Resume(member)));
         }
     }
 
-    fn cut(&mut self, span: Duration) {
-        self.report.cuts += 1;
+    fn partition(&mut self, span: Duration) {
+        self.report.partitions += 1;
         self.count += 1;
-        let share = self.dice.u32(1..60);
-        let group = (0..self.size.members).map(|_| self.dice.u32(0..100) < share).collect();
-        let (out, back) = [(true, true), (true, false), (false, true)][self.dice.usize(0..3)];
+        let share = self.rng.u32(1..60);
+        let group = (0..self.size.members).map(|_| self.rng.u32(0..100) < share).collect();
+        let (blocks_outbound, blocks_inbound) =
+            [(true, true), (true, false), (false, true)][self.rng.usize(0..3)];
         let number = self.count;
-        self.cuts.push(Cut { number, group, out, back });
-        self.at(span, What::Mend(Mend::Join(number)));
+        self.partitions.push(Partition { number, group, blocks_outbound, blocks_inbound });
+        self.schedule(span, SimEvent::Repair(Repair::HealPartition(number)));
     }
 
-    fn mend(&mut self, mend: Mend) {
-        match mend {
-            Mend::Start(member) => {
+    fn repair(&mut self, repair: Repair) {
+        match repair {
+            Repair::Start(member) => {
                 if self.processes[usize::from(member)].node.is_none() {
                     self.start(member);
                 }
             }
-            Mend::Join(number) => self.cuts.retain(|cut| cut.number != number),
-            Mend::Empty(member) => {
-                self.processes[usize::from(member)].platter.borrow_mut().full = false;
-                // A voter that lost its disk says nothing until it is started again.
+            Repair::HealPartition(number) => self.partitions.retain(|partition| partition.number != number),
+            Repair::FreeDisk(member) => {
+                self.processes[usize::from(member)].disk_state.borrow_mut().full = false;
+                // A voter whose disk failed does not take part until it is restarted.
                 self.kill(member, Duration::from_millis(100), false);
             }
-            Mend::GoOn(member) => self.go_on(member),
+            Repair::Resume(member) => self.resume(member),
         }
     }
 
-    fn go_on(&mut self, member: u16) {
+    fn resume(&mut self, member: u16) {
         let now = self.clock(member);
         let process = &mut self.processes[usize::from(member)];
         if !std::mem::take(&mut process.stopped) {
             return;
         }
         let Some(node) = &process.node else { return };
-        // The very first instruction after the stop may be an act: the last look at the clock comes before it.
-        let may: Vec<Resource> =
-            self.things.iter().filter(|t| node.permit(t, now).is_some()).cloned().collect();
-        for thing in may {
-            self.acts(member, &thing);
+        // The first thing that the process does may be an act under a permit that it checks against its clock, so
+        // permits are checked before any other event is handled.
+        let permitted: Vec<Resource> =
+            self.resources.iter().filter(|t| node.permit(t, now).is_some()).cloned().collect();
+        for resource in permitted {
+            self.check_token(member, &resource);
         }
-        for (number, result) in std::mem::take(&mut self.processes[usize::from(member)].kept) {
-            self.told(member, number, result);
+        for (number, result) in std::mem::take(&mut self.processes[usize::from(member)].completed_writes) {
+            self.notify_persisted(member, number, result);
         }
         let inbox = std::mem::take(&mut self.processes[usize::from(member)].inbox);
         for (from, frame) in inbox {
             if let Some(node) = &mut self.processes[usize::from(member)].node {
                 node.receive(now, from, frame);
             }
-            self.drain(member);
+            self.process_output(member);
         }
     }
 }
