--- a/lab/src/scale/chart.rs
+++ b/lab/src/scale/chart.rs
@@ -1,4 +1,5 @@
-//! A capacity report as one self-contained page: a table, and a chart of each row with its fit and its budget.
+//! Renders a capacity report as one self-contained HTML page: a table, and for each row a chart of its measured points,
+//! fitted line and budget.
 
 use super::report::{Fit, Row};
 use super::table;
@@ -10,10 +11,10 @@
     td,th{border:1px solid #ccc;padding:3px 7px;text-align:left}.missed{background:#fdd}\
     figure{display:inline-block;margin:1em;vertical-align:top;width:520px}figcaption{font-size:13px}";
 
-/// The page.
+/// Renders the HTML page.
 ///
 /// # Errors
-/// A chart can't be drawn.
+/// A chart cannot be drawn.
 pub fn page(report: &Report) -> Result<String, String> {
     let mut html =
         format!("<!doctype html><meta charset=utf-8><title>Capacity</title><style>{STYLE}</style>");
@@ -22,39 +23,39 @@
         report.seed,
         if report.quick { ", quick" } else { "" }
     ));
-    html.push_str(&html_table(report));
+    html.push_str(&render_table(report));
     for row in report.rows.iter().filter(|row| row.points.len() > 1) {
-        let caption = escaped(&format!("{}: {} by {}", row.role, row.quantity, row.grows_by));
-        let chart = chart(row).map_err(|e| format!("{}: {e}", row.quantity))?;
+        let caption = escape_html(&format!("{}: {} by {}", row.role, row.quantity, row.grows_by));
+        let chart = render_chart(row).map_err(|e| format!("{}: {e}", row.quantity))?;
         html.push_str(&format!("<figure>{chart}<figcaption>{caption}</figcaption></figure>"));
     }
     Ok(html)
 }
 
-fn html_table(report: &Report) -> String {
-    let head: String = table::COLUMNS.iter().map(|column| format!("<th>{column}</th>")).collect();
-    let mut html = format!("<table><tr>{head}</tr>");
+fn render_table(report: &Report) -> String {
+    let header: String = table::COLUMNS.iter().map(|column| format!("<th>{column}</th>")).collect();
+    let mut html = format!("<table><tr>{header}</tr>");
     for row in &report.rows {
         let class = if row.is_missed() { " class=missed" } else { "" };
         let cells: String =
-            table::cells(row).iter().map(|cell| format!("<td>{}</td>", escaped(cell))).collect();
+            table::cells(row).iter().map(|cell| format!("<td>{}</td>", escape_html(cell))).collect();
         html.push_str(&format!("<tr{class}>{cells}</tr>"));
     }
     html.push_str("</table>");
     html
 }
 
-fn escaped(text: &str) -> String {
+fn escape_html(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-fn chart(row: &Row) -> Result<String, Box<dyn std::error::Error>> {
+fn render_chart(row: &Row) -> Result<String, Box<dyn std::error::Error>> {
     let mut svg = String::new();
     draw(row, &SVGBackend::with_string(&mut svg, SIZE).into_drawing_area())?;
     Ok(svg)
 }
 
-/// Points, the line through them up to the full size, and the budget.
+/// Draws the measured points, the fitted line up to the full size, and the budget.
 fn draw(
     row: &Row,
     area: &DrawingArea<SVGBackend, plotters::coord::Shift>,
@@ -75,8 +76,8 @@
         .y_labels(5)
         .x_desc(row.grows_by.to_string())
         .y_desc(row.unit)
-        .x_label_formatter(&|size| table::figure(*size))
-        .y_label_formatter(&|value| table::figure(*value))
+        .x_label_formatter(&|size| table::format_number(*size))
+        .y_label_formatter(&|value| table::format_number(*value))
         .draw()?;
     chart.draw_series(LineSeries::new([(0.0, fit.at(0.0)), (largest, fit.at(largest))], &BLUE))?;
     if let Some(budget) = row.budget {
--- a/lab/src/scale/choice.rs
+++ b/lab/src/scale/choice.rs
@@ -1,4 +1,4 @@
-//! What one decision costs by the number of workers, and what share of a core that comes to.
+//! CPU time of one scheduling decision by the number of workers, and the share of a core that all decisions take.
 
 use super::hollow::HollowDispatcher;
 use super::report::{Mechanism, Options, Role, Row, SizeUnit};
@@ -6,7 +6,7 @@
 use super::usage::ThreadTimer;
 use lineroute::Stage;
 
-/// Batches of which the median counts.
+/// The median of this many batches is the result.
 const BATCHES: usize = 5;
 
 pub fn rows(options: &Options) -> Vec<Row> {
@@ -15,7 +15,7 @@
     let points = |value: fn(&Costs) -> f64| -> Vec<(f64, f64)> {
         measured.iter().map(|costs| (f64::from(costs.workers), value(costs))).collect()
     };
-    let share = |dispatchers: f64| -> Vec<(f64, f64)> {
+    let core_share = |dispatchers: f64| -> Vec<(f64, f64)> {
         let rate = target::STARTS_PER_SECOND / dispatchers;
         points(|c| c.decision).into_iter().map(|(size, seconds)| (size, seconds * rate)).collect()
     };
@@ -23,7 +23,7 @@
         let size = (SizeUnit::Workers, target::WORKERS);
         Row::measured(Role::Dispatcher, quantity, unit, size, points, mechanism).timed()
     };
-    let (least, most) = target::DISPATCHERS_RANGE;
+    let (min_dispatchers, max_dispatchers) = target::DISPATCHERS_RANGE;
     vec![
         row(
             "one decision: a request and its end",
@@ -31,18 +31,23 @@
             points(|c| c.decision * 1e6),
             Mechanism::ChoiceByScan,
         ),
-        row("decisions, all starts of the peak at one process", "core", share(1.0), Mechanism::ChoiceByScan)
-            .budget(target::CORE_SHARE)
-            .assuming("730 starts a second, one process decides all of them"),
+        row(
+            "decisions, all starts of the peak at one process",
+            "core",
+            core_share(1.0),
+            Mechanism::ChoiceByScan,
+        )
+        .budget(target::CORE_SHARE)
+        .assuming("730 starts a second, one process decides all of them"),
         row(
             "decisions, starts of the peak spread over all",
             "core",
-            share(target::DISPATCHERS),
+            core_share(target::DISPATCHERS),
             Mechanism::ChoiceByScan,
         )
         .budget(target::CORE_SHARE)
         .assuming(format!(
-            "{} dispatchers ({least} to {most}) with even parts of 730 starts a second",
+            "{} dispatchers ({min_dispatchers} to {max_dispatchers}) with even parts of 730 starts a second",
             target::DISPATCHERS
         )),
         row(
@@ -52,43 +57,43 @@
             Mechanism::ChoiceByScan,
         ),
         row("taking in one change of the list", "us", points(|c| c.change * 1e6), Mechanism::DecisionState),
-        row("taking in the whole list", "ms", points(|c| c.whole_list * 1e3), Mechanism::DecisionState),
+        row("taking in the whole list", "ms", points(|c| c.full_list * 1e3), Mechanism::DecisionState),
     ]
 }
 
-/// Seconds of processor time of the module's steps, at a number of workers.
+/// CPU seconds of the decision module's operations at a number of workers.
 struct Costs {
     workers: u32,
     decision: f64,
     change: f64,
-    whole_list: f64,
+    full_list: f64,
 }
 
 impl Costs {
     fn measure(workers: u32, options: &Options) -> Self {
-        // Each batch is long against the clock's resolution and short against a scheduler's turn.
+        // A batch takes much longer than the clock's resolution and much less than a scheduler time slice.
         let batch = if options.quick { 200 } else { 2000 };
         let mut dispatcher =
             HollowDispatcher::warmed(workers, if options.quick { 1 } else { 4 }, options.seed);
         let decision = median_of_batches(batch, |_| dispatcher.serve());
-        let change = median_of_batches(batch, |turn| {
-            let stage = if turn % 2 == 0 { Stage::Draining } else { Stage::Ready };
-            dispatcher.take_change(turn / 2 % workers, stage);
+        let change = median_of_batches(batch, |iteration| {
+            let stage = if iteration % 2 == 0 { Stage::Draining } else { Stage::Ready };
+            dispatcher.apply_change(iteration / 2 % workers, stage);
         });
-        let whole_list = median_of_batches(4, |_| dispatcher.take_whole_list(workers));
-        Self { workers, decision, change, whole_list }
+        let full_list = median_of_batches(4, |_| dispatcher.apply_full_list(workers));
+        Self { workers, decision, change, full_list }
     }
 }
 
-/// Seconds of one step: the median over batches.
+/// Seconds of one step, as the median over the batches.
 fn median_of_batches(batch: u32, mut step: impl FnMut(u32)) -> f64 {
-    let mut took: Vec<f64> = (0..BATCHES)
+    let mut seconds: Vec<f64> = (0..BATCHES)
         .map(|_| {
             let timer = ThreadTimer::start();
             (0..batch).for_each(&mut step);
             timer.seconds()
         })
         .collect();
-    took.sort_by(f64::total_cmp);
-    took[BATCHES / 2] / f64::from(batch)
+    seconds.sort_by(f64::total_cmp);
+    seconds[BATCHES / 2] / f64::from(batch)
 }
--- a/lab/src/scale/counted_discovery.rs
+++ b/lab/src/scale/counted_discovery.rs
@@ -1,4 +1,5 @@
-//! A discovery on loopback for real processes: it tells of a change at stated times, and counts calls and bytes.
+//! A discovery server on loopback for real processes. It publishes a change at a fixed interval, and counts calls and
+//! bytes.
 
 use super::worker_list::WorkerList;
 use std::io::{self, BufRead, BufReader, Write};
@@ -7,12 +8,12 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The longest head of a request.
-const MOST_HEAD: usize = 8192;
-/// Between two looks at whether a change has come.
-const LOOK_EVERY: Duration = Duration::from_millis(2);
+/// Longest head of a request, in bytes.
+const MAX_HEAD_BYTES: usize = 8192;
+/// Interval at which a long poll checks for a new version.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What has come and gone.
+/// Calls served, and bytes received and sent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
     pub calls: u64,
@@ -21,37 +22,37 @@
 
 struct Shared {
     workers: u32,
-    began: Instant,
-    every: Duration,
+    started_at: Instant,
+    change_interval: Duration,
     calls: AtomicU64,
     bytes: AtomicU64,
-    ends: AtomicBool,
+    is_shutting_down: AtomicBool,
 }
 
-/// It listens until it is dropped. Each connection has a thread: its dispatcher opens few.
-pub struct CountedDiscovery {
+/// A server that listens until it is dropped. Each connection has a thread, since a dispatcher opens few.
+pub struct CountingDiscovery {
     pub addr: SocketAddr,
     shared: Arc<Shared>,
 }
 
-impl CountedDiscovery {
-    /// Tells of so many workers, and of a change of one of them again and again after this time.
+impl CountingDiscovery {
+    /// Serves a list of `workers` workers, one of which changes after each `change_interval`.
     ///
     /// # Errors
-    /// There are no ports.
-    pub fn start(workers: u32, every: Duration) -> io::Result<Self> {
+    /// No port can be bound.
+    pub fn start(workers: u32, change_interval: Duration) -> io::Result<Self> {
         let socket = TcpListener::bind("127.0.0.1:0")?;
         let addr = socket.local_addr()?;
         let shared = Arc::new(Shared {
             workers,
-            began: Instant::now(),
-            every,
+            started_at: Instant::now(),
+            change_interval,
             calls: AtomicU64::new(0),
             bytes: AtomicU64::new(0),
-            ends: AtomicBool::new(false),
+            is_shutting_down: AtomicBool::new(false),
         });
-        let accepts = shared.clone();
-        std::thread::spawn(move || accepts.accept(&socket));
+        let acceptor = shared.clone();
+        std::thread::spawn(move || acceptor.accept(&socket));
         Ok(Self { addr, shared })
     }
 
@@ -61,10 +62,10 @@
     }
 }
 
-impl Drop for CountedDiscovery {
+impl Drop for CountingDiscovery {
     fn drop(&mut self) {
-        self.shared.ends.store(true, Ordering::Relaxed);
-        // Wakes the thread that accepts, which then ends.
+        self.shared.is_shutting_down.store(true, Ordering::Relaxed);
+        // Wakes the accepting thread, which then returns.
         let _ = TcpStream::connect(self.addr);
     }
 }
@@ -72,17 +73,17 @@
 impl Shared {
     fn accept(self: Arc<Self>, socket: &TcpListener) {
         while let Ok((stream, _)) = socket.accept() {
-            if self.ends.load(Ordering::Relaxed) {
+            if self.is_shutting_down.load(Ordering::Relaxed) {
                 return;
             }
             let shared = self.clone();
-            // Its connection ends with the process that opened it.
+            // The thread ends when the process at the other end closes the connection.
             std::thread::spawn(move || shared.serve(stream));
         }
     }
 
     fn version(&self) -> u64 {
-        (self.began.elapsed().as_micros() / self.every.as_micros()) as u64 + 1
+        (self.started_at.elapsed().as_micros() / self.change_interval.as_micros()) as u64 + 1
     }
 
     fn serve(&self, stream: TcpStream) -> io::Result<()> {
@@ -91,21 +92,21 @@
         while let Some((path, head_bytes)) = read_request(&mut reader)? {
             self.calls.fetch_add(1, Ordering::Relaxed);
             self.bytes.fetch_add(head_bytes, Ordering::Relaxed);
-            let answer = self.answer(&path)?;
-            self.bytes.fetch_add(answer.len() as u64, Ordering::Relaxed);
-            (&stream).write_all(&answer)?;
+            let response = self.respond(&path)?;
+            self.bytes.fetch_add(response.len() as u64, Ordering::Relaxed);
+            (&stream).write_all(&response)?;
         }
         Ok(())
     }
 
-    /// Waits for news as long as the call does, and tells of it.
-    fn answer(&self, path: &str) -> io::Result<Vec<u8>> {
+    /// Answers a call; a call with `after` is a long poll that waits up to `wait_ms` for a newer version.
+    fn respond(&self, path: &str) -> io::Result<Vec<u8>> {
         let list = match query(path, "after") {
-            None => WorkerList::whole(self.workers).with_version(self.version()),
+            None => WorkerList::full(self.workers).with_version(self.version()),
             Some(after) => {
-                let until = Instant::now() + Duration::from_millis(query(path, "wait_ms").unwrap_or(0));
-                while self.version() <= after && Instant::now() < until {
-                    std::thread::sleep(LOOK_EVERY);
+                let deadline = Instant::now() + Duration::from_millis(query(path, "wait_ms").unwrap_or(0));
+                while self.version() <= after && Instant::now() < deadline {
+                    std::thread::sleep(POLL_INTERVAL);
                 }
                 let version = self.version();
                 let changes = version.saturating_sub(after).min(u64::from(self.workers)) as u32;
@@ -118,14 +119,14 @@
     }
 }
 
-/// The path of a request without a body, and the bytes of its head; nothing at the connection's end.
+/// Reads a request without a body. Returns its path and the bytes of its head, or `None` at the end of the connection.
 fn read_request(reader: &mut impl BufRead) -> io::Result<Option<(String, u64)>> {
     let (mut path, mut bytes) = (None, 0);
     loop {
         let mut line = String::new();
         let read = reader.read_line(&mut line)?;
         bytes += read;
-        if read == 0 || bytes > MOST_HEAD {
+        if read == 0 || bytes > MAX_HEAD_BYTES {
             return Ok(None);
         }
         if line.trim_end().is_empty() {
--- a/lab/src/scale/distribution.rs
+++ b/lab/src/scale/distribution.rs
@@ -1,31 +1,32 @@
-//! The worker list from discovery to all dispatchers, before and after: each dispatcher asks discovery for whole lists
-//! and changes in JSON, against one source, a relay for each zone, and subscribers.
+//! Distribution of the worker list from discovery to all dispatchers. "Before", each dispatcher fetches full lists and
+//! changes from discovery as JSON. After, one source publishes to a relay for each zone, and dispatchers subscribe.
 
 pub mod world;
 
-use super::memory::{in_child, ChildPlan, Measured, WORKERS_IN_CHILD};
+use super::memory::{run_child, ChildPlan, Measured, WORKERS_IN_CHILD};
 use super::report::{Mechanism, Options, Role, Row, SizeUnit};
 use super::target;
 use super::watch::{self, DiscoveryModel, MILLISECOND};
 use std::time::Duration;
 use world::{Outcome, Plan, Size, Start};
 
-/// Time that discovery takes for a call, and its link: as in the scenario `watch`.
-const CALL: watch::Time = 5 * MILLISECOND;
-const LINK: f64 = 125e6;
-/// Messages lost, of 1,000, where links lose any.
-const LOST: u32 = 300;
-/// Length of a burst of changes at a hundred times the mean rate.
-const BURST: Duration = Duration::from_secs(60);
-/// Everybody starts within this time.
-const RESTART: Duration = Duration::from_secs(10);
-/// Nothing changes in the end of a run, so that each change has its 14 s and more.
-const CALM_END: Duration = Duration::from_secs(60);
-/// Copies of the largest list whose memory is measured together, for each of the decision module's.
-const COPIES: u32 = 10;
-/// How long starts are watched: the whole list at the budget of bytes takes two minutes.
-const WATCHED_START: Duration = Duration::from_secs(300);
-const WATCHED_QUICK_START: Duration = Duration::from_secs(60);
+/// Time that discovery takes for a call, and the bandwidth of its link, as in the scenario `watch`.
+const CALL_TIME: watch::Time = 5 * MILLISECOND;
+const LINK_BYTES_PER_SECOND: f64 = 125e6;
+/// Messages lost, in thousandths, in runs with loss.
+const LOST_PER_MILLE: u32 = 300;
+/// Length of a burst of changes, at `target::BURST_FACTOR` (100) times the mean rate.
+const BURST_SPAN: Duration = Duration::from_secs(60);
+/// All dispatchers start within this time.
+const RESTART_SPAN: Duration = Duration::from_secs(10);
+/// There are no changes at the end of a run, so that each change has at least the 14 s of `target::CHANGE_IN_FORCE`.
+const QUIET_END: Duration = Duration::from_secs(60);
+/// Copies of a list that are measured together, for each decision module that a child process of the scenario `memory`
+/// has at that size.
+const COPIES_PER_MODULE: u32 = 10;
+/// Length of runs that measure starts: transferring the full list within the byte budget takes two minutes.
+const START_RUN: Duration = Duration::from_secs(300);
+const QUICK_START_RUN: Duration = Duration::from_secs(60);
 
 pub fn rows(options: &Options) -> Vec<Row> {
     let sizes = sizes(options);
@@ -38,7 +39,7 @@
 fn sizes(options: &Options) -> Vec<Size> {
     let size = |workers, dispatchers, zones, regions| Size { workers, dispatchers, zones, regions };
     match options.quick {
-        // Few workers: spans and rates grow by dispatchers.
+        // Few workers suffice, since times and rates grow with the number of dispatchers.
         true => vec![size(50, 6, 2, 2), size(100, 12, 3, 2), size(150, 24, 4, 3), size(200, 48, 6, 4)],
         false => vec![
             size(100, 10, 2, 2),
@@ -54,16 +55,16 @@
     }
 }
 
-/// Moments of change: one burst, and the mean rate before and after it.
+/// Times of the changes: one burst, and the mean rate before and after it.
 fn changes(options: &Options, span: Duration) -> Vec<Duration> {
-    let mut dice = fastrand::Rng::with_seed(options.seed ^ 0xd157);
+    let mut rng = fastrand::Rng::with_seed(options.seed ^ 0xd157);
     let mean = target::CHANGES_PER_DAY / target::SECONDS_PER_DAY;
-    let ends = span.saturating_sub(CALM_END);
-    let mut at = |span: Duration| Duration::from_micros(dice.u64(0..span.as_micros() as u64));
-    let in_burst = (mean * target::BURST_FACTOR * BURST.as_secs_f64()) as usize;
+    let ends = span.saturating_sub(QUIET_END);
+    let mut at = |span: Duration| Duration::from_micros(rng.u64(0..span.as_micros() as u64));
+    let in_burst = (mean * target::BURST_FACTOR * BURST_SPAN.as_secs_f64()) as usize;
     let rest = (mean * ends.as_secs_f64()) as usize;
     let burst_begins = ends / 2;
-    let mut changes: Vec<Duration> = (0..in_burst).map(|_| burst_begins + at(BURST)).collect();
+    let mut changes: Vec<Duration> = (0..in_burst).map(|_| burst_begins + at(BURST_SPAN)).collect();
     changes.extend((0..rest).map(|_| at(ends)));
     changes.sort_unstable();
     changes
@@ -73,7 +74,7 @@
     Row::measured(role, quantity, unit, (SizeUnit::Dispatchers, target::DISPATCHERS), points, mechanism)
 }
 
-fn at_sizes<T: Send>(sizes: &[Size], run: impl Fn(Size) -> T + Sync) -> Vec<(Size, T)> {
+fn run_at_sizes<T: Send>(sizes: &[Size], run: impl Fn(Size) -> T + Sync) -> Vec<(Size, T)> {
     sizes.iter().map(|size| (*size, run(*size))).collect()
 }
 
@@ -85,86 +86,93 @@
     span.as_micros() as watch::Time
 }
 
-/// The same run with each dispatcher's own watch of discovery.
-fn before(plan: &Plan) -> watch::Outcome {
+/// The same run with a watch of discovery by each dispatcher instead of relays.
+fn direct_watch(plan: &Plan) -> watch::Outcome {
     let changes: Vec<watch::Time> = plan.changes.iter().map(|at| micros(*at)).collect();
-    watch::play(&watch::Plan {
-        tier: u32::from(plan.size.dispatchers),
-        cut: None,
+    watch::simulate(&watch::Plan {
+        configured_dispatchers: u32::from(plan.size.dispatchers),
+        partition: None,
         dispatchers: u32::from(plan.size.dispatchers),
         workers: plan.size.workers,
         until: micros(plan.until),
         changes: &changes,
-        start_without_list: match plan.start {
-            Start::Everybody(span) => Some(micros(span)),
+        empty_start_span: match plan.start {
+            Start::All(span) => Some(micros(span)),
             Start::Settled | Start::Newcomer => None,
         },
-        discovery: DiscoveryModel { call: CALL, link: LINK, lost: plan.lost, down: None },
+        discovery: DiscoveryModel {
+            call_time: CALL_TIME,
+            link_bytes_per_second: LINK_BYTES_PER_SECOND,
+            lost_per_mille: plan.lost_per_mille,
+            outage: None,
+        },
         seed: plan.seed,
     })
 }
 
 fn change_rows(options: &Options, sizes: &[Size]) -> Vec<Row> {
     let until = Duration::from_secs(if options.quick { 150 } else { 1800 });
-    let plan = |size, lost, relay_dies_at| Plan {
+    let plan = |size, lost_per_mille, relay_fails_at| Plan {
         size,
         start: Start::Settled,
         until,
         changes: changes(options, until),
-        lost,
-        relay_dies_at,
+        lost_per_mille,
+        relay_fails_at,
         seed: options.seed,
     };
-    // The relay dies amid the burst.
-    let dies_at = Some(until.saturating_sub(CALM_END) / 2 + BURST / 3);
-    let calm = at_sizes(sizes, |size| world::play(&plan(size, 0, None)));
-    let lossy = at_sizes(sizes, |size| world::play(&plan(size, LOST, dies_at)));
-    let watched = at_sizes(sizes, |size| before(&plan(size, 0, None)));
-    let lossy_watched = at_sizes(sizes, |size| before(&plan(size, LOST, None)));
+    // The relay fails during the burst.
+    let relay_fails_at = Some(until.saturating_sub(QUIET_END) / 2 + BURST_SPAN / 3);
+    let lossless = run_at_sizes(sizes, |size| world::simulate(&plan(size, 0, None)));
+    let lossy = run_at_sizes(sizes, |size| world::simulate(&plan(size, LOST_PER_MILLE, relay_fails_at)));
+    let direct = run_at_sizes(sizes, |size| direct_watch(&plan(size, 0, None)));
+    let lossy_direct = run_at_sizes(sizes, |size| direct_watch(&plan(size, LOST_PER_MILLE, None)));
     let seconds = until.as_secs_f64();
     let minute = 60.0;
     let mut rows = Vec::new();
-    for (outcomes, words) in [(&watched, ""), (&lossy_watched, ", 30% loss")] {
+    for (outcomes, suffix) in [(&direct, ""), (&lossy_direct, ", 30% loss")] {
         let mechanism = Mechanism::DiscoveryWatch;
         let add = |quantity: &str, unit, value: &dyn Fn(&watch::Outcome) -> f64| {
-            let quantity = format!("before: {quantity}{words}");
+            let quantity = format!("before: {quantity}{suffix}");
             row(Role::Dispatcher, &quantity, unit, mechanism, points(outcomes, value))
         };
-        rows.push(add("a change is in force, median", "s", &|o| o.known_after.quantile(0.5)));
-        rows.push(add("a change is in force, 99.9 of 100", "s", &|o| o.known_after.quantile(0.999)));
+        rows.push(add("a change is in force, median", "s", &|o| o.propagation_time.quantile(0.5)));
+        rows.push(add("a change is in force, 99.9 of 100", "s", &|o| o.propagation_time.quantile(0.999)));
         rows.push(
-            add("a change is in force, longest", "s", &|o| o.known_after.longest())
+            add("a change is in force, longest", "s", &|o| o.propagation_time.longest())
                 .budget(target::CHANGE_IN_FORCE),
         );
         let worst = add("bytes, worst minute", "bytes/s", &|o| o.worst_minute_bytes as f64 / minute);
         rows.push(worst.budget(target::BYTES_PER_SECOND));
-        let quantity = format!("before: bytes of discovery{words}");
+        let quantity = format!("before: bytes of discovery{suffix}");
         let bytes = points(outcomes, |o| o.bytes as f64 / seconds);
         rows.push(row(Role::Discovery, &quantity, "bytes/s", mechanism, bytes));
-        let quantity = format!("before: calls of discovery{words}");
+        let quantity = format!("before: calls of discovery{suffix}");
         let calls = points(outcomes, |o| o.calls as f64 / seconds);
         rows.push(row(Role::Discovery, &quantity, "1/s", mechanism, calls));
     }
-    rows.extend(copy_rows(&calm));
-    for (outcomes, words) in [(&calm, ""), (&lossy, ", 30% loss and a dead relay")] {
-        rows.extend(after_rows(outcomes, words));
+    rows.extend(copy_rows(&lossless));
+    for (outcomes, suffix) in [(&lossless, ""), (&lossy, ", 30% loss and a dead relay")] {
+        rows.extend(after_rows(outcomes, suffix));
     }
     let assumption =
         "one burst of 60 s at 22 changes a second, the mean rate else; messages are lost whole, on all links";
     rows.into_iter().map(|row| row.assuming(assumption)).collect()
 }
 
-fn after_rows(outcomes: &[(Size, Outcome)], words: &str) -> Vec<Row> {
+fn after_rows(outcomes: &[(Size, Outcome)], suffix: &str) -> Vec<Row> {
     let mechanism = Mechanism::RelayDistribution;
     let add = |role, quantity: &str, unit, value: fn(&Outcome) -> f64| {
-        row(role, &format!("{quantity}{words}"), unit, mechanism, points(outcomes, value))
+        row(role, &format!("{quantity}{suffix}"), unit, mechanism, points(outcomes, value))
     };
     vec![
-        add(Role::Dispatcher, "a change is in force, median", "s", |o| o.in_force_after.quantile(0.5)),
-        add(Role::Dispatcher, "a change is in force, 99.9 of 100", "s", |o| o.in_force_after.quantile(0.999)),
-        add(Role::Dispatcher, "a change is in force, longest", "s", |o| o.in_force_after.longest())
+        add(Role::Dispatcher, "a change is in force, median", "s", |o| o.propagation_time.quantile(0.5)),
+        add(Role::Dispatcher, "a change is in force, 99.9 of 100", "s", |o| {
+            o.propagation_time.quantile(0.999)
+        }),
+        add(Role::Dispatcher, "a change is in force, longest", "s", |o| o.propagation_time.longest())
             .budget(target::CHANGE_IN_FORCE),
-        add(Role::Dispatcher, "changes that one lacks at the end", "changes", |o| o.behind as f64)
+        add(Role::Dispatcher, "changes that one lacks at the end", "changes", |o| o.missing_changes as f64)
             .budget(0.0),
         add(Role::Dispatcher, "bytes of the list, mean", "bytes/s", |o| o.dispatcher_mean)
             .budget(target::BYTES_PER_SECOND),
@@ -178,7 +186,7 @@
     ]
 }
 
-/// What a copy of the list costs a dispatcher, beside bytes on the wire.
+/// Memory and CPU time of a dispatcher's copy of the list.
 fn copy_rows(outcomes: &[(Size, Outcome)]) -> Vec<Row> {
     let by_workers = |value: &dyn Fn(&Outcome) -> f64| -> Vec<(f64, f64)> {
         outcomes.iter().map(|(size, outcome)| (f64::from(size.workers), value(outcome))).collect()
@@ -203,77 +211,77 @@
     ]
 }
 
-/// Resident memory that a copy of the list takes, in a process of its own.
+/// Resident memory of a copy of the list, measured in a child process.
 fn copy_memory(size: &Size) -> Option<f64> {
-    let instances = (WORKERS_IN_CHILD * COPIES / size.workers).max(1);
+    let instances = (WORKERS_IN_CHILD * COPIES_PER_MODULE / size.workers).max(1);
     let what = Measured::ListCopy;
     let report =
-        in_child(ChildPlan { what, instances, workers: size.workers, requests_each: 0, seed: 0 }).ok()?;
-    let grown = report.bytes_after.saturating_sub(report.bytes_before);
-    Some(grown as f64 / f64::from(instances))
+        run_child(ChildPlan { what, instances, workers: size.workers, requests_each: 0, seed: 0 }).ok()?;
+    let growth = report.bytes_after.saturating_sub(report.bytes_before);
+    Some(growth as f64 / f64::from(instances))
 }
 
-fn watched_start(options: &Options) -> Duration {
+fn start_run(options: &Options) -> Duration {
     match options.quick {
-        true => WATCHED_QUICK_START,
-        false => WATCHED_START,
+        true => QUICK_START_RUN,
+        false => START_RUN,
     }
 }
 
 fn newcomer_rows(options: &Options, sizes: &[Size]) -> Vec<Row> {
-    let played = |lost| {
-        at_sizes(sizes, |size| {
-            world::play(&Plan {
+    let simulated = |lost_per_mille| {
+        run_at_sizes(sizes, |size| {
+            world::simulate(&Plan {
                 size,
                 start: Start::Newcomer,
-                until: watched_start(options),
+                until: start_run(options),
                 changes: Vec::new(),
-                lost,
-                relay_dies_at: None,
+                lost_per_mille,
+                relay_fails_at: None,
                 seed: options.seed,
             })
         })
     };
-    let (calm, lossy) = (played(0), played(LOST));
+    let (lossless, lossy) = (simulated(0), simulated(LOST_PER_MILLE));
     let mechanism = Mechanism::RelayDistribution;
     let add = |quantity: &str, outcomes: &[(Size, Outcome)], value: fn(&Outcome) -> f64| {
         let points = outcomes.iter().map(|(size, o)| (f64::from(size.workers), value(o))).collect();
         let size = (SizeUnit::Workers, target::WORKERS);
         Row::measured(Role::Dispatcher, quantity, "s", size, points, mechanism)
     };
-    // All others hold the list from the start: the longest span is the newcomer's.
+    // All others have the list from the start, so the longest time is that of the new dispatcher.
     vec![
-        add("a newcomer knows its own zone", &calm, |o| o.essential_after.longest())
+        add("a newcomer knows its own zone", &lossless, |o| o.time_to_essential.longest())
             .budget(target::CHANGE_IN_FORCE),
-        add("a newcomer knows all", &calm, |o| o.complete_after.longest()),
-        add("a newcomer knows its own zone, 30% loss", &lossy, |o| o.essential_after.longest())
+        add("a newcomer knows all", &lossless, |o| o.time_to_complete.longest()),
+        add("a newcomer knows its own zone, 30% loss", &lossy, |o| o.time_to_essential.longest())
             .budget(target::CHANGE_IN_FORCE),
-        add("a newcomer knows all, 30% loss", &lossy, |o| o.complete_after.longest()),
+        add("a newcomer knows all, 30% loss", &lossy, |o| o.time_to_complete.longest()),
     ]
 }
 
 fn restart_rows(options: &Options, sizes: &[Size]) -> Vec<Row> {
     let plan = |size| Plan {
         size,
-        start: Start::Everybody(RESTART),
-        until: watched_start(options),
+        start: Start::All(RESTART_SPAN),
+        until: start_run(options),
         changes: Vec::new(),
-        lost: 0,
-        relay_dies_at: None,
+        lost_per_mille: 0,
+        relay_fails_at: None,
         seed: options.seed,
     };
-    let after = at_sizes(sizes, |size| world::play(&plan(size)));
-    let watched = at_sizes(sizes, |size| before(&plan(size)));
-    let (old, new) = (Mechanism::DiscoveryWatch, Mechanism::RelayDistribution);
+    let after = run_at_sizes(sizes, |size| world::simulate(&plan(size)));
+    let direct = run_at_sizes(sizes, |size| direct_watch(&plan(size)));
+    let (direct_mechanism, relay_mechanism) = (Mechanism::DiscoveryWatch, Mechanism::RelayDistribution);
     let add = |role, quantity: &str, unit, value: fn(&Outcome) -> f64| {
-        row(role, quantity, unit, new, points(&after, value))
+        row(role, quantity, unit, relay_mechanism, points(&after, value))
     };
     let add_before = |role, quantity: &str, unit, value: fn(&watch::Outcome) -> f64| {
-        row(role, quantity, unit, old, points(&watched, value))
+        row(role, quantity, unit, direct_mechanism, points(&direct, value))
     };
     vec![
         add_before(Role::Dispatcher, "before: everybody restarts: all have the list", "s", |o| {
-            o.first_list_after.longest()
+            o.first_list_time.longest()
         }),
         add_before(Role::Dispatcher, "before: everybody restarts: bytes, worst minute", "bytes/s", |o| {
             o.worst_minute_bytes as f64 / 60.0
@@ -286,13 +294,13 @@
             |o| o.worst_second_bytes as f64,
         ),
         add(Role::Dispatcher, "everybody restarts: nine in ten know their zone", "s", |o| {
-            o.essential_after.quantile(0.9)
+            o.time_to_essential.quantile(0.9)
         }),
         add(Role::Dispatcher, "everybody restarts: all know their zone", "s", |o| {
-            o.essential_after.longest()
+            o.time_to_essential.longest()
         })
-        .budget(target::CHANGE_IN_FORCE + RESTART.as_secs_f64()),
-        add(Role::Dispatcher, "everybody restarts: all know all", "s", |o| o.complete_after.longest()),
+        .budget(target::CHANGE_IN_FORCE + RESTART_SPAN.as_secs_f64()),
+        add(Role::Dispatcher, "everybody restarts: all know all", "s", |o| o.time_to_complete.longest()),
         add(Role::Dispatcher, "everybody restarts: bytes, worst minute", "bytes/s", |o| {
             o.dispatcher_worst_minute
         })
--- a/lab/src/scale/distribution/world.rs
+++ b/lab/src/scale/distribution/world.rs
@@ -1,5 +1,5 @@
-//! The source, relays and hollow dispatchers of a fleet in virtual time: the real `Publisher`, `Relay` and `Subscriber`
-//! of `lineroute-distribution`, messages that take their time and get lost, relays that die.
+//! Simulation of the source, the relays and the dispatchers of a fleet in virtual time: the real `Publisher`, `Relay`
+//! and `Subscriber` of `lineroute-distribution`, with message delay and loss, and relays that fail.
 
 use crate::scale::histogram::Histogram;
 use crate::scale::usage::ThreadTimer;
@@ -17,31 +17,31 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// What the source sends at most: four thousand bytes a second for each of 64 relays.
+/// Bandwidth limit of the source: 4,000 bytes a second for each of 64 relays.
 const SOURCE_BYTES_PER_SECOND: u32 = 256_000;
-/// The source's watch of discovery waits for news so long, and is given up after so long.
-const SOURCE_WAIT: Duration = Duration::from_millis(200);
+/// Wait time of the source's long poll of discovery, and its timeout.
+const SOURCE_LONG_POLL: Duration = Duration::from_millis(200);
 const SOURCE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time from the source to discovery and back.
+/// Round-trip time between the source and discovery.
 const DISCOVERY_ROUND_TRIP: Duration = Duration::from_millis(1);
-/// One-way times within a zone, within a region, and between regions, in microseconds.
+/// Shortest and longest one-way delays within a zone, within a region, and between regions, in microseconds.
 const WITHIN_ZONE: (u64, u64) = (200, 1000);
 const WITHIN_REGION: (u64, u64) = (500, 3000);
 const BETWEEN_REGIONS: (u64, u64) = (20_000, 80_000);
-/// From a relay's death until another process has its lease and all are told: a lease of 1.5 s, its renewal, and the
-/// next question of each member.
-const TAKEOVER: Duration = Duration::from_secs(4);
-/// Upstreams that each is given beside its own relay.
-const SIBLINGS: usize = 3;
-/// A newcomer starts when the others have verified what they hold.
-const NEWCOMER_AT: Duration = Duration::from_secs(30);
+/// Time from a relay's failure until another process holds its lease and all members know: the lease time of 1.5 s, its
+/// renewal, and the next query of each member.
+const TAKEOVER_TIME: Duration = Duration::from_secs(4);
+/// Further upstreams that each dispatcher has beside its first.
+const EXTRA_UPSTREAMS: usize = 3;
+/// Start time of a new dispatcher, by which the others have verified their copies.
+const NEWCOMER_START: Duration = Duration::from_secs(30);
 const MINUTE: Duration = Duration::from_secs(60);
 /// Workers that share a cell.
-const CELL: u32 = 8;
-/// Unix time in milliseconds at which the made-up workers began.
-const STARTED: u64 = 1_764_600_000_000;
+const CELL_WORKERS: u32 = 8;
+/// Start time of the synthetic workers, as Unix time in milliseconds.
+const STARTED_MS: u64 = 1_764_600_000_000;
 
-/// How large a fleet is.
+/// The size of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     pub workers: u32,
@@ -50,57 +50,58 @@
     pub regions: u16,
 }
 
-/// What begins without a list.
+/// Which dispatchers start without a list.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Start {
-    /// Everybody has the list.
+    /// None: all have the list.
     Settled,
-    /// One more dispatcher starts, once the others are settled.
+    /// One additional dispatcher that starts later; the others have the list.
     Newcomer,
-    /// Everybody starts within this time.
-    Everybody(Duration),
+    /// All, which start within this time.
+    All(Duration),
 }
 
-/// A run.
+/// The parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub size: Size,
     pub start: Start,
     pub until: Time,
-    /// When discovery has each change, ascending.
+    /// Times at which discovery has each change, ascending.
     pub changes: Vec<Time>,
-    /// Messages lost, of 1,000.
-    pub lost: u32,
-    /// The relay of the first zone dies then.
-    pub relay_dies_at: Option<Time>,
+    /// Messages lost, in thousandths.
+    pub lost_per_mille: u32,
+    /// When the relay of the first zone fails.
+    pub relay_fails_at: Option<Time>,
     pub seed: u64,
 }
 
-/// What a run comes to.
+/// The result of a run.
 #[derive(Default)]
 pub struct Outcome {
-    /// From discovery's change until each dispatcher had it in force.
-    pub in_force_after: Histogram,
-    /// Changes that some dispatcher lacks at the end.
-    pub behind: u64,
-    /// Bytes a second of a dispatcher that is no relay, both ways, headers and tags included.
+    /// Time from a change at discovery until it is in force, for each dispatcher.
+    pub propagation_time: Histogram,
+    /// Changes that dispatchers lack at the end of the run, summed over all dispatchers.
+    pub missing_changes: u64,
+    /// Bytes a second of a dispatcher that is not a relay, sent and received, including headers and authentication
+    /// tags.
     pub dispatcher_mean: f64,
     pub dispatcher_worst_minute: f64,
-    /// The same of the relay that had most, with what it serves.
+    /// The same for the relay with the most traffic, including the requests that it serves.
     pub relay_mean: f64,
     pub relay_worst_minute: f64,
-    /// The same of the source, and its calls of discovery a second.
+    /// The same for the source, and its calls to discovery a second.
     pub source_mean: f64,
     pub source_worst_minute: f64,
     pub discovery_calls: f64,
-    /// From a start until the own zone and the configuration were usable, and until all was known.
-    pub essential_after: Histogram,
-    pub complete_after: Histogram,
-    /// Times that a copy was not what the source's digest said.
+    /// Time from a dispatcher's start until its own zone and the configuration are usable, and until it has everything.
+    pub time_to_essential: Histogram,
+    pub time_to_complete: Histogram,
+    /// Number of times that a copy did not match the source's digest.
     pub mismatches: u64,
-    /// Bytes of names and values of the whole list.
+    /// Bytes of the names and values of the full list.
     pub list_bytes: usize,
-    /// Processor time of the run for each dispatcher and each second, as a part of a core: the simulation included.
+    /// CPU time of the run per dispatcher and second, as a share of a core, including that of the simulation.
     pub core_share: f64,
 }
 
@@ -112,15 +113,15 @@
     was_relay: bool,
     is_dead: bool,
     started_at: Time,
-    /// It began without a list: how soon it knows what is counted.
-    began_empty: bool,
-    is_essential: bool,
-    is_complete: bool,
-    /// The last change that was counted as in force.
-    in_force: u64,
-    wake: Option<Time>,
+    /// It started without a list, so its start-up times are measured.
+    started_empty: bool,
+    has_essential: bool,
+    has_complete: bool,
+    /// Sequence of the last change that was counted as in force.
+    applied_sequence: u64,
+    wake_at: Option<Time>,
     served: u64,
-    minute_began: u64,
+    bytes_at_minute_start: u64,
     worst_minute: u64,
 }
 
@@ -129,14 +130,14 @@
     Deliver { from: u16, to: u16, bytes: Vec<u8> },
     Wake(u16),
     AskDiscovery,
-    DiscoveryAnswers { asked_at: Time },
+    DiscoveryResponds { requested_at: Time },
     Start(u16),
-    RelayDies,
+    RelayFails,
     RelayReplaced,
     Minute,
 }
 
-/// The source's number; dispatchers follow.
+/// The source's node number; dispatchers are numbered from 1.
 const SOURCE: u16 = 0;
 
 struct World<'a> {
@@ -147,7 +148,7 @@
     source_bytes: u64,
     source_minute: u64,
     discovery_calls: u64,
-    /// Changes that the source has published.
+    /// Number of changes that the source has published.
     published: usize,
     nodes: Vec<Node>,
     relays: Vec<u16>,
@@ -159,8 +160,8 @@
     outcome: Outcome,
 }
 
-/// Plays a run.
-pub fn play(plan: &Plan) -> Outcome {
+/// Runs a simulation.
+pub fn simulate(plan: &Plan) -> Outcome {
     let mut world = World::new(plan);
     let timer = ThreadTimer::start();
     while let Some(Reverse((at, _, event))) = world.queue.pop() {
@@ -168,22 +169,22 @@
             break;
         }
         world.now = at;
-        world.happen(event);
+        world.handle(event);
     }
-    let spent = timer.seconds();
+    let cpu_seconds = timer.seconds();
     let dispatchers = f64::from(plan.size.dispatchers);
     let outcome = world.end();
-    Outcome { core_share: spent / plan.until.as_secs_f64() / dispatchers, ..outcome }
+    Outcome { core_share: cpu_seconds / plan.until.as_secs_f64() / dispatchers, ..outcome }
 }
 
-/// A copy of the whole list, as the source has it.
+/// A copy of the full list, as the source has it.
 pub fn replica(workers: u32) -> Replica {
     let zones = crate::scale::target::ZONES as u16;
     let size = Size { workers, dispatchers: 0, zones, regions: 1 };
     let replica = Replica::new(Limits::default());
     let mut publisher = Publisher::new(replica, 1, 1, Versions::default(), Timing::default(), Time::ZERO);
     let list = (0..workers).map(|worker| listed(worker, &size, 0)).collect();
-    publisher.publish_list(list).expect("the list is within bounds");
+    publisher.publish_list(list).expect("the list is within the limits");
     publisher.into_replica()
 }
 
@@ -192,9 +193,9 @@
     let value = Worker {
         address: ([10, high, middle, low], 8080).into(),
         kind: "m".into(),
-        cell: worker / CELL,
+        cell: worker / CELL_WORKERS,
         state: if version.is_multiple_of(2) { WorkerState::Up } else { WorkerState::Draining },
-        started_ms: STARTED + u64::from(worker) + version,
+        started_ms: STARTED_MS + u64::from(worker) + version,
         weight: 1.0,
     };
     let zone = format!("z{:02}", worker % u32::from(size.zones));
@@ -210,7 +211,7 @@
         let mut publisher =
             Publisher::new(replica, 1, SOURCE_BYTES_PER_SECOND, versions, timing.clone(), now);
         let list = (0..plan.size.workers).map(|worker| listed(worker, &plan.size, 0)).collect();
-        publisher.publish_list(list).expect("the list is within bounds");
+        publisher.publish_list(list).expect("the list is within the limits");
         publisher.confirm(now);
         let mut world = World {
             plan,
@@ -242,9 +243,9 @@
             let is_newcomer = number > dispatchers;
             let starts_at = match self.plan.start {
                 Start::Settled => Time::ZERO,
-                Start::Newcomer if is_newcomer => NEWCOMER_AT,
+                Start::Newcomer if is_newcomer => NEWCOMER_START,
                 Start::Newcomer => Time::ZERO,
-                Start::Everybody(span) => Duration::from_micros(
+                Start::All(span) => Duration::from_micros(
                     self.random.u64(0..=u64::try_from(span.as_micros()).unwrap_or(u64::MAX)),
                 ),
             };
@@ -259,24 +260,24 @@
                 was_relay: false,
                 is_dead: false,
                 started_at: starts_at,
-                began_empty: is_newcomer || matches!(self.plan.start, Start::Everybody(_)),
-                is_essential: false,
-                is_complete: false,
-                in_force: self.sequence(),
-                wake: None,
+                started_empty: is_newcomer || matches!(self.plan.start, Start::All(_)),
+                has_essential: false,
+                has_complete: false,
+                applied_sequence: self.sequence(),
+                wake_at: None,
                 served: 0,
-                minute_began: 0,
+                bytes_at_minute_start: 0,
                 worst_minute: 0,
             });
             self.push(starts_at, Event::Start(number));
         }
         for relay in self.relays.clone() {
-            self.grant(relay);
+            self.grant_relay_lease(relay);
         }
         self.push(self.now, Event::AskDiscovery);
         self.push(MINUTE, Event::Minute);
-        if let Some(at) = self.plan.relay_dies_at {
-            self.push(at, Event::RelayDies);
+        if let Some(at) = self.plan.relay_fails_at {
+            self.push(at, Event::RelayFails);
         }
     }
 
@@ -288,7 +289,7 @@
         &mut self.nodes[usize::from(number) - 1]
     }
 
-    fn grant(&mut self, relay: u16) {
+    fn grant_relay_lease(&mut self, relay: u16) {
         self.next_token += 1;
         let token = self.next_token;
         let node = self.node(relay);
@@ -301,18 +302,18 @@
         self.queue.push(Reverse((at, self.count, event)));
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Deliver { from, to: SOURCE, bytes } => self.ask_source(from, &bytes),
             Event::Deliver { from, to, bytes } => self.deliver(from, to, &bytes),
             Event::Wake(number) => self.wake(number),
             Event::AskDiscovery => self.ask_discovery(),
-            Event::DiscoveryAnswers { asked_at } => self.publish(asked_at),
+            Event::DiscoveryResponds { requested_at } => self.publish(requested_at),
             Event::Start(number) => self.start_dispatcher(number),
-            Event::RelayDies => {
+            Event::RelayFails => {
                 let relay = self.relays[0];
                 self.node(relay).is_dead = true;
-                self.push(self.now + TAKEOVER, Event::RelayReplaced);
+                self.push(self.now + TAKEOVER_TIME, Event::RelayReplaced);
             }
             Event::RelayReplaced => self.replace_relay(),
             Event::Minute => self.end_minute(),
@@ -322,7 +323,7 @@
     fn start_dispatcher(&mut self, number: u16) {
         let zone = self.node(number).zone;
         let own = Partition::Zone(format!("z{zone:02}"));
-        let setup = SubscriberConfig {
+        let config = SubscriberConfig {
             priority: vec![Partition::Configuration, own],
             essential_partitions: 2,
             timing: self.timing.clone(),
@@ -330,14 +331,15 @@
             versions: Versions::default(),
             seed: self.random.u64(..),
         };
-        let kept = (!self.node(number).began_empty).then(|| self.publisher.replica().clone());
-        let subscriber = Subscriber::new(setup, kept, self.now);
+        let stored = (!self.node(number).started_empty).then(|| self.publisher.replica().clone());
+        let subscriber = Subscriber::new(config, stored, self.now);
         self.node(number).subscriber = Some(subscriber);
-        self.tell(number);
+        self.set_upstreams(number);
     }
 
-    /// Tells a dispatcher whom to ask: the relay of its zone, or the source if it is that; then relays near by.
-    fn tell(&mut self, number: u16) {
+    /// Sets a dispatcher's upstreams: the relay of its zone, or the source if it is that relay itself, then the nearest
+    /// other relays.
+    fn set_upstreams(&mut self, number: u16) {
         let Size { zones, regions, .. } = self.plan.size;
         let zone = self.node(number).zone;
         let mut upstreams = Vec::new();
@@ -351,7 +353,7 @@
         for other in others {
             let relay = self.relays[usize::from(other)];
             let token = self.node(relay).relay_token.unwrap_or(0);
-            if relay != number && upstreams.len() <= SIBLINGS {
+            if relay != number && upstreams.len() <= EXTRA_UPSTREAMS {
                 upstreams.push(Upstream { peer: PeerId(relay), role: Role::Relay(other), token });
             }
         }
@@ -370,8 +372,8 @@
         });
         let Some(next) = next else { return };
         self.relays[0] = next;
-        self.grant(next);
-        (1..=self.nodes.len() as u16).for_each(|number| self.tell(number));
+        self.grant_relay_lease(next);
+        (1..=self.nodes.len() as u16).for_each(|number| self.set_upstreams(number));
     }
 
     fn schedule(&mut self, number: u16) {
@@ -379,8 +381,8 @@
         let node = self.node(number);
         let Some(subscriber) = &mut node.subscriber else { return };
         let at = subscriber.wake_at(now).max(now + Duration::from_micros(100));
-        if node.wake.is_none_or(|wake| at < wake) {
-            node.wake = Some(at);
+        if node.wake_at.is_none_or(|wake_at| at < wake_at) {
+            node.wake_at = Some(at);
             self.push(at, Event::Wake(number));
         }
     }
@@ -388,14 +390,14 @@
     fn wake(&mut self, number: u16) {
         let now = self.now;
         let node = self.node(number);
-        if node.wake.is_none_or(|wake| wake > now) {
+        if node.wake_at.is_none_or(|wake_at| wake_at > now) {
             return;
         }
-        node.wake = None;
-        self.act(number);
+        node.wake_at = None;
+        self.poll_subscriber(number);
     }
 
-    fn act(&mut self, number: u16) {
+    fn poll_subscriber(&mut self, number: u16) {
         let now = self.now;
         let node = self.node(number);
         if node.is_dead {
@@ -409,15 +411,15 @@
     }
 
     fn send(&mut self, from: u16, to: u16, bytes: Vec<u8>) {
-        if self.random.u32(..1000) < self.plan.lost {
+        if self.random.u32(..1000) < self.plan.lost_per_mille {
             return;
         }
-        let span = self.way(from, to);
+        let span = self.latency_range(from, to);
         let latency = Duration::from_micros(self.random.u64(span.0..=span.1));
         self.push(self.now + latency, Event::Deliver { from, to, bytes });
     }
 
-    fn way(&mut self, from: u16, to: u16) -> (u64, u64) {
+    fn latency_range(&mut self, from: u16, to: u16) -> (u64, u64) {
         let regions = self.plan.size.regions;
         // The source is in the first zone.
         let zone = |world: &mut Self, number| if number == SOURCE { 0 } else { world.node(number).zone };
@@ -434,8 +436,8 @@
     }
 
     fn ask_source(&mut self, from: u16, bytes: &[u8]) {
-        let asked = bytes.len() as u64 + self.overhead();
-        self.source_bytes += asked;
+        let request_bytes = bytes.len() as u64 + self.overhead();
+        self.source_bytes += request_bytes;
         if let Some(answer) = self.publisher.serve(self.now, Some(self.source_token), bytes) {
             self.source_bytes += answer.len() as u64 + self.overhead();
             self.send(SOURCE, from, answer);
@@ -448,10 +450,10 @@
         let (false, Some(subscriber)) = (node.is_dead, &mut node.subscriber) else { return };
         let is_answer = bytes.get(1).is_some_and(|kind| *kind >= 128);
         if is_answer {
-            // What is refused is counted by the subscriber.
+            // The subscriber counts rejected messages itself.
             let _ = subscriber.receive(now, PeerId(from), bytes);
-            self.note_progress(to);
-            self.act(to);
+            self.record_progress(to);
+            self.poll_subscriber(to);
             return;
         }
         let copy = (subscriber.replica(), subscriber.log_age(now));
@@ -463,68 +465,68 @@
         }
     }
 
-    /// Counts what has come into force at a dispatcher, and what it knows after a start.
-    fn note_progress(&mut self, number: u16) {
+    /// Records the changes that have come into force at a dispatcher, and its start-up times.
+    fn record_progress(&mut self, number: u16) {
         let now = self.now;
         let first = self.plan.size.workers as u64;
         let plan = self.plan;
         let (node, outcome) = (&mut self.nodes[usize::from(number) - 1], &mut self.outcome);
         let Some(subscriber) = &node.subscriber else { return };
         let milliseconds = |span: Duration| u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
-        if node.began_empty && !node.is_essential && subscriber.essential_age(now).is_some() {
-            node.is_essential = true;
-            outcome.essential_after.add(milliseconds(now - node.started_at));
+        if node.started_empty && !node.has_essential && subscriber.essential_age(now).is_some() {
+            node.has_essential = true;
+            outcome.time_to_essential.add(milliseconds(now - node.started_at));
         }
-        if node.began_empty && !node.is_complete && subscriber.age(now).is_some() {
-            node.is_complete = true;
-            outcome.complete_after.add(milliseconds(now - node.started_at));
+        if node.started_empty && !node.has_complete && subscriber.age(now).is_some() {
+            node.has_complete = true;
+            outcome.time_to_complete.add(milliseconds(now - node.started_at));
         }
         let replica = subscriber.replica();
         let sequence = replica.position().map_or(0, |position| position.sequence);
-        if sequence <= node.in_force || !replica.is_complete() {
+        if sequence <= node.applied_sequence || !replica.is_complete() {
             return;
         }
-        for number in node.in_force + 1..=sequence {
-            // The list itself took the first sequences.
+        for number in node.applied_sequence + 1..=sequence {
+            // The initial list used one sequence number per worker.
             let change = plan.changes.get((number - first - 1) as usize);
             if let Some(at) = change.filter(|at| **at >= node.started_at) {
-                outcome.in_force_after.add(milliseconds(now - *at));
+                outcome.propagation_time.add(milliseconds(now - *at));
             }
         }
-        node.in_force = sequence;
+        node.applied_sequence = sequence;
     }
 
     fn ask_discovery(&mut self) {
         self.discovery_calls += 1;
         let now = self.now;
-        let lost = |world: &mut Self| world.random.u32(..1000) < world.plan.lost;
-        if lost(self) || lost(self) {
+        let lost_per_mille = |world: &mut Self| world.random.u32(..1000) < world.plan.lost_per_mille;
+        if lost_per_mille(self) || lost_per_mille(self) {
             self.push(now + SOURCE_TIMEOUT, Event::AskDiscovery);
             return;
         }
         let next = self.plan.changes.get(self.published).copied().unwrap_or(Time::MAX);
-        let at = next.clamp(now, now + SOURCE_WAIT) + DISCOVERY_ROUND_TRIP;
-        self.push(at, Event::DiscoveryAnswers { asked_at: now });
+        let at = next.clamp(now, now + SOURCE_LONG_POLL) + DISCOVERY_ROUND_TRIP;
+        self.push(at, Event::DiscoveryResponds { requested_at: now });
     }
 
-    fn publish(&mut self, asked_at: Time) {
+    fn publish(&mut self, requested_at: Time) {
         while let Some(_at) = self.plan.changes.get(self.published).filter(|at| **at <= self.now) {
             let version = self.published as u64 + 1;
-            // Each change is of a worker that is told to drain, or takes jobs again.
+            // Each change sets a worker to draining or back to up.
             let worker = self.random.u32(..self.plan.size.workers);
             let changed = listed(worker, &self.plan.size, version);
             self.publisher.publish_worker(changed).expect("the log has room");
             self.published += 1;
         }
-        self.publisher.confirm(asked_at);
+        self.publisher.confirm(requested_at);
         self.push(self.now, Event::AskDiscovery);
     }
 
     fn end_minute(&mut self) {
         for node in &mut self.nodes {
             let bytes = node.served + node.subscriber.as_ref().map_or(0, |s| s.counts().bytes);
-            node.worst_minute = node.worst_minute.max(bytes - node.minute_began);
-            node.minute_began = bytes;
+            node.worst_minute = node.worst_minute.max(bytes - node.bytes_at_minute_start);
+            node.bytes_at_minute_start = bytes;
         }
         let in_minute = (self.source_bytes - self.source_minute) as f64 / MINUTE.as_secs_f64();
         self.outcome.source_worst_minute = self.outcome.source_worst_minute.max(in_minute);
@@ -539,15 +541,15 @@
         let (mut bytes, mut dispatchers) = (0.0, 0.0);
         for node in self.nodes.iter().filter(|node| !node.is_dead) {
             let Some(subscriber) = &node.subscriber else { continue };
-            outcome.behind += sequence - node.in_force;
+            outcome.missing_changes += sequence - node.applied_sequence;
             outcome.mismatches += subscriber.counts().mismatches;
-            let all = (node.served + subscriber.counts().bytes) as f64 / seconds;
+            let bytes_per_second = (node.served + subscriber.counts().bytes) as f64 / seconds;
             let worst = node.worst_minute as f64 / MINUTE.as_secs_f64();
             if node.was_relay {
-                outcome.relay_mean = outcome.relay_mean.max(all);
+                outcome.relay_mean = outcome.relay_mean.max(bytes_per_second);
                 outcome.relay_worst_minute = outcome.relay_worst_minute.max(worst);
             } else {
-                (bytes, dispatchers) = (bytes + all, dispatchers + 1.0);
+                (bytes, dispatchers) = (bytes + bytes_per_second, dispatchers + 1.0);
                 outcome.dispatcher_worst_minute = outcome.dispatcher_worst_minute.max(worst);
             }
         }
--- a/lab/src/scale/hollow.rs
+++ b/lab/src/scale/hollow.rs
@@ -1,4 +1,5 @@
-//! A hollow dispatcher: the real decision module with made-up workers and requests, and no sockets.
+//! A hollow dispatcher: the real decision module with synthetic workers and requests, without sockets (compare
+//! Kubernetes' hollow nodes).
 
 use super::target;
 use lineroute::{
@@ -10,11 +11,11 @@
 const MILLISECOND: Micros = 1000;
 const SECOND: Micros = 1000 * MILLISECOND;
 /// Workers that share a cell.
-const CELL: u32 = 8;
-/// How long each made-up request runs.
-const RUNS: Micros = 50 * MILLISECOND;
+const CELL_WORKERS: u32 = 8;
+/// Run time of each synthetic request.
+const REQUEST_DURATION: Micros = 50 * MILLISECOND;
 
-/// One instance of the module and its clock.
+/// An instance of the decision module and its virtual clock.
 pub struct HollowDispatcher {
     balancer: Balancer,
     now: Micros,
@@ -22,7 +23,7 @@
     actions: Vec<Action>,
 }
 
-/// Three classes that any worker may run, for one of so many dispatchers.
+/// Settings of one of `instances` dispatchers, with three classes that any worker may run.
 pub fn settings(instances: u32) -> Settings {
     let class = Class {
         aim: 500 * MILLISECOND,
@@ -69,13 +70,13 @@
     }
 }
 
-/// An entry of the list: workers are spread over all zones.
+/// An entry of the worker list. Workers are distributed evenly over all zones.
 pub fn entry(worker: u32, stage: Stage) -> WorkerEntry {
     WorkerEntry {
         worker: WorkerId(worker),
         zone: ZoneId(worker % target::ZONES as u32),
         kind: KindId(0),
-        cell: CellId(worker / CELL),
+        cell: CellId(worker / CELL_WORKERS),
         stage,
         started: None,
         size: 0.0,
@@ -83,32 +84,32 @@
 }
 
 impl HollowDispatcher {
-    /// One that has not been told of any worker.
+    /// A dispatcher without a worker list.
     pub fn new(instances: u32, seed: u64) -> Self {
-        let balancer = Balancer::new(settings(instances), seed).expect("the settings above are sound");
+        let balancer = Balancer::new(settings(instances), seed).expect("the settings above are valid");
         Self { balancer, now: 0, requests: 0, actions: Vec::new() }
     }
 
-    /// One that knows so many workers, each of which has served a request about so often.
+    /// A dispatcher that knows `workers` workers, each of which has served `requests_each` requests on average.
     pub fn warmed(workers: u32, requests_each: u32, seed: u64) -> Self {
         let mut dispatcher = Self::new(1, seed);
-        dispatcher.take_whole_list(workers);
+        dispatcher.apply_full_list(workers);
         (0..u64::from(workers) * u64::from(requests_each)).for_each(|_| dispatcher.serve());
         dispatcher
     }
 
-    /// Tells it of all workers.
-    pub fn take_whole_list(&mut self, workers: u32) {
+    /// Applies a full list of `workers` workers.
+    pub fn apply_full_list(&mut self, workers: u32) {
         let list = (0..workers).map(|worker| entry(worker, Stage::Ready)).collect();
         self.handle(Event::WorkerList(ListKind::Full, list));
     }
 
-    /// Tells it of a change of one worker.
-    pub fn take_change(&mut self, worker: u32, stage: Stage) {
+    /// Applies a change of one worker.
+    pub fn apply_change(&mut self, worker: u32, stage: Stage) {
         self.handle(Event::WorkerList(ListKind::Delta, [entry(worker, stage)].into()));
     }
 
-    /// One request from its arrival to its end.
+    /// Handles one request from its arrival to its end.
     pub fn serve(&mut self) {
         self.requests += 1;
         let id = RequestId(self.requests.to_string().into());
@@ -124,14 +125,14 @@
             attempt,
             outcome,
             request_done: true,
-            elapsed: RUNS,
+            elapsed: REQUEST_DURATION,
             report: None,
         }));
     }
 
     fn handle(&mut self, event: Event) {
         self.actions.clear();
-        self.now += RUNS / 1000;
+        self.now += REQUEST_DURATION / 1000;
         self.balancer.handle(self.now, event, &mut self.actions);
     }
 }
--- a/lab/src/scale/load_gossip.rs
+++ b/lab/src/scale/load_gossip.rs
@@ -1,4 +1,4 @@
-//! What dispatchers tell each other of workers' load: how much of it fits a datagram at full size, what it costs, and
+//! Load gossip between dispatchers: how many workers fit into a datagram at full size, its CPU time and traffic, and
 //! how many workers share a tag.
 
 use super::report::{Mechanism, Options, Role, Row, SizeUnit};
@@ -7,29 +7,30 @@
 use lineroute_control::load_gossip::{LoadReport, Purpose, ReportedLoad, Tag, MAX_DATAGRAM};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Bytes of a datagram's head, and of each worker that it names.
-const HEAD: usize = 3;
-const ENTRY: usize = 3;
-/// Workers that one datagram names at most.
-const MOST_NAMED: f64 = ((MAX_DATAGRAM - HEAD) / ENTRY) as f64;
-/// Datagrams of a task at its dispatcher: a question, a picture, and what is out to two aggregators at its start and end.
-const DATAGRAMS_OF_A_TASK: f64 = 6.0;
-/// Of these at an aggregator of its zone: a question, a picture, and what is out at its start and end.
-const AGGREGATED_DATAGRAMS_OF_A_TASK: f64 = 4.0;
+/// Bytes of a datagram's header, and of each worker in it.
+const HEADER_BYTES: usize = 3;
+const ENTRY_BYTES: usize = 3;
+/// The most workers that one datagram can list.
+const MAX_NAMED_WORKERS: f64 = ((MAX_DATAGRAM - HEADER_BYTES) / ENTRY_BYTES) as f64;
+/// Datagrams of a task at its dispatcher: a query, the load in reply, and the dispatcher's own assigned tasks to two
+/// aggregators at its start and end.
+const DATAGRAMS_PER_TASK: f64 = 6.0;
+/// Those of them at one aggregator of its zone: a query, the reply, and the assigned tasks at its start and end.
+const AGGREGATED_DATAGRAMS_PER_TASK: f64 = 4.0;
 
 pub fn rows(options: &Options) -> Vec<Row> {
-    let mut rows = named_rows(options);
+    let mut rows = capacity_rows(options);
     rows.extend(aggregator_rows(options));
     rows.extend(traffic_rows());
     rows
 }
 
-/// Workers that have to be named, against those that a datagram can name; and workers that share a tag.
-fn named_rows(options: &Options) -> Vec<Row> {
+/// Workers that have to be listed against those that fit into a datagram, and workers that share a tag.
+fn capacity_rows(options: &Options) -> Vec<Row> {
     let workers: &[u32] = &[20, 200, 1000, 3000, 11_000];
     let tasks: &[u32] = &[1000, 5000, 20_000, 65_000];
     let busy = tasks.iter().map(|tasks| (f64::from(*tasks), busy_workers(*tasks, options.seed))).collect();
-    let shared = workers.iter().map(|count| (f64::from(*count), shared_tags(*count))).collect();
+    let sharing = workers.iter().map(|count| (f64::from(*count), shared_tags(*count))).collect();
     let zone = workers.iter().map(|count| (f64::from(*count), f64::from(*count) / target::ZONES)).collect();
     vec![
         Row::measured(
@@ -40,7 +41,7 @@
             busy,
             Mechanism::LoadGossip,
         )
-        .budget(MOST_NAMED)
+        .budget(MAX_NAMED_WORKERS)
         .assuming("300 dispatchers (100 to 1,000) with even parts; the budget is what a datagram can name"),
         Row::measured(
             Role::ZoneAggregator,
@@ -50,44 +51,44 @@
             zone,
             Mechanism::LoadGossip,
         )
-        .budget(MOST_NAMED)
+        .budget(MAX_NAMED_WORKERS)
         .assuming("even zones, all workers busy; those that are not named seem idle"),
         Row::measured(
             Role::ZoneAggregator,
             "workers that share their tag with another",
             "percent",
             (SizeUnit::Workers, target::WORKERS),
-            shared,
+            sharing,
             Mechanism::LoadGossip,
         ),
     ]
 }
 
-/// Workers at which one dispatcher has any of its part of the tasks.
+/// Workers that run at least one of a dispatcher's share of the tasks.
 fn busy_workers(tasks: u32, seed: u64) -> f64 {
-    let mut dice = fastrand::Rng::with_seed(seed);
-    let own = tasks / target::DISPATCHERS as u32;
-    let busy: BTreeSet<u32> = (0..own).map(|_| dice.u32(0..target::WORKERS as u32)).collect();
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let own_tasks = tasks / target::DISPATCHERS as u32;
+    let busy: BTreeSet<u32> = (0..own_tasks).map(|_| rng.u32(0..target::WORKERS as u32)).collect();
     busy.len() as f64
 }
 
-/// Percent of workers whose tag is another's too.
+/// Percentage of workers whose tag is also that of another worker.
 fn shared_tags(workers: u32) -> f64 {
     let mut by_tag: BTreeMap<Tag, u32> = BTreeMap::new();
     (0..workers).for_each(|worker| *by_tag.entry(worker_tag(worker)).or_default() += 1);
-    let shared: u32 = by_tag.values().filter(|count| **count > 1).sum();
-    f64::from(shared) * 100.0 / f64::from(workers)
+    let sharing: u32 = by_tag.values().filter(|count| **count > 1).sum();
+    f64::from(sharing) * 100.0 / f64::from(workers)
 }
 
 fn worker_tag(worker: u32) -> Tag {
     Tag::of(&format!("w{worker:05}"))
 }
 
-/// Processor time of an aggregator for what one dispatcher tells and asks.
+/// CPU time of an aggregator for one dispatcher's report and query.
 fn aggregator_rows(options: &Options) -> Vec<Row> {
     let sizes: &[u32] = if options.quick { &[5, 10, 20, 40] } else { &[10, 100, 300, 1000] };
     let costs: Vec<(f64, f64)> =
-        sizes.iter().map(|count| (f64::from(*count), aggregate_seconds(*count, options.seed))).collect();
+        sizes.iter().map(|count| (f64::from(*count), aggregation_seconds(*count, options.seed))).collect();
     let scaled = |factor: f64| costs.iter().map(|(size, value)| (*size, value * factor)).collect();
     let size = (SizeUnit::Dispatchers, target::DISPATCHERS);
     let row = |quantity: &str, unit, points| {
@@ -101,13 +102,14 @@
     ]
 }
 
-/// Seconds for a telling and a picture, with so many dispatchers that all have tasks out.
-fn aggregate_seconds(dispatchers: u32, seed: u64) -> f64 {
-    const TURNS: u32 = 3;
-    let mut dice = fastrand::Rng::with_seed(seed);
+/// Seconds for one report and one query, with this many dispatchers that all have tasks assigned.
+fn aggregation_seconds(dispatchers: u32, seed: u64) -> f64 {
+    const ROUNDS: u32 = 3;
+    let mut rng = fastrand::Rng::with_seed(seed);
     let mut new_report = |turn: u32| {
-        let out =
-            (0..MOST_NAMED as usize).map(|_| (worker_tag(dice.u32(0..target::WORKERS as u32)), 1)).collect();
+        let out = (0..MAX_NAMED_WORKERS as usize)
+            .map(|_| (worker_tag(rng.u32(0..target::WORKERS as u32)), 1))
+            .collect();
         LoadReport {
             purpose: Purpose::Ask,
             turn: turn as u8 & 15,
@@ -116,17 +118,18 @@
             refused: Vec::new(),
         }
     };
-    let reports: Vec<LoadReport> = (0..TURNS * dispatchers).map(|at| new_report(at / dispatchers)).collect();
+    let reports: Vec<LoadReport> =
+        (0..ROUNDS * dispatchers).map(|index| new_report(index / dispatchers)).collect();
     let mut aggregated = ReportedLoad::default();
-    let mut answered = 0;
+    let mut listed = 0;
     let timer = ThreadTimer::start();
-    for (at, report) in (0..).zip(&reports) {
-        let now = 10_000 + u64::from(at / dispatchers) * 200;
-        aggregated.take(at % dispatchers, report, now);
-        answered += aggregated.picture(at % dispatchers, now, |_| true).0.len();
+    for (index, report) in (0..).zip(&reports) {
+        let now = 10_000 + u64::from(index / dispatchers) * 200;
+        aggregated.take(index % dispatchers, report, now);
+        listed += aggregated.picture(index % dispatchers, now, |_| true).0.len();
     }
-    std::hint::black_box(answered);
-    timer.seconds() / f64::from(TURNS * dispatchers)
+    std::hint::black_box(listed);
+    timer.seconds() / f64::from(ROUNDS * dispatchers)
 }
 
 fn traffic_rows() -> Vec<Row> {
@@ -138,7 +141,7 @@
             "bytes of load gossip at the peak, sent and received",
             "bytes/s",
             size,
-            DATAGRAMS_OF_A_TASK * datagram / target::DISPATCHERS,
+            DATAGRAMS_PER_TASK * datagram / target::DISPATCHERS,
             Mechanism::LoadGossip,
         )
         .budget(target::BYTES_PER_SECOND)
@@ -148,7 +151,7 @@
             "bytes of load gossip of a zone at the peak",
             "bytes/s",
             size,
-            AGGREGATED_DATAGRAMS_OF_A_TASK * datagram / target::ZONES,
+            AGGREGATED_DATAGRAMS_PER_TASK * datagram / target::ZONES,
             Mechanism::LoadGossip,
         )
         .budget(target::BYTES_PER_SECOND)
--- a/lab/src/scale/memory.rs
+++ b/lab/src/scale/memory.rs
@@ -1,5 +1,5 @@
-//! Memory of the decision module by workers: hollow dispatchers in a process of their own, whose resident memory is
-//! read before and after.
+//! Memory of the decision module by the number of workers. Hollow dispatchers are built in a child process, whose
+//! resident memory is read before and after.
 
 use super::hollow::HollowDispatcher;
 use super::report::{Mechanism, Options, Role, Row, SizeUnit};
@@ -9,15 +9,15 @@
 use std::path::Path;
 use std::process::Command;
 
-/// Workers of all modules of a child together, about: so that what is measured is large against pages.
+/// Approximate number of workers in all modules of a child, so that the measured memory is large compared with a page.
 pub(super) const WORKERS_IN_CHILD: u32 = 44_000;
-/// Requests that each worker has served, so that what is learnt about it is there.
+/// Requests that each worker has served, so that the module holds the state that it learns about a worker.
 const REQUESTS_EACH: u32 = 2;
 const QUICK_REQUESTS_EACH: u32 = 1;
-/// Module instances of a child at most.
-const MOST_INSTANCES: u32 = 200;
+/// The most module instances in a child.
+const MAX_INSTANCES: u32 = 200;
 
-/// Of what the memory is measured.
+/// The object whose memory is measured.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub enum Measured {
     DecisionModule,
@@ -25,7 +25,7 @@
     ListCopy,
 }
 
-/// What a child is to build.
+/// What a child process has to build.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct ChildPlan {
     pub what: Measured,
@@ -35,17 +35,17 @@
     pub seed: u64,
 }
 
-/// What a child has measured.
+/// Resident memory of a child process before and after building the objects.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct ChildReport {
     pub bytes_before: u64,
     pub bytes_after: u64,
 }
 
-/// The child's side: builds hollow dispatchers and reads this process's resident memory.
+/// Runs in the child process: builds the objects and reads this process's resident memory.
 ///
 /// # Errors
-/// The kernel does not tell the resident memory.
+/// The resident memory cannot be read from `/proc`.
 pub fn measure(plan: ChildPlan) -> Result<ChildReport, String> {
     if let Measured::ListCopy = plan.what {
         let list = super::distribution::world::replica(plan.workers);
@@ -70,18 +70,18 @@
 
 pub fn rows(options: &Options) -> Vec<Row> {
     let sizes: &[u32] = if options.quick { &[20, 50, 100, 200] } else { &[20, 200, 1000, 3000, 11_000] };
-    let each = if options.quick { QUICK_REQUESTS_EACH } else { REQUESTS_EACH };
+    let requests_each = if options.quick { QUICK_REQUESTS_EACH } else { REQUESTS_EACH };
     let measured = |workers: u32| {
-        let instances = (WORKERS_IN_CHILD / workers).clamp(1, MOST_INSTANCES);
-        let report = in_child(ChildPlan {
+        let instances = (WORKERS_IN_CHILD / workers).clamp(1, MAX_INSTANCES);
+        let report = run_child(ChildPlan {
             what: Measured::DecisionModule,
             instances,
             workers,
-            requests_each: each,
+            requests_each: requests_each,
             seed: options.seed,
         })?;
-        let grown = report.bytes_after.saturating_sub(report.bytes_before);
-        Ok((f64::from(workers), grown as f64 / f64::from(instances)))
+        let growth = report.bytes_after.saturating_sub(report.bytes_before);
+        Ok((f64::from(workers), growth as f64 / f64::from(instances)))
     };
     let points: Result<Vec<(f64, f64)>, String> = sizes.iter().map(|workers| measured(*workers)).collect();
     let size = (SizeUnit::Workers, target::WORKERS);
@@ -104,8 +104,8 @@
     }
 }
 
-/// Runs this program again as the child.
-pub(super) fn in_child(plan: ChildPlan) -> Result<ChildReport, String> {
+/// Runs this program as a child process with a plan.
+pub(super) fn run_child(plan: ChildPlan) -> Result<ChildReport, String> {
     let program = std::env::current_exe().map_err(|e| e.to_string())?;
     let plan = serde_json::to_string(&plan).map_err(|e| e.to_string())?;
     let output = Command::new(program).args(["scale-memory", &plan]).output().map_err(|e| e.to_string())?;
--- a/lab/src/scale/missing.rs
+++ b/lab/src/scale/missing.rs
@@ -1,36 +1,37 @@
-//! What no mechanism carries yet, and failure detection: the arithmetic of the load at full size. Nothing here was run.
+//! Load at full size of functions that no mechanism handles yet, and of failure detection. All figures are calculated,
+//! none is measured.
 
 use super::report::{Mechanism, Options, Role, Row, SizeUnit};
 use super::target;
 
-/// A reservation and its confirmation, each with its answer.
-const MESSAGES_OF_A_PLACE: f64 = 4.0;
-/// Time for which a dispatcher would hold a part of a team's quota.
+/// A reservation and its confirmation, each with a response.
+const MESSAGES_PER_PLACE: f64 = 4.0;
+/// Time for which a dispatcher would lease a share of a team's quota.
 const QUOTA_LEASE_SECONDS: f64 = 10.0;
-/// Bytes of a lease's request and answer together, as the fleet's frames have them.
+/// Bytes of a lease request and its response together, as the fleet's frames encode them.
 const LEASE_BYTES: f64 = 120.0;
-/// Health checks of each worker a second, and bytes of a check and its answer.
+/// Health checks of each worker per second, and bytes of a check and its response.
 const CHECKS_PER_SECOND: f64 = 0.2;
 const CHECK_BYTES: f64 = 250.0;
-/// Checks of one suspect: five a second for as long as anybody waits for their outcome.
+/// Checks of one suspect: five a second for the 3 s that dispatchers wait for the result.
 const SUSPECT_CHECKS: f64 = 15.0;
-/// Workers of one machine rack.
-const RACK: f64 = 40.0;
-/// Bytes of a log line for a task, with its time, level and fields.
+/// Workers in a rack.
+const RACK_WORKERS: f64 = 40.0;
+/// Bytes of a log line for a task, including timestamp, level and fields.
 const LOG_BYTES: f64 = 200.0;
-const LOG_LINES_OF_A_TASK: f64 = 2.0;
+const LOG_LINES_PER_TASK: f64 = 2.0;
 
 pub fn rows(_: &Options) -> Vec<Row> {
     let row = |role, quantity: &str, unit, size, slope| {
         Row::arithmetic(role, quantity, unit, size, slope, Mechanism::Missing)
     };
-    let each_dispatcher = 1.0 / target::DISPATCHERS;
-    let detection = |role, quantity: &str, unit, size, slope| {
+    let per_dispatcher = 1.0 / target::DISPATCHERS;
+    let health_check_row = |role, quantity: &str, unit, size, slope| {
         Row::arithmetic(role, quantity, unit, size, slope, Mechanism::HealthChecks)
     };
     let suspects = target::FAILURES_PER_DAY + target::RESTARTS_PER_DAY;
     vec![
-        detection(
+        health_check_row(
             Role::Prober,
             "checks of suspects on an ordinary day, all probers",
             "bytes/s",
@@ -39,7 +40,7 @@
         )
         .budget(target::BYTES_PER_SECOND)
         .assuming("170 failures and 710 restarts, 15 checks of each: five a second for 3 s"),
-        detection(
+        health_check_row(
             Role::Dispatcher,
             "one dispatcher sends to the same worker once in",
             "s",
@@ -47,7 +48,7 @@
             target::DISPATCHERS / target::STARTS_PER_SECOND,
         )
         .assuming("even shares, 300 dispatchers (100 to 1,000): a failure shows by an attempt that fails, at each by itself"),
-        detection(
+        health_check_row(
             Role::Client,
             "attempts that meet a failed machine on an ordinary day, if each dispatcher has to find out",
             "attempts",
@@ -60,7 +61,7 @@
             "gangs: messages of one attempt to place the largest, all or nothing",
             "messages",
             (SizeUnit::GangMembers, target::GANG_MEMBERS),
-            MESSAGES_OF_A_PLACE,
+            MESSAGES_PER_PLACE,
         )
         .assuming("a place is reserved and confirmed, each answered; a failed attempt costs as much again"),
         row(
@@ -119,7 +120,7 @@
             "a rack lost: tasks to be started again",
             "tasks",
             (SizeUnit::RunningTasks, target::RUNNING_TASKS),
-            RACK / target::WORKERS,
+            RACK_WORKERS / target::WORKERS,
         )
         .assuming("40 workers a rack (20 to 80)"),
         row(
@@ -135,7 +136,7 @@
             "logs of the peak's starts, one dispatcher",
             "bytes/s",
             (SizeUnit::StartsPerSecond, target::STARTS_PER_SECOND),
-            LOG_BYTES * LOG_LINES_OF_A_TASK * each_dispatcher,
+            LOG_BYTES * LOG_LINES_PER_TASK * per_dispatcher,
         )
         .assuming("two lines of 200 bytes a task, 300 dispatchers; whether logs count for control is a question"),
     ]
--- a/lab/src/scale/mod.rs
+++ b/lab/src/scale/mod.rs
@@ -1,4 +1,5 @@
-//! What each role of the system costs by the size of the fleet, measured, and worked out at full size.
+//! Capacity measurements: the cost of each role of the system by the size of the fleet, measured at several sizes and
+//! extrapolated to the full size.
 
 pub mod chart;
 mod choice;
@@ -27,32 +28,40 @@
 
 /// All scenarios, in the order of their rows in a report.
 pub const SCENARIOS: &[Scenario] = &[
-    Scenario { name: "choice", about: "what one decision costs by workers", rows: choice::rows },
-    Scenario { name: "list", about: "bytes of the worker list", rows: worker_list::rows },
+    Scenario { name: "choice", about: "CPU time of one decision by number of workers", rows: choice::rows },
+    Scenario { name: "list", about: "size of the worker list", rows: worker_list::rows },
     Scenario {
         name: "watch",
-        about: "discovery's watches: a day, its return, everybody's restart",
+        about: "watches of discovery: a day of changes, an outage, a partition, a restart of all",
         rows: discovery::rows,
     },
     Scenario {
         name: "distribution",
-        about: "the worker list through relays, before and after",
+        about: "the worker list from discovery directly and through relays",
         rows: distribution::rows,
     },
     Scenario {
         name: "process",
-        about: "real processes that watch, and hollow ones held against them",
+        about: "real processes that watch discovery, compared with hollow dispatchers",
         rows: process::rows,
     },
     Scenario { name: "memory", about: "memory of the decision module", rows: memory::rows },
     Scenario { name: "membership", about: "membership and leases of the fleet", rows: membership::rows },
-    Scenario { name: "work", about: "records of work in hand, and their takeover", rows: work_records::rows },
+    Scenario {
+        name: "work",
+        about: "replicated records of unfinished jobs, and their takeover",
+        rows: work_records::rows,
+    },
     Scenario { name: "overrides", about: "gossip of operators' overrides", rows: overrides::rows },
     Scenario { name: "load", about: "gossip of workers' load", rows: load_gossip::rows },
-    Scenario { name: "missing", about: "what no mechanism carries: arithmetic alone", rows: missing::rows },
+    Scenario {
+        name: "missing",
+        about: "load that no mechanism handles yet, calculated",
+        rows: missing::rows,
+    },
 ];
 
-/// What a run of scenarios comes to.
+/// The result of a run of scenarios.
 #[derive(Debug, Serialize)]
 pub struct Report {
     pub seed: u64,
@@ -60,32 +69,32 @@
     pub rows: Vec<Row>,
 }
 
-/// The scenario of that name, or all.
+/// The scenario of that name, or all if `name` is `None`.
 ///
 /// # Errors
-/// There is none of that name; says which there are.
-pub fn choose(name: Option<&str>) -> Result<Vec<Scenario>, String> {
+/// There is no scenario of that name; the message lists those that exist.
+pub fn find_scenarios(name: Option<&str>) -> Result<Vec<Scenario>, String> {
     let Some(name) = name else { return Ok(SCENARIOS.to_vec()) };
     let found: Vec<Scenario> = SCENARIOS.iter().copied().filter(|s| s.name == name).collect();
     if found.is_empty() {
         let names: Vec<&str> = SCENARIOS.iter().map(|s| s.name).collect();
-        return Err(format!("{name}: no such scenario; there are {}", names.join(", ")));
+        return Err(format!("unknown scenario {name}; available scenarios: {}", names.join(", ")));
     }
     Ok(found)
 }
 
-/// Plays scenarios in turn. `begins` is told of each before it runs.
-pub fn run(scenarios: &[Scenario], options: &Options, begins: impl Fn(&Scenario)) -> Report {
+/// Runs scenarios one after another. `on_start` is called with each before it runs.
+pub fn run(scenarios: &[Scenario], options: &Options, on_start: impl Fn(&Scenario)) -> Report {
     let mut rows = Vec::new();
     for scenario in scenarios {
-        begins(scenario);
+        on_start(scenario);
         rows.extend((scenario.rows)(options));
     }
     Report { seed: options.seed, quick: options.quick, rows }
 }
 
 impl Report {
-    /// Whether all named budgets were shown to hold.
+    /// Whether all budgets were shown to hold. A budget without a figure does not hold.
     pub fn holds(&self) -> bool {
         !self.rows.iter().any(Row::is_missed)
     }
--- a/lab/src/scale/overrides.rs
+++ b/lab/src/scale/overrides.rs
@@ -1,4 +1,4 @@
-//! The gossip of operators' overrides at several sizes of a tier, in virtual time.
+//! Gossip of operators' overrides at several numbers of dispatchers, in virtual time.
 
 use super::report::{Mechanism, Options, Role, Row, SizeUnit};
 use super::target;
@@ -8,26 +8,27 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The wall clock at the start.
-const START: Millis = 1_764_600_000_000;
+/// Wall-clock time at the start, as Unix time in milliseconds.
+const START_TIME: Millis = 1_764_600_000_000;
 const HOUR: Millis = 3_600_000;
-/// Between two rounds of a dispatcher, as it runs them.
-const ROUND: Millis = 200;
-/// Longest time of a datagram on its way.
-const DELAY: Millis = 60;
-/// All have met each other by then: a pair meets once in so long for each dispatcher, and has to a few times.
-const MEETINGS: Millis = 600;
-const FIRST_TALK: Millis = 10_000;
-const STEADY: Millis = 10_000;
-/// An override that is not everywhere by then shows as that.
-const WATCHED: Millis = 60_000;
+/// Interval between two gossip rounds of a dispatcher, as in the program.
+const ROUND_INTERVAL: Millis = 200;
+/// Longest delay of a datagram.
+const MAX_DELAY: Millis = 60;
+/// Time until all pairs have exchanged messages, per dispatcher: a pair has to meet a few times, and the time between
+/// two meetings grows with the number of dispatchers.
+const CONVERGENCE_PER_DISPATCHER: Millis = 600;
+const MIN_CONVERGENCE: Millis = 10_000;
+const MEASURED_TIME: Millis = 10_000;
+/// Limit of the spreading time; a longer time is reported as this one.
+const MAX_SPREAD_TIME: Millis = 60_000;
 const FIRST_PORT: u16 = 7000;
 const LOSS_PERCENT: u32 = 30;
 
 pub fn rows(options: &Options) -> Vec<Row> {
     let sizes: &[u16] = if options.quick { &[2, 10, 20, 40] } else { &[2, 30, 100, 300] };
     let runs = |loss| -> Vec<Outcome> { sizes.iter().map(|n| Outcome::of(*n, loss, options.seed)).collect() };
-    let (whole, lossy) = (runs(0), runs(LOSS_PERCENT));
+    let (lossless, lossy) = (runs(0), runs(LOSS_PERCENT));
     let points = |outcomes: &[Outcome], value: fn(&Outcome) -> f64| -> Vec<(f64, f64)> {
         outcomes.iter().map(|o| (f64::from(o.dispatchers), value(o))).collect()
     };
@@ -40,28 +41,28 @@
             Role::Dispatcher,
             "bytes of override gossip, nothing new, sent and received",
             "bytes/s",
-            points(&whole, |o| o.bytes_per_second),
+            points(&lossless, |o| o.bytes_per_second),
         )
         .budget(target::BYTES_PER_SECOND),
         row(
             Role::OperatorControl,
             "an override is in force everywhere",
             "s",
-            points(&whole, |o| o.in_force_after),
+            points(&lossless, |o| o.spread_time),
         )
         .budget(target::CHANGE_IN_FORCE),
         row(
             Role::OperatorControl,
             "an override is in force everywhere, 30% loss",
             "s",
-            points(&lossy, |o| o.in_force_after),
+            points(&lossy, |o| o.spread_time),
         )
         .budget(target::CHANGE_IN_FORCE),
         row(
             Role::OperatorControl,
             "bytes that spread one override, all dispatchers",
             "bytes",
-            points(&whole, |o| o.spread_bytes),
+            points(&lossless, |o| o.spread_bytes),
         ),
     ]
 }
@@ -69,12 +70,12 @@
 struct Outcome {
     dispatchers: u16,
     bytes_per_second: f64,
-    in_force_after: f64,
+    spread_time: f64,
     spread_bytes: f64,
 }
 
-/// Datagrams on their way, by when they come.
-type Wire = BTreeMap<(Millis, u64), Datagram>;
+/// Datagrams in flight, by arrival time.
+type InFlight = BTreeMap<(Millis, u64), Datagram>;
 
 struct Datagram {
     from: SocketAddr,
@@ -85,8 +86,8 @@
 struct Tier {
     now: Millis,
     dispatchers: Vec<(Gossip, Table)>,
-    wire: Wire,
-    dice: fastrand::Rng,
+    in_flight: InFlight,
+    rng: fastrand::Rng,
     loss_percent: u32,
     count: u64,
     bytes: u64,
@@ -98,59 +99,60 @@
 
 impl Tier {
     fn new(size: u16, loss_percent: u32, seed: u64) -> Self {
-        let mut dice = fastrand::Rng::with_seed(seed);
+        let mut rng = fastrand::Rng::with_seed(seed);
         let size = usize::from(size);
-        let keys = KeyRing::parse(&"5a".repeat(32)).expect("a key of 64 digits");
+        let keys = KeyRing::parse(&"5a".repeat(32)).expect("the key has 64 hexadecimal digits");
         let dispatchers = (0..size)
-            .map(|own| {
-                let peers: Vec<SocketAddr> = (0..size).filter(|other| *other != own).map(addr).collect();
+            .map(|index| {
+                let peers: Vec<SocketAddr> = (0..size).filter(|other| *other != index).map(addr).collect();
                 let mut seed = [0; 32];
-                dice.fill(&mut seed);
-                (Gossip::new(&peers, keys.clone(), seed), Table::new(&format!("d{own}"), HOUR))
+                rng.fill(&mut seed);
+                (Gossip::new(&peers, keys.clone(), seed), Table::new(&format!("d{index}"), HOUR))
             })
             .collect();
-        let (now, wire) = (START, Wire::new());
-        Self { now, dispatchers, wire, dice, loss_percent, count: 0, bytes: 0 }
+        let (now, in_flight) = (START_TIME, InFlight::new());
+        Self { now, dispatchers, in_flight, rng, loss_percent, count: 0, bytes: 0 }
     }
 
-    fn post(&mut self, from: usize, out: Vec<Outgoing>) {
+    fn send(&mut self, from: usize, out: Vec<Outgoing>) {
         for (to, bytes) in out {
             self.bytes += bytes.len() as u64;
-            if self.dice.u32(0..100) < self.loss_percent {
+            if self.rng.u32(0..100) < self.loss_percent {
                 continue;
             }
             self.count += 1;
-            let at = self.now + self.dice.u64(1..=DELAY);
+            let at = self.now + self.rng.u64(1..=MAX_DELAY);
             let to = usize::from(to.port() - FIRST_PORT);
-            self.wire.insert((at, self.count), Datagram { from: addr(from), to, bytes });
+            self.in_flight.insert((at, self.count), Datagram { from: addr(from), to, bytes });
         }
     }
 
-    /// A round of each, spread over its time, and what arrives meanwhile.
-    fn round(&mut self) {
-        let (began, size) = (self.now, self.dispatchers.len());
-        for own in 0..size {
-            self.deliver(began + ROUND * own as Millis / size as Millis);
-            let (gossip, table) = &mut self.dispatchers[own];
+    /// Runs one round of each dispatcher, spread over the round interval, and delivers the datagrams that arrive
+    /// meanwhile.
+    fn run_round(&mut self) {
+        let (round_start, size) = (self.now, self.dispatchers.len());
+        for index in 0..size {
+            self.deliver(round_start + ROUND_INTERVAL * index as Millis / size as Millis);
+            let (gossip, table) = &mut self.dispatchers[index];
             let out = gossip.tick(table);
-            self.post(own, out);
+            self.send(index, out);
         }
-        self.deliver(began + ROUND);
+        self.deliver(round_start + ROUND_INTERVAL);
     }
 
     fn deliver(&mut self, until: Millis) {
-        while let Some(entry) = self.wire.first_entry().filter(|entry| entry.key().0 <= until) {
+        while let Some(entry) = self.in_flight.first_entry().filter(|entry| entry.key().0 <= until) {
             self.now = entry.key().0;
             let Datagram { from, to, bytes } = entry.remove();
             let (gossip, table) = &mut self.dispatchers[to];
             let out = gossip.receive(self.now, from, &bytes, table);
-            self.post(to, out);
+            self.send(to, out);
         }
         self.now = until;
     }
 
-    fn rounds(&mut self, span: Millis) {
-        (0..span / ROUND).for_each(|_| self.round());
+    fn run_rounds(&mut self, span: Millis) {
+        (0..span / ROUND_INTERVAL).for_each(|_| self.run_round());
     }
 
     fn set_override(&mut self) {
@@ -162,12 +164,12 @@
             by: "operator".into(),
             why: "a measurement".into(),
         };
-        let record = table.set(order, self.now).expect("the order above is sound");
+        let record = table.set(order, self.now).expect("the order above is valid");
         let out = gossip.announce(&record);
-        self.post(0, out);
+        self.send(0, out);
     }
 
-    fn all_know(&self) -> bool {
+    fn is_known_to_all(&self) -> bool {
         self.dispatchers.iter().all(|(_, table)| !table.prints().is_empty())
     }
 }
@@ -175,20 +177,20 @@
 impl Outcome {
     fn of(dispatchers: u16, loss_percent: u32, seed: u64) -> Self {
         let mut tier = Tier::new(dispatchers, loss_percent, seed);
-        tier.rounds(FIRST_TALK + Millis::from(dispatchers) * MEETINGS);
+        tier.run_rounds(MIN_CONVERGENCE + Millis::from(dispatchers) * CONVERGENCE_PER_DISPATCHER);
         let before = tier.bytes;
-        tier.rounds(STEADY);
-        let seconds = STEADY as f64 / 1e3;
-        let steady = (tier.bytes - before) as f64 / seconds;
+        tier.run_rounds(MEASURED_TIME);
+        let seconds = MEASURED_TIME as f64 / 1e3;
+        let idle_bytes_per_second = (tier.bytes - before) as f64 / seconds;
         let (set_at, before) = (tier.now, tier.bytes);
         tier.set_override();
-        while !tier.all_know() && tier.now < set_at + WATCHED {
-            tier.round();
+        while !tier.is_known_to_all() && tier.now < set_at + MAX_SPREAD_TIME {
+            tier.run_round();
         }
-        let in_force_after = (tier.now - set_at) as f64 / 1e3;
-        let spread_bytes = (tier.bytes - before) as f64 - steady * in_force_after;
-        // What one sends another receives.
-        let bytes_per_second = steady * 2.0 / f64::from(dispatchers);
-        Self { dispatchers, bytes_per_second, in_force_after, spread_bytes }
+        let spread_time = (tier.now - set_at) as f64 / 1e3;
+        let spread_bytes = (tier.bytes - before) as f64 - idle_bytes_per_second * spread_time;
+        // Each byte sent is also received.
+        let bytes_per_second = idle_bytes_per_second * 2.0 / f64::from(dispatchers);
+        Self { dispatchers, bytes_per_second, spread_time, spread_bytes }
     }
 }
--- a/lab/src/scale/report.rs
+++ b/lab/src/scale/report.rs
@@ -1,9 +1,10 @@
-//! The rows of a capacity report: what a role costs, by what it grows, and whether its budget holds at full size.
+//! The rows of a capacity report: the cost of a role, the size that it grows with, and whether its budget holds at full
+//! size.
 
 use serde::Serialize;
 use std::fmt;
 
-/// Who bears a cost.
+/// The role that bears a cost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
@@ -15,9 +16,9 @@
     /// A member of the fleet's membership.
     Member,
     Prober,
-    /// A dispatcher that sums up the load of a zone's workers for the others.
+    /// A dispatcher that aggregates the load of a zone's workers for the others.
     ZoneAggregator,
-    /// A replica holder of the records of work in hand.
+    /// A holder of replicas of the records of unfinished jobs.
     RecordHolder,
     /// A relay of the worker list between discovery and dispatchers.
     Relay,
@@ -27,7 +28,7 @@
     Client,
 }
 
-/// What a cost grows by.
+/// The size that a cost grows with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SizeUnit {
@@ -43,7 +44,7 @@
     Teams,
 }
 
-/// What carries a row at full size.
+/// The mechanism that causes the cost of a row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mechanism {
@@ -59,33 +60,33 @@
     Membership,
     /// Leases with fencing tokens from the consensus group.
     Leases,
-    /// Replicated records of work in hand and their takeover.
+    /// Replicated records of unfinished jobs and their takeover.
     WorkRecords,
     /// Gossip of operators' overrides.
     OverrideGossip,
     /// Gossip of workers' load through zone aggregators.
     LoadGossip,
-    /// Failed attempts, and health checks of suspects by one prober a zone.
+    /// Failed attempts, and health checks of suspects by one prober per zone.
     HealthChecks,
     /// Logs and metrics of each process.
     Observability,
-    /// Nothing carries it yet.
+    /// No mechanism exists yet.
     Missing,
 }
 
-/// Where the figure at full size comes from.
+/// How the figure at full size was obtained.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Source {
-    /// A point was measured at the full size itself.
+    /// Measured at the full size.
     Measured,
-    /// The line through the measured points.
+    /// Extrapolated along the line fitted to the measured points.
     Fitted,
-    /// The line falls: it is not drawn on, and the value at the largest size stands.
+    /// The value at the largest measured size, since the fitted line falls and is not extrapolated.
     Largest,
-    /// Worked out from other figures; nothing was run.
+    /// Calculated from other figures; nothing was measured.
     Arithmetic,
-    /// It could not be measured here: there is no figure.
+    /// It could not be measured here, so there is no figure.
     NotMeasured,
 }
 
@@ -100,29 +101,29 @@
     pub points: Vec<(f64, f64)>,
     pub slope: f64,
     pub constant: f64,
-    /// Root mean square of the points' distance from the line, in `unit`.
+    /// Root mean square of the points' deviation from the line, in `unit`.
     pub residual: f64,
     pub full_size: f64,
     pub at_full_size: f64,
     pub source: Source,
-    /// The full size over the largest measured one; above 10 the page marks the figure.
+    /// Ratio of the full size to the largest measured size; above 10 the page marks the figure.
     pub extrapolation: Option<f64>,
-    /// What the figure at full size may be at most.
+    /// Upper limit of the figure at full size.
     pub budget: Option<f64>,
     pub holds: Option<bool>,
     pub mechanism: Mechanism,
-    /// True if the values are times of this machine: then they differ from run to run.
+    /// True if the values were measured on this machine, so that they differ from run to run.
     pub timed: bool,
-    /// What is assumed, and in which range.
+    /// Assumptions, with their ranges.
     pub assumption: Option<String>,
 }
 
-/// How far a scenario goes, and its seed.
+/// Options of a run of scenarios.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Options {
-    /// Small sizes only: all scenarios together take less than a minute.
+    /// Small sizes only, so that all scenarios together take less than a minute.
     pub quick: bool,
-    /// What is random in virtual time follows from it: same seed, same rows.
+    /// Seed of the simulations in virtual time. The same seed gives the same rows, except for timed ones.
     pub seed: u64,
 }
 
@@ -143,7 +144,7 @@
 }
 
 impl Fit {
-    /// The least-squares line. One point, or points of one size only, give a constant.
+    /// The least-squares line. One point, or points of one size only, give a constant line.
     pub fn through(points: &[(f64, f64)]) -> Self {
         let count = points.len().max(1) as f64;
         let mean_size = points.iter().map(|(size, _)| size).sum::<f64>() / count;
@@ -162,8 +163,8 @@
 }
 
 impl Row {
-    /// A row from measured points. At full size the measured value stands if there is one, else the
-    /// line's; a line that falls is not drawn on.
+    /// A row from measured points. The figure at full size is the measured value if there is one, otherwise that of the
+    /// fitted line. A falling line is not extrapolated.
     pub fn measured(
         role: Role,
         quantity: impl Into<String>,
@@ -174,8 +175,8 @@
     ) -> Self {
         points.sort_by(|a, b| a.0.total_cmp(&b.0));
         let fit = Fit::through(&points);
-        let at_full = points.iter().find(|(size, _)| *size == full_size);
-        let (at_full_size, source) = match (at_full, points.last()) {
+        let point_at_full_size = points.iter().find(|(size, _)| *size == full_size);
+        let (at_full_size, source) = match (point_at_full_size, points.last()) {
             (Some((_, value)), _) => (*value, Source::Measured),
             (None, Some((_, value))) if fit.slope < 0.0 => (*value, Source::Largest),
             (None, Some(_)) => (fit.at(full_size), Source::Fitted),
@@ -203,7 +204,7 @@
         }
     }
 
-    /// A row worked out as `slope` times `full_size`, with nothing run.
+    /// A row calculated as `slope` times `full_size`, without measured points.
     pub fn arithmetic(
         role: Role,
         quantity: impl Into<String>,
@@ -219,19 +220,19 @@
         row
     }
 
-    /// Sets what the figure at full size may be at most, and says whether it holds; nothing where there is no figure.
-    pub fn budget(mut self, most: f64) -> Self {
-        self.budget = Some(most);
-        self.holds = (self.source != Source::NotMeasured).then_some(self.at_full_size <= most);
+    /// Sets the upper limit of the figure at full size. Whether it holds stays open if there is no figure.
+    pub fn budget(mut self, max: f64) -> Self {
+        self.budget = Some(max);
+        self.holds = (self.source != Source::NotMeasured).then_some(self.at_full_size <= max);
         self
     }
 
-    /// Whether it has a budget that was not shown to hold.
+    /// Whether the row has a budget that was not shown to hold.
     pub fn is_missed(&self) -> bool {
         self.budget.is_some() && self.holds != Some(true)
     }
 
-    /// Marks the values as times of this machine.
+    /// Marks the values as measured on this machine, so that they differ from run to run.
     pub fn timed(mut self) -> Self {
         self.timed = true;
         self
@@ -243,8 +244,8 @@
     }
 }
 
-/// The kebab-case name by which JSON and the page call it.
-fn name(value: &impl Serialize) -> String {
+/// The kebab-case name of a value in JSON and on the capacity page.
+fn serialized_name(value: &impl Serialize) -> String {
     match serde_json::to_value(value) {
         Ok(serde_json::Value::String(name)) => name,
         _ => String::new(),
@@ -253,18 +254,18 @@
 
 impl fmt::Display for Role {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.pad(&name(self))
+        f.pad(&serialized_name(self))
     }
 }
 
 impl fmt::Display for SizeUnit {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.pad(&name(self))
+        f.pad(&serialized_name(self))
     }
 }
 
 impl fmt::Display for Mechanism {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.pad(&name(self))
+        f.pad(&serialized_name(self))
     }
 }
--- a/lab/src/scale/table.rs
+++ b/lab/src/scale/table.rs
@@ -1,13 +1,13 @@
-//! A capacity report as text: the table that people read, and the rows of the capacity page.
+//! A capacity report as text: an aligned table, and the Markdown rows of the capacity page.
 
 use super::report::{Row, Source};
 use super::Report;
 
-/// An extrapolation beyond this factor is marked.
-pub const FAR: f64 = 10.0;
+/// Figures that are extrapolated by more than this factor are marked.
+pub const MAX_UNMARKED_EXTRAPOLATION: f64 = 10.0;
 
-/// A figure with three digits that count, large ones whole and with separators.
-pub fn figure(value: f64) -> String {
+/// Formats a number with three significant digits; numbers from 1,000 on are whole and have thousands separators.
+pub fn format_number(value: f64) -> String {
     let magnitude = value.abs();
     if magnitude >= 1000.0 {
         return with_separators(value.round());
@@ -27,8 +27,8 @@
 fn with_separators(value: f64) -> String {
     let digits = format!("{:.0}", value.abs());
     let mut text = String::new();
-    for (at, digit) in digits.chars().enumerate() {
-        if at > 0 && (digits.len() - at) % 3 == 0 {
+    for (index, digit) in digits.chars().enumerate() {
+        if index > 0 && (digits.len() - index) % 3 == 0 {
             text.push(',');
         }
         text.push(digit);
@@ -40,20 +40,20 @@
     }
 }
 
-/// Slope, size and constant, and how far the points are from it.
+/// The fitted line, with the root mean square of the points' deviation.
 pub fn fit(row: &Row) -> String {
     match row.source {
-        Source::Arithmetic => format!("{} x size", figure(row.slope)),
+        Source::Arithmetic => format!("{} x size", format_number(row.slope)),
         Source::NotMeasured => "-".into(),
         _ => {
             let sign = if row.constant < 0.0 { '-' } else { '+' };
-            let (slope, constant) = (figure(row.slope), figure(row.constant.abs()));
-            format!("{slope} x size {sign} {constant} (±{})", figure(row.residual))
+            let (slope, constant) = (format_number(row.slope), format_number(row.constant.abs()));
+            format!("{slope} x size {sign} {constant} (±{})", format_number(row.residual))
         }
     }
 }
 
-/// The figure at full size, with how it was come by.
+/// The figure at full size, marked with how it was obtained.
 pub fn at_full_size(row: &Row) -> String {
     if row.source == Source::NotMeasured {
         return "not measured".into();
@@ -61,44 +61,46 @@
     let mark = match (row.source, row.extrapolation) {
         (Source::Arithmetic, _) => " (arithmetic)".into(),
         (Source::Largest, _) => " (as at the largest size)".into(),
-        (_, Some(factor)) if factor > FAR => format!(" (extrapolated {factor:.0} times)"),
+        (_, Some(factor)) if factor > MAX_UNMARKED_EXTRAPOLATION => {
+            format!(" (extrapolated {factor:.0} times)")
+        }
         _ => String::new(),
     };
-    format!("{} {}{mark}", figure(row.at_full_size), row.unit)
+    format!("{} {}{mark}", format_number(row.at_full_size), row.unit)
 }
 
 /// The budget, and whether it holds.
 pub fn budget(row: &Row) -> String {
     match (row.budget, row.holds) {
-        (Some(budget), Some(true)) => format!("{} {}: holds", figure(budget), row.unit),
-        (Some(budget), None) => format!("{} {}: not measured", figure(budget), row.unit),
+        (Some(budget), Some(true)) => format!("{} {}: holds", format_number(budget), row.unit),
+        (Some(budget), None) => format!("{} {}: not measured", format_number(budget), row.unit),
         (Some(0.0), _) => format!("0 {}: missed", row.unit),
         (Some(budget), _) => {
-            let factor = figure(row.at_full_size / budget);
-            format!("{} {}: missed, {factor} times", figure(budget), row.unit)
+            let factor = format_number(row.at_full_size / budget);
+            format!("{} {}: missed, {factor} times", format_number(budget), row.unit)
         }
         (None, _) => "-".into(),
     }
 }
 
-/// The sizes that were measured.
+/// The range of the measured sizes.
 pub fn range(row: &Row) -> String {
     match (row.points.first(), row.points.last()) {
-        (Some((least, _)), Some((most, _))) => format!("{} to {}", figure(*least), figure(*most)),
+        (Some((min, _)), Some((max, _))) => format!("{} to {}", format_number(*min), format_number(*max)),
         _ => "-".into(),
     }
 }
 
-/// The columns of a row, as the page and the tool show them.
+/// The column headers, on the page and in the tool's output.
 pub const COLUMNS: [&str; 8] =
     ["role", "quantity", "grows by", "measured", "fit", "at full size", "budget", "mechanism"];
 
-/// A row's columns.
+/// The cells of a row, in the order of `COLUMNS`.
 pub fn cells(row: &Row) -> [String; 8] {
     [
         row.role.to_string(),
         row.quantity.clone(),
-        format!("{} ({})", row.grows_by, figure(row.full_size)),
+        format!("{} ({})", row.grows_by, format_number(row.full_size)),
         range(row),
         fit(row),
         at_full_size(row),
@@ -107,7 +109,7 @@
     ]
 }
 
-/// The rows as a Markdown table, in the form of the capacity page.
+/// The rows as a Markdown table, as on the capacity page.
 pub fn markdown(rows: &[Row]) -> String {
     let line = |cells: &[String]| format!("| {} |\n", cells.join(" | "));
     let mut text = line(&COLUMNS.map(String::from));
@@ -116,12 +118,13 @@
     text
 }
 
-/// The table for people, and what is missed below it.
+/// The aligned table, followed by the rows that miss their budgets.
 pub fn text(report: &Report) -> String {
     let mut lines: Vec<[String; 8]> = vec![COLUMNS.map(String::from)];
     lines.extend(report.rows.iter().map(cells));
-    let widths: Vec<usize> =
-        (0..COLUMNS.len()).map(|at| lines.iter().map(|l| l[at].chars().count()).max().unwrap_or(0)).collect();
+    let widths: Vec<usize> = (0..COLUMNS.len())
+        .map(|index| lines.iter().map(|l| l[index].chars().count()).max().unwrap_or(0))
+        .collect();
     let mut text = String::new();
     for line in &lines {
         let padded: Vec<String> =
--- a/lab/src/scale/watch.rs
+++ b/lab/src/scale/watch.rs
@@ -1,5 +1,6 @@
-//! A tier of hollow dispatchers that watch one discovery, in virtual time: the real schedule of calls (`WatchSchedule`) and the real
-//! module, which says when to call again after a failure. The order of calls is that of the dispatcher's own watch.
+//! Simulation in virtual time of hollow dispatchers that watch one discovery service: the real schedule of calls
+//! (`WatchSchedule`) and the real decision module, which sets the time of the retry after a failure. The calls are in
+//! the same order as in the dispatcher's own watch.
 
 use super::histogram::Histogram;
 use super::hollow::{entry, settings};
@@ -16,75 +17,77 @@
 pub const SECOND: Time = 1000 * MILLISECOND;
 const MINUTE: Time = 60 * SECOND;
 
-/// Time from a dispatcher to discovery and back, without its queue.
+/// Round-trip time between a dispatcher and discovery, without the time in discovery's queue.
 const ROUND_TRIP: Time = MILLISECOND;
-/// The dispatcher's own bound of a call that waits for news, beyond its wait.
-const NEWS_WITHIN: Time = 1500 * MILLISECOND;
-/// The least time between two calls that bring nothing.
-const LEAST_GAP: Time = 20 * MILLISECOND;
-/// Bytes of a call's request and of an answer's head, as a real dispatcher and the lab's discovery exchange them.
+/// Time that a dispatcher allows a long poll beyond its wait before it times out.
+const LONG_POLL_MARGIN: Time = 1500 * MILLISECOND;
+/// Shortest interval between two calls if the first returned no changes.
+const MIN_CALL_INTERVAL: Time = 20 * MILLISECOND;
+/// Bytes of a request and of a response's head, as exchanged by a real dispatcher and the lab's discovery.
 pub const REQUEST_BYTES: u64 = 102;
 pub const ANSWER_HEAD_BYTES: u64 = 58;
 
-/// What discovery is able to do.
+/// Capacity and faults of the simulated discovery.
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoveryModel {
-    /// Time for one call; calls are handled in turn.
-    pub call: Time,
-    /// Bytes a second that it sends at most.
-    pub link: f64,
-    /// Calls or answers that are lost on the way, of 1,000 each.
-    pub lost: u32,
-    /// It refuses connections in this span.
-    pub down: Option<(Time, Time)>,
+    /// Time to handle one call. Calls are handled one after another.
+    pub call_time: Time,
+    /// Bandwidth of its link.
+    pub link_bytes_per_second: f64,
+    /// Requests lost, and responses lost, in thousandths of each.
+    pub lost_per_mille: u32,
+    /// From when until when it refuses connections.
+    pub outage: Option<(Time, Time)>,
 }
 
-/// Some dispatchers lose discovery for a time: their calls are silent.
+/// A network partition that separates some dispatchers from discovery: their calls get no response.
 #[derive(Clone, Copy, Debug)]
-pub struct Cut {
+pub struct Partition {
     pub from: Time,
     pub to: Time,
-    /// The first so many dispatchers are cut off.
+    /// How many dispatchers are separated; they are the first ones.
     pub dispatchers: u32,
 }
 
-/// A run: how many dispatchers watch, how long, and what changes when.
+/// The parameters of a run.
 pub struct Plan<'a> {
-    /// Dispatchers that each takes to be there: what its schedule goes by.
-    pub tier: u32,
+    /// Number of dispatchers in each dispatcher's settings, on which its schedule depends.
+    pub configured_dispatchers: u32,
     pub dispatchers: u32,
     pub workers: u32,
     pub until: Time,
-    /// When each change of the list came to be, ascending.
+    /// Times of the changes of the list, ascending.
     pub changes: &'a [Time],
-    /// Dispatchers begin without a list, spread over this time; `None`: they hold the first list from the start.
-    pub start_without_list: Option<Time>,
+    /// Dispatchers start without a list, at random times within this span. If `None`, all have the first list from the
+    /// start.
+    pub empty_start_span: Option<Time>,
     pub discovery: DiscoveryModel,
-    pub cut: Option<Cut>,
+    pub partition: Option<Partition>,
     pub seed: u64,
 }
 
-/// What a run comes to.
+/// The result of a run.
 #[derive(Default)]
 pub struct Outcome {
     pub calls: u64,
     pub failed_calls: u64,
     pub worst_second_calls: u64,
     pub worst_second_bytes: u64,
-    /// Of all dispatchers together, calls and answers.
+    /// Requests and responses of all dispatchers together.
     pub bytes: u64,
-    /// Of any dispatcher, in any minute.
+    /// The most bytes of any dispatcher in any minute.
     pub worst_minute_bytes: u64,
-    /// From a change to each dispatcher's knowledge of it; for one that was cut off, from its return at the earliest.
-    pub known_after: Histogram,
-    /// From the start of the first dispatcher until each has its first list.
-    pub first_list_after: Histogram,
-    /// Dispatchers that lack the last change at the end.
-    pub behind: usize,
+    /// Time from a change until each dispatcher has it. For a change during a partition, the time of a separated
+    /// dispatcher starts when the partition ends.
+    pub propagation_time: Histogram,
+    /// Time from the start of the run until each dispatcher has its first list.
+    pub first_list_time: Histogram,
+    /// Dispatchers that lack the last change at the end of the run.
+    pub stale_dispatchers: usize,
 }
 
-/// A call's outcome, known when it is made.
-enum Answer {
+/// The outcome of a call, determined when the call is made.
+enum CallOutcome {
     List { version: usize, full: bool },
     TimedOut,
     Refused,
@@ -92,13 +95,13 @@
 
 enum Step {
     Call,
-    Answered { asked: Time, answer: Answer },
+    Ended { called_at: Time, outcome: CallOutcome },
 }
 
 struct Watcher {
     module: HollowModule,
     schedule: WatchSchedule,
-    /// Changes that it knows of; `None`: it has no list.
+    /// Number of changes that it has; `None` if it has no list.
     version: Option<usize>,
     wait: Time,
     has_failed: bool,
@@ -108,9 +111,9 @@
 
 struct Run<'a> {
     plan: &'a Plan<'a>,
-    whole_list: u64,
+    full_list_bytes: u64,
     change: u64,
-    empty_list: u64,
+    empty_list_bytes: u64,
     now: Time,
     discovery_free_at: Time,
     watchers: Vec<Watcher>,
@@ -121,16 +124,16 @@
     second_calls: u64,
     second_bytes: u64,
     outcome: Outcome,
-    loss: fastrand::Rng,
+    loss_rng: fastrand::Rng,
 }
 
-/// Plays a run.
-pub fn play(plan: &Plan) -> Outcome {
-    let empty_list = WorkerList::changes(0).bytes() as u64;
+/// Runs a simulation.
+pub fn simulate(plan: &Plan) -> Outcome {
+    let empty_list_bytes = WorkerList::changes(0).bytes() as u64;
     let mut run = Run {
-        whole_list: WorkerList::whole(plan.workers).bytes() as u64,
-        change: WorkerList::changes(1).bytes() as u64 - empty_list + 1,
-        empty_list,
+        full_list_bytes: WorkerList::full(plan.workers).bytes() as u64,
+        change: WorkerList::changes(1).bytes() as u64 - empty_list_bytes + 1,
+        empty_list_bytes,
         now: 0,
         discovery_free_at: 0,
         watchers: Vec::new(),
@@ -141,7 +144,7 @@
         second_calls: 0,
         second_bytes: 0,
         outcome: Outcome::default(),
-        loss: fastrand::Rng::with_seed(plan.seed ^ 0x1055),
+        loss_rng: fastrand::Rng::with_seed(plan.seed ^ 0x1055),
         plan,
     };
     run.start();
@@ -157,13 +160,13 @@
 
 impl Run<'_> {
     fn start(&mut self) {
-        let mut dice = fastrand::Rng::with_seed(self.plan.seed);
+        let mut rng = fastrand::Rng::with_seed(self.plan.seed);
         for dispatcher in 0..self.plan.dispatchers {
-            let settings = settings(self.plan.tier);
-            let module = HollowModule::new(settings, dice.u64(..));
-            let schedule = WatchSchedule::new(self.plan.tier, dice.u64(..));
-            let first = self.plan.start_without_list.map_or(0, |span| dice.u64(0..=span));
-            let version = if self.plan.start_without_list.is_some() { None } else { Some(0) };
+            let settings = settings(self.plan.configured_dispatchers);
+            let module = HollowModule::new(settings, rng.u64(..));
+            let schedule = WatchSchedule::new(self.plan.configured_dispatchers, rng.u64(..));
+            let first = self.plan.empty_start_span.map_or(0, |span| rng.u64(0..=span));
+            let version = if self.plan.empty_start_span.is_some() { None } else { Some(0) };
             self.watchers.push(Watcher {
                 module,
                 schedule,
@@ -174,11 +177,11 @@
                 minute_bytes: 0,
             });
             self.steps.push(None);
-            self.at(first, dispatcher, Step::Call);
+            self.schedule_step(first, dispatcher, Step::Call);
         }
     }
 
-    fn at(&mut self, at: Time, dispatcher: u32, step: Step) {
+    fn schedule_step(&mut self, at: Time, dispatcher: u32, step: Step) {
         self.count += 1;
         self.steps[dispatcher as usize] = Some(step);
         self.queue.push(Reverse((at, self.count, dispatcher)));
@@ -187,29 +190,29 @@
     fn step(&mut self, dispatcher: u32) {
         match self.steps[dispatcher as usize].take() {
             Some(Step::Call) => self.call(dispatcher),
-            Some(Step::Answered { asked, answer }) => self.answered(dispatcher, asked, answer),
+            Some(Step::Ended { called_at, outcome }) => self.call_ended(dispatcher, called_at, outcome),
             None => {}
         }
     }
 
-    /// The cut that this dispatcher is behind.
-    fn cut_of(&self, dispatcher: u32) -> Option<Cut> {
-        self.plan.cut.filter(|cut| dispatcher < cut.dispatchers)
+    /// The partition that separates this dispatcher, if any.
+    fn partition_of(&self, dispatcher: u32) -> Option<Partition> {
+        self.plan.partition.filter(|partition| dispatcher < partition.dispatchers)
     }
 
-    /// A dispatcher knows, or at the run's end still does not know, these changes.
-    fn count_known(&mut self, dispatcher: u32, changes: std::ops::Range<usize>, at: Time) {
-        let reachable = self.cut_of(dispatcher);
+    /// Records the propagation time of changes that a dispatcher has received, or still lacks at the end of the run.
+    fn record_propagation(&mut self, dispatcher: u32, changes: std::ops::Range<usize>, at: Time) {
+        let reachable = self.partition_of(dispatcher);
         for change in &self.plan.changes[changes] {
             let since = match reachable {
-                Some(cut) if (cut.from..cut.to).contains(change) => cut.to,
+                Some(partition) if (partition.from..partition.to).contains(change) => partition.to,
                 _ => *change,
             };
-            self.outcome.known_after.add(at.saturating_sub(since) / MILLISECOND);
+            self.outcome.propagation_time.add(at.saturating_sub(since) / MILLISECOND);
         }
     }
 
-    /// Changes that have come to be by a time.
+    /// Number of changes that have been made by this time.
     fn version_at(&self, at: Time) -> usize {
         self.plan.changes.partition_point(|change| *change <= at)
     }
@@ -219,70 +222,76 @@
         let now = self.now;
         let watcher = &self.watchers[dispatcher as usize];
         let wait = watcher.wait;
-        let within = if wait == 0 { watcher.schedule.patience() * MILLISECOND } else { wait + NEWS_WITHIN };
+        let timeout =
+            if wait == 0 { watcher.schedule.patience() * MILLISECOND } else { wait + LONG_POLL_MARGIN };
         let version = watcher.version;
-        let is_cut = self.cut_of(dispatcher).is_some_and(|cut| (cut.from..cut.to).contains(&now));
-        let (at, answer) = match is_cut || self.is_lost() {
-            // It never came to discovery.
-            true => (Time::MAX, Answer::TimedOut),
-            false => self.asked(version, now, wait),
+        let is_partitioned = self
+            .partition_of(dispatcher)
+            .is_some_and(|partition| (partition.from..partition.to).contains(&now));
+        let (at, outcome) = match is_partitioned || self.is_lost() {
+            // The request did not reach discovery.
+            true => (Time::MAX, CallOutcome::TimedOut),
+            false => self.handle_call(version, now, wait),
         };
-        let (at, answer) = if self.is_lost() { (Time::MAX, Answer::TimedOut) } else { (at, answer) };
-        let (at, answer) = if at - now > within { (now + within, Answer::TimedOut) } else { (at, answer) };
-        self.at(at, dispatcher, Step::Answered { asked: now, answer });
+        let (at, outcome) = if self.is_lost() { (Time::MAX, CallOutcome::TimedOut) } else { (at, outcome) };
+        let (at, outcome) =
+            if at - now > timeout { (now + timeout, CallOutcome::TimedOut) } else { (at, outcome) };
+        self.schedule_step(at, dispatcher, Step::Ended { called_at: now, outcome });
     }
 
     fn is_lost(&mut self) -> bool {
-        self.plan.discovery.lost > 0 && self.loss.u32(..1000) < self.plan.discovery.lost
+        self.plan.discovery.lost_per_mille > 0
+            && self.loss_rng.u32(..1000) < self.plan.discovery.lost_per_mille
     }
 
-    /// What discovery does with a call: when its answer is there, and which.
-    fn asked(&mut self, version: Option<usize>, now: Time, wait: Time) -> (Time, Answer) {
+    /// Handles a call at discovery. Returns when the response arrives, and the outcome.
+    fn handle_call(&mut self, version: Option<usize>, now: Time, wait: Time) -> (Time, CallOutcome) {
         let model = self.plan.discovery;
-        let is_down = |at: Time| model.down.is_some_and(|(from, to)| (from..to).contains(&at));
+        let is_down = |at: Time| model.outage.is_some_and(|(from, to)| (from..to).contains(&at));
         if is_down(now) {
-            return (now + ROUND_TRIP, Answer::Refused);
+            return (now + ROUND_TRIP, CallOutcome::Refused);
         }
-        let bytes = if version.is_none() { self.whole_list as f64 } else { 0.0 };
-        let sends = (bytes / model.link * SECOND as f64) as Time;
-        self.discovery_free_at = self.discovery_free_at.max(now) + model.call + sends;
-        let handled = self.discovery_free_at;
-        let news = self.version_at(handled);
-        let (at, answer) = match version {
-            None => (handled, Answer::List { version: news, full: true }),
-            Some(known) if news > known => (handled, Answer::List { version: news, full: false }),
+        let bytes = if version.is_none() { self.full_list_bytes as f64 } else { 0.0 };
+        let transfer_time = (bytes / model.link_bytes_per_second * SECOND as f64) as Time;
+        self.discovery_free_at = self.discovery_free_at.max(now) + model.call_time + transfer_time;
+        let handled_at = self.discovery_free_at;
+        let latest = self.version_at(handled_at);
+        let (at, outcome) = match version {
+            None => (handled_at, CallOutcome::List { version: latest, full: true }),
+            Some(known) if latest > known => (handled_at, CallOutcome::List { version: latest, full: false }),
             Some(known) => {
-                let ends = handled.max(now + wait);
+                let ends = handled_at.max(now + wait);
                 let change = self.plan.changes.get(known).copied().filter(|change| *change < ends);
                 let at = change.unwrap_or(ends);
-                (at, Answer::List { version: self.version_at(at), full: false })
+                (at, CallOutcome::List { version: self.version_at(at), full: false })
             }
         };
-        // Calls that stand there when it goes down end with it.
-        match model.down {
-            Some((from, _)) if now < from && at >= from => (from, Answer::Refused),
-            _ => (at + ROUND_TRIP, answer),
+        // Calls in progress fail when the outage begins.
+        match model.outage {
+            Some((from, _)) if now < from && at >= from => (from, CallOutcome::Refused),
+            _ => (at + ROUND_TRIP, outcome),
         }
     }
 
-    fn answered(&mut self, dispatcher: u32, asked: Time, answer: Answer) {
-        match answer {
-            Answer::List { version, full } => self.took(dispatcher, asked, version, full),
-            Answer::TimedOut => self.failed(dispatcher, asked, true),
-            Answer::Refused => self.failed(dispatcher, asked, false),
+    fn call_ended(&mut self, dispatcher: u32, called_at: Time, outcome: CallOutcome) {
+        match outcome {
+            CallOutcome::List { version, full } => self.list_received(dispatcher, called_at, version, full),
+            CallOutcome::TimedOut => self.call_failed(dispatcher, called_at, true),
+            CallOutcome::Refused => self.call_failed(dispatcher, called_at, false),
         }
     }
 
-    /// A list came.
-    fn took(&mut self, dispatcher: u32, asked: Time, version: usize, full: bool) {
+    /// Handles the arrival of a list.
+    fn list_received(&mut self, dispatcher: u32, called_at: Time, version: usize, full: bool) {
         let now = self.now;
         let known = self.watchers[dispatcher as usize].version;
-        let lines = (version - known.unwrap_or(0)) as u64;
-        let body = if full { self.whole_list } else { self.empty_list + lines * self.change };
+        let change_count = (version - known.unwrap_or(0)) as u64;
+        let body =
+            if full { self.full_list_bytes } else { self.empty_list_bytes + change_count * self.change };
         self.count_bytes(dispatcher, ANSWER_HEAD_BYTES + body);
         match known {
-            None => self.outcome.first_list_after.add(now / MILLISECOND),
-            Some(known) => self.count_known(dispatcher, known..version, now),
+            None => self.outcome.first_list_time.add(now / MILLISECOND),
+            Some(known) => self.record_propagation(dispatcher, known..version, now),
         }
         let watcher = &mut self.watchers[dispatcher as usize];
         watcher.version = Some(version);
@@ -292,27 +301,27 @@
             watcher.module.handle(now, ModuleEvent::WorkerList(ListKind::Delta, list));
         }
         watcher.wait = watcher.schedule.wait() * MILLISECOND;
-        let next = if full || lines > 0 { now } else { now.max(asked + LEAST_GAP) };
-        self.at(next, dispatcher, Step::Call);
+        let next = if full || change_count > 0 { now } else { now.max(called_at + MIN_CALL_INTERVAL) };
+        self.schedule_step(next, dispatcher, Step::Call);
     }
 
-    /// A call came to nothing.
-    fn failed(&mut self, dispatcher: u32, asked: Time, silent: bool) {
+    /// Handles the failure of a call.
+    fn call_failed(&mut self, dispatcher: u32, called_at: Time, is_silent: bool) {
         self.outcome.failed_calls += 1;
         let now = self.now;
         let watcher = &mut self.watchers[dispatcher as usize];
         let watched = std::mem::take(&mut watcher.wait) > 0;
-        let failure = if silent { CallFailure::Silent } else { CallFailure::Unreachable };
-        let failed = FailedCall { watched, failure, took: (now - asked) / MILLISECOND };
-        let soon = watcher.schedule.call_again_after(failed);
-        let next = match soon {
+        let failure = if is_silent { CallFailure::Silent } else { CallFailure::Unreachable };
+        let failed = FailedCall { watched, failure, took: (now - called_at) / MILLISECOND };
+        let retry_delay = watcher.schedule.call_again_after(failed);
+        let next = match retry_delay {
             Some(delay) => now + delay * MILLISECOND,
             None => {
                 watcher.has_failed = true;
-                watcher.module.wants_list_after_failure(now)
+                watcher.module.retry_after_failure(now)
             }
         };
-        self.at(next, dispatcher, Step::Call);
+        self.schedule_step(next, dispatcher, Step::Call);
     }
 
     fn count_call(&mut self, dispatcher: u32) {
@@ -346,32 +355,32 @@
 
     fn end(mut self) -> Outcome {
         let last = self.version_at(self.plan.until);
-        // What is not known yet counts with the time that it has taken so far.
+        // Changes and lists that have not arrived are recorded with the time until the end of the run.
         for dispatcher in 0..self.plan.dispatchers {
             let version = self.watchers[dispatcher as usize].version;
-            self.count_known(dispatcher, version.unwrap_or(0)..last, self.plan.until);
+            self.record_propagation(dispatcher, version.unwrap_or(0)..last, self.plan.until);
             if version.is_none() {
-                self.outcome.first_list_after.add(self.plan.until / MILLISECOND);
+                self.outcome.first_list_time.add(self.plan.until / MILLISECOND);
             }
         }
-        self.outcome.behind = self.watchers.iter().filter(|w| w.version != Some(last)).count();
+        self.outcome.stale_dispatchers = self.watchers.iter().filter(|w| w.version != Some(last)).count();
         self.outcome
     }
 }
 
-/// The module and its timer: as a host drives it.
+/// The decision module and its timer, driven as by a host.
 struct HollowModule {
     balancer: Balancer,
-    /// The earliest timer that it has set. It sets another one only to be woken before that.
+    /// The module's timer. The module sets another one only if that is due earlier.
     wake_at: Option<Time>,
     actions: Vec<Action>,
 }
 
 impl HollowModule {
     fn new(settings: Settings, seed: u64) -> Self {
-        let balancer = Balancer::new(settings, seed).expect("the hollow settings are sound");
+        let balancer = Balancer::new(settings, seed).expect("the hollow dispatcher's settings are valid");
         let mut module = Self { balancer, wake_at: None, actions: Vec::new() };
-        // It wants the list as soon as it runs.
+        // The module requests the list as soon as it runs.
         module.handle(0, ModuleEvent::WorkerList(ListKind::Cached, [].into()));
         module
     }
@@ -386,8 +395,8 @@
         }
     }
 
-    /// Tells it of a failure; when it asks for the list again.
-    fn wants_list_after_failure(&mut self, now: Time) -> Time {
+    /// Reports a failed call to the module. Returns when it requests the list again.
+    fn retry_after_failure(&mut self, now: Time) -> Time {
         self.handle(now, ModuleEvent::ListFailed);
         let mut at = now;
         while !self.actions.contains(&Action::Subscribe) {
--- a/lab/src/scale/work_records.rs
+++ b/lab/src/scale/work_records.rs
@@ -1,4 +1,4 @@
-//! Records of work in hand for all running tasks: bytes, messages, processor time, and a dead owner's takeover.
+//! Replicated records of all running tasks: bytes, messages and CPU time, and the takeover of a failed owner's records.
 
 use super::report::{Mechanism, Options, Role, Row, SizeUnit};
 use super::target;
@@ -11,33 +11,33 @@
 use lineroute_work::replica_set::{Event, ReplicaSets};
 use std::time::Duration;
 
-/// Copies of a record beside its owner's, as the program configures them where nothing is said.
+/// Replicas of a record in addition to its owner's: the program's default.
 const COPIES: usize = 2;
-/// Bytes of a job's body.
-const BODY: usize = 1024;
-/// Time that a client still waits.
-const LEFT: Duration = Duration::from_secs(60);
-/// Dispatchers among which the tasks are spread.
+/// Bytes of a job's request body.
+const BODY_BYTES: usize = 1024;
+/// Time that a job's client still waits.
+const REMAINING_TIME: Duration = Duration::from_secs(60);
+/// Dispatchers that share the tasks evenly.
 const MEMBERS: u16 = target::DISPATCHERS as u16;
 const QUICK_MEMBERS: u16 = 30;
-/// Words of an owner on one task: taken, an attempt that goes out, its end.
-const WORDS_OF_A_TASK: f64 = 3.0;
+/// Record updates by the owner for one task: accepted, attempt started, finished.
+const UPDATES_PER_TASK: f64 = 3.0;
 
 pub fn rows(options: &Options) -> Vec<Row> {
     let (members, sizes): (u16, &[u32]) = match options.quick {
         true => (QUICK_MEMBERS, &[100, 300, 1000, 3000]),
         false => (MEMBERS, &[1000, 5000, 20_000, 65_000]),
     };
-    let played: Vec<Outcome> = sizes.iter().map(|tasks| Outcome::of(members, *tasks)).collect();
+    let outcomes: Vec<Outcome> = sizes.iter().map(|tasks| Outcome::of(members, *tasks)).collect();
     let points = |value: fn(&Outcome) -> f64| -> Vec<(f64, f64)> {
-        played.iter().map(|o| (o.tasks, value(o))).collect()
+        outcomes.iter().map(|o| (o.tasks, value(o))).collect()
     };
     let row = |role, quantity: &str, unit, points| {
         let size = (SizeUnit::RunningTasks, target::RUNNING_TASKS);
         let assumption = format!("{members} dispatchers with even parts, 2 copies beside the owner's, bodies of 1,024 bytes (0 to 65,536)");
         Row::measured(role, quantity, unit, size, points, Mechanism::WorkRecords).assuming(assumption)
     };
-    let word = word_rows(options);
+    let update_rows = update_rows(options);
     vec![
         row(Role::RecordHolder, "records held for others, at one member", "bytes", points(|o| o.held_bytes))
             .budget(target::MEMORY),
@@ -70,22 +70,23 @@
         .timed(),
     ]
     .into_iter()
-    .chain(word)
+    .chain(update_rows)
     .collect()
 }
 
-/// The choice of holders looks at each member: what one word costs by their number, and what a peak of starts comes to.
-fn word_rows(options: &Options) -> Vec<Row> {
+/// The selection of replica holders examines each member: the cost of one update by the number of members, and that of
+/// all updates at the peak rate of starts.
+fn update_rows(options: &Options) -> Vec<Row> {
     let sizes: &[u16] = if options.quick { &[5, 10, 20, 40] } else { &[5, 50, 150, 300, 1000] };
-    let words = if options.quick { 200 } else { 2000 };
+    let updates = if options.quick { 200 } else { 2000 };
     let points: Vec<(f64, f64)> =
-        sizes.iter().map(|members| (f64::from(*members), word_seconds(*members, words))).collect();
+        sizes.iter().map(|members| (f64::from(*members), update_seconds(*members, updates))).collect();
     let scaled = |factor: f64| points.iter().map(|(size, value)| (*size, value * factor)).collect::<Vec<_>>();
     let size = (SizeUnit::Members, target::DISPATCHERS);
     let row = |quantity: &str, unit, points| {
         Row::measured(Role::Dispatcher, quantity, unit, size, points, Mechanism::WorkRecords).timed()
     };
-    let rate = target::STARTS_PER_SECOND * WORDS_OF_A_TASK / target::DISPATCHERS;
+    let rate = target::STARTS_PER_SECOND * UPDATES_PER_TASK / target::DISPATCHERS;
     let bytes = record(0, Incarnation { member: Member(0), number: 1 }).encode().len() as f64;
     vec![
         row("one word on a record: choice of its holders", "us", scaled(1e6)),
@@ -97,7 +98,7 @@
             "bytes of records at the peak's starts, sent and received",
             "bytes/s",
             (SizeUnit::StartsPerSecond, target::STARTS_PER_SECOND),
-            bytes * WORDS_OF_A_TASK * COPIES as f64 * 2.0 / target::DISPATCHERS,
+            bytes * UPDATES_PER_TASK * COPIES as f64 * 2.0 / target::DISPATCHERS,
             Mechanism::WorkRecords,
         )
         .budget(target::BYTES_PER_SECOND)
@@ -115,10 +116,10 @@
         reference: reference.clone(),
         key: None,
         path: "/api".into(),
-        body: vec![7; BODY],
+        body: vec![7; BODY_BYTES],
         effect: Effect::Once,
     };
-    Record::new(JobId::of_reference(owner, &reference), request, owner, LEFT)
+    Record::new(JobId::of_reference(owner, &reference), request, owner, REMAINING_TIME)
 }
 
 fn candidates(members: u16) -> Vec<Candidate> {
@@ -137,15 +138,15 @@
     replicas
 }
 
-/// Seconds of the owner's side for one word, its holders' choice included.
-fn word_seconds(members: u16, words: u32) -> f64 {
+/// Seconds that an owner needs for one update, including the selection of its replica holders.
+fn update_seconds(members: u16, updates: u32) -> f64 {
     let mut replicas = replica_sets(0, members);
     let timer = ThreadTimer::start();
-    for number in 0..words {
+    for number in 0..updates {
         let _ = replicas.insert(Duration::ZERO, record(number, owner(0)));
         replicas.take_events();
     }
-    timer.seconds() / f64::from(words)
+    timer.seconds() / f64::from(updates)
 }
 
 struct Outcome {
@@ -160,7 +161,7 @@
 
 impl Outcome {
     fn of(members: u16, tasks: u32) -> Self {
-        let limits = Limits { records: usize::MAX, bytes: usize::MAX, answer_retention: LEFT };
+        let limits = Limits { records: usize::MAX, bytes: usize::MAX, answer_retention: REMAINING_TIME };
         let mut holders: Vec<ReplicaHolder> = (0..members).map(|_| ReplicaHolder::new(limits)).collect();
         let (mut owned, mut sent) = (0, 0);
         for member in 0..members {
@@ -185,7 +186,7 @@
     }
 }
 
-/// Brings an owner's words to their holders; bytes of all of them.
+/// Delivers an owner's updates to the replica holders. Returns the bytes of all of them.
 fn deliver(replicas: &mut ReplicaSets, holders: &mut [ReplicaHolder]) -> usize {
     let mut bytes = 0;
     for event in replicas.take_events() {
@@ -207,7 +208,7 @@
 }
 
 impl Takeover {
-    /// Takes a dead owner's records under a recovery lease at all holders and gathers them.
+    /// Collects a failed owner's records from all holders under a recovery lease.
     fn of(dead: Incarnation, holders: &mut [ReplicaHolder]) -> Self {
         const TOKEN: u64 = 2;
         let mut takeover = Self::default();
@@ -216,13 +217,13 @@
         let mut orphaned = OrphanedWork::new(dead, TOKEN, all, COPIES);
         for (member, holder) in holders.iter_mut().enumerate() {
             holder.accept_recovery_lease(dead, TOKEN);
-            let mut behind = None;
-            while let Some(page) = holder.page(dead, TOKEN, behind) {
-                behind = page.last().map(|record| record.id);
+            let mut after = None;
+            while let Some(page) = holder.page(dead, TOKEN, after) {
+                after = page.last().map(|record| record.id);
                 takeover.pages += 1;
                 takeover.bytes += page.iter().map(|record| record.encode().len()).sum::<usize>();
-                orphaned.add_page(Member(member as u16), page, behind.is_none());
-                if behind.is_none() {
+                orphaned.add_page(Member(member as u16), page, after.is_none());
+                if after.is_none() {
                     break;
                 }
             }
--- a/lab/src/scale/worker_list.rs
+++ b/lab/src/scale/worker_list.rs
@@ -1,13 +1,13 @@
-//! The bytes of the worker list in the platform's JSON form.
+//! The size of the worker list in the platform's JSON format.
 
 use super::report::{Mechanism, Options, Role, Row, SizeUnit};
 use super::target;
 use serde::Serialize;
 
-/// Unix time in milliseconds at which the made-up workers began.
-const STARTED: u64 = 1_764_600_000_000;
+/// Start time of the synthetic workers, as Unix time in milliseconds.
+const STARTED_MS: u64 = 1_764_600_000_000;
 /// Workers that share a cell.
-const CELL: u32 = 8;
+const CELL_WORKERS: u32 = 8;
 
 /// A list as discovery sends it.
 #[derive(Serialize)]
@@ -37,43 +37,44 @@
             addr: format!("10.{high}.{middle}.{low}:8080"),
             zone: format!("z{:02}", worker % target::ZONES as u32),
             kind: "m",
-            cell: worker / CELL,
+            cell: worker / CELL_WORKERS,
             state: "up",
-            started_ms: STARTED + u64::from(worker),
+            started_ms: STARTED_MS + u64::from(worker),
         }
     }
 }
 
 impl WorkerList {
-    /// The whole list.
-    pub fn whole(workers: u32) -> Self {
+    /// A full list of `workers` workers.
+    pub fn full(workers: u32) -> Self {
         Self { version: 19_000, full: true, servers: (0..workers).map(ListedWorker::new).collect() }
     }
 
-    /// Changes of so many workers.
+    /// A list of changes of `count` workers.
     pub fn changes(count: u32) -> Self {
-        Self { full: false, ..Self::whole(count) }
+        Self { full: false, ..Self::full(count) }
     }
 
-    /// The same as of another version.
+    /// The same list with another version.
     pub fn with_version(self, version: u64) -> Self {
         Self { version, ..self }
     }
 
-    /// Bytes of its JSON.
+    /// Size of the list as JSON, in bytes.
     pub fn bytes(&self) -> usize {
         serde_json::to_vec(self).map_or(0, |bytes| bytes.len())
     }
 }
 
 pub fn rows(options: &Options) -> Vec<Row> {
-    // Nothing here takes long: the full size is measured in each run.
+    // Encoding a list is fast, so the full size is measured in quick runs too.
     let sizes: &[u32] = if options.quick { &[20, 200, 1000, 11_000] } else { &[20, 200, 1000, 3000, 11_000] };
     let bytes: Vec<(f64, f64)> = sizes
         .iter()
-        .map(|workers| (f64::from(*workers), WorkerList::whole(*workers).bytes() as f64))
+        .map(|workers| (f64::from(*workers), WorkerList::full(*workers).bytes() as f64))
         .collect();
-    let at_budget = bytes.iter().map(|(size, bytes)| (*size, bytes / target::BYTES_PER_SECOND)).collect();
+    let transfer_seconds =
+        bytes.iter().map(|(size, bytes)| (*size, bytes / target::BYTES_PER_SECOND)).collect();
     let size = (SizeUnit::Workers, target::WORKERS);
     let row = |quantity: &str, unit, points| {
         Row::measured(Role::Dispatcher, quantity, unit, size, points, Mechanism::DiscoveryWatch)
@@ -83,7 +84,7 @@
     vec![
         row("the whole list", "bytes", bytes)
             .assuming("about 117 bytes a worker: ids of 6 characters, zones of 3"),
-        row("a newcomer takes the whole list at its budget of bytes", "s", at_budget)
+        row("a newcomer takes the whole list at its budget of bytes", "s", transfer_seconds)
             .budget(target::CHANGE_IN_FORCE)
             .assuming("until then no change is in force at it; 5,000 bytes a second"),
         changes_row("a zone lost: its workers' changes at the budget of bytes", zone_workers)
@@ -98,7 +99,8 @@
     ]
 }
 
-/// Seconds that changes of so many workers take at the budget of bytes, and a quarter, a half, three quarters of them.
+/// Seconds that the changes of `count` workers take to transfer within the byte budget, and those of a quarter, a half
+/// and three quarters of them.
 fn changes_row(quantity: &str, count: u32) -> Row {
     let seconds = |count| WorkerList::changes(count).bytes() as f64 / target::BYTES_PER_SECOND;
     let points =
