--- a/lab/tests/checker.rs
+++ b/lab/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker on traces that break each rule, and on the like ones that keep it.
+//! Tests of the checker with traces that violate each rule, and with similar traces that comply.
 
 use lineroute_lab::checker::{check, Verdict};
 use lineroute_lab::scenario::Scenario;
@@ -11,7 +11,7 @@
      {"name": "order", "effect": "once", "part": 1, "work_ms": 5, "aim_ms": 50, "deadline_ms": 500}],
     "clients": {"rate": 10}}"#;
 
-/// A trace in the making; a millisecond passes with each event.
+/// Builds a trace. Each event is a millisecond after the one before.
 #[derive(Default)]
 struct Trace {
     events: Vec<Event>,
@@ -62,138 +62,138 @@
         self.note(What::Acted { first, worker, member, fence, accepted, knows: worker == 0 })
     }
 
-    fn judge(&self) -> Verdict {
+    fn verdict(&self) -> Verdict {
         check(&Scenario::parse(SCENARIO).expect("a scenario"), &self.events)
     }
 
-    /// The rules that were broken, each as often as it was.
-    fn broken(&self) -> Vec<String> {
-        self.judge().broken.into_iter().map(|b| b.rule).collect()
+    /// The violated rules, once for each violation.
+    fn broken_rules(&self) -> Vec<String> {
+        self.verdict().broken.into_iter().map(|b| b.rule).collect()
     }
 }
 
 #[test]
-fn a_job_that_is_served_breaks_nothing() {
+fn a_served_job_violates_no_rule() {
     let mut trace = Trace::default();
     trace.asked(1, "a", "quote", None).came(0, 1, "a", None).began(0, 1);
     trace.ended(0, 1, Ending::Done, "r").answered("a", 200, "r");
-    let verdict = trace.judge();
+    let verdict = trace.verdict();
     assert_eq!(verdict.broken, []);
     let f = verdict.figures;
     assert_eq!((f.jobs, f.served, f.in_aim, f.attempts, f.worth), (1, 1, 1, 1, 1.0));
 }
 
 #[test]
-fn answers_are_one_a_request_and_what_a_worker_made() {
+fn a_request_has_one_answer_and_it_is_a_workers_result() {
     let mut trace = Trace::default();
     trace.asked(1, "a", "quote", None).answered("a", 503, "").answered("a", 503, "");
-    assert_eq!(trace.broken(), ["answers"]);
+    assert_eq!(trace.broken_rules(), ["answers"]);
     let mut trace = Trace::default();
     trace.asked(1, "a", "quote", None).came(0, 1, "a", None).ended(0, 1, Ending::Done, "r");
     trace.answered("a", 200, "other");
-    assert_eq!(trace.broken(), ["result"]);
-    // A result that was made for the same key, by another request, is the job's.
+    assert_eq!(trace.broken_rules(), ["result"]);
+    // A result of another request with the same key is valid for the job.
     let mut trace = Trace::default();
     trace.asked(1, "a", "statement", Some("k")).came(0, 1, "a", Some("k")).ended(0, 1, Ending::Done, "r");
     trace.unheard("a", Silence::Left).asked(1, "b", "statement", Some("k")).answered("b", 200, "r");
-    assert_eq!(trace.broken(), Vec::<String>::new());
-    // But two results of one key are two answers.
+    assert_eq!(trace.broken_rules(), Vec::<String>::new());
+    // But two different results for one key violate the rule.
     let mut trace = Trace::default();
     trace.asked(1, "a", "statement", Some("k")).came(0, 1, "a", Some("k")).ended(0, 1, Ending::Done, "r");
     trace.answered("a", 200, "r").asked(1, "b", "statement", Some("k")).came(1, 1, "b", Some("k"));
     trace.ended(1, 1, Ending::Done, "s").answered("b", 200, "s");
-    assert_eq!(trace.broken(), ["answers"]);
+    assert_eq!(trace.broken_rules(), ["answers"]);
 }
 
 #[test]
-fn a_request_without_an_answer_is_the_members_fault_only_while_it_lives() {
+fn a_missing_answer_is_a_violation_only_while_the_member_runs() {
     let mut trace = Trace::default();
     trace.asked(1, "a", "quote", None).wait(850).unheard("a", Silence::Waited);
-    assert_eq!(trace.broken(), ["unanswered"]);
+    assert_eq!(trace.broken_rules(), ["unanswered"]);
     let mut trace = Trace::default();
     trace.asked(1, "a", "quote", None).unheard("a", Silence::Broken);
-    assert_eq!(trace.broken(), ["dropped"]);
+    assert_eq!(trace.broken_rules(), ["dropped"]);
     let mut trace = Trace::default();
     trace.asked(1, "a", "quote", None).note(What::Killed { member: 0 }).unheard("a", Silence::Broken);
-    assert_eq!(trace.broken(), Vec::<String>::new());
-    assert_eq!((trace.judge().figures.hurt, trace.judge().figures.lost), (1, 1));
+    assert_eq!(trace.broken_rules(), Vec::<String>::new());
+    assert_eq!((trace.verdict().figures.hurt, trace.verdict().figures.lost), (1, 1));
     let mut trace = Trace::default();
     trace.note(What::Stopped { member: 0 }).asked(1, "a", "quote", None).wait(850);
     trace.unheard("a", Silence::Waited).note(What::Continued { member: 0 });
-    assert_eq!(trace.broken(), Vec::<String>::new());
+    assert_eq!(trace.broken_rules(), Vec::<String>::new());
 }
 
 #[test]
-fn two_attempts_are_never_out_unless_the_first_was_given_up_or_turned_away() {
+fn a_job_has_one_attempt_at_a_time_unless_the_first_was_abandoned_or_rejected() {
     let begin = |trace: &mut Trace| {
         trace.asked(1, "a", "quote", None).came(0, 1, "a", None);
     };
     let mut trace = Trace::default();
     begin(&mut trace);
     trace.came(1, 1, "a", None);
-    assert_eq!(trace.broken(), ["second_attempt"]);
+    assert_eq!(trace.broken_rules(), ["second_attempt"]);
     let mut trace = Trace::default();
     begin(&mut trace);
     trace.note(What::Waived { worker: 0, call: "a".into(), member: 0 }).came(1, 1, "a", None);
-    assert_eq!(trace.broken(), Vec::<String>::new());
+    assert_eq!(trace.broken_rules(), Vec::<String>::new());
     let mut trace = Trace::default();
     begin(&mut trace);
     trace.ended(0, 1, Ending::TurnedAway, "").came(1, 1, "a", None);
-    assert_eq!(trace.broken(), Vec::<String>::new());
-    // A connection that was reset before the worker's word came through ended its attempt; later ones not.
+    assert_eq!(trace.broken_rules(), Vec::<String>::new());
+    // A connection reset ends the attempt if it comes before the worker's message is received, but not later.
     for (wait, broken) in [(10, 0), (90, 1)] {
         let mut trace = Trace::default();
         begin(&mut trace);
         trace.wait(wait).note(What::Reset { member: 0, worker: 0 }).came(1, 1, "a", None);
-        assert_eq!(trace.broken().len(), broken, "{wait}");
+        assert_eq!(trace.broken_rules().len(), broken, "{wait}");
     }
-    // Two requests of one key, at two members, are two attempts at one job.
+    // Two requests with one key at two members are two attempts at the same job.
     let mut trace = Trace::default();
     trace.asked(1, "a", "statement", Some("k")).came(0, 1, "a", Some("k"));
     trace.asked(1, "b", "statement", Some("k")).came(1, 1, "b", Some("k"));
-    assert_eq!(trace.broken(), ["second_by_key"]);
+    assert_eq!(trace.broken_rules(), ["second_by_key"]);
 }
 
 #[test]
-fn what_must_not_run_twice_does_not() {
+fn a_job_that_is_not_repeatable_runs_at_most_once() {
     for (class, broken) in [("order", vec!["runs"]), ("statement", vec!["runs"]), ("quote", vec![])] {
         let mut trace = Trace::default();
         trace.asked(1, "a", class, None).came(0, 1, "a", None).began(0, 1);
         trace.ended(0, 1, Ending::GivenUp, "").came(1, 1, "a", None).began(1, 1);
-        assert_eq!(trace.broken(), broken, "{class}");
-        assert_eq!(trace.judge().figures.ran_twice.get(class), Some(&1));
-        assert_eq!(trace.judge().figures.ran_in_vain, 1);
+        assert_eq!(trace.broken_rules(), broken, "{class}");
+        assert_eq!(trace.verdict().figures.ran_twice.get(class), Some(&1));
+        assert_eq!(trace.verdict().figures.ran_in_vain, 1);
     }
 }
 
 #[test]
-fn nothing_goes_to_a_worker_long_after_the_word_that_it_drains() {
+fn no_attempt_goes_to_a_worker_long_after_its_drain_was_announced() {
     for (wait, state, broken) in [(700, "draining", 0), (900, "draining", 1), (900, "up", 0)] {
         let mut trace = Trace::default();
         trace.note(What::Told { member: 0, worker: 0, state: state.into() }).wait(wait);
         trace.asked(1, "a", "quote", None).came(0, 1, "a", None);
-        assert_eq!(trace.broken().len(), broken, "{wait} {state}");
-        // Another worker's drain is not this one's.
+        assert_eq!(trace.broken_rules().len(), broken, "{wait} {state}");
+        // The drain of another worker has no effect on this one.
         let mut trace = Trace::default();
         trace.note(What::Told { member: 0, worker: 1, state: state.into() }).wait(wait);
         trace.asked(1, "a", "quote", None).came(0, 1, "a", None);
-        assert_eq!(trace.broken(), Vec::<String>::new());
+        assert_eq!(trace.broken_rules(), Vec::<String>::new());
     }
 }
 
-/// Who begins a watch anew is told everything again: the time of a drain runs from when it was told first.
+/// A new watch repeats the state of all workers. The time of a drain counts from its first announcement.
 #[test]
-fn a_drain_that_is_told_again_counts_from_the_first_time() {
+fn a_repeated_drain_counts_from_its_first_announcement() {
     let told = |state: &str| What::Told { member: 0, worker: 0, state: state.into() };
     let mut trace = Trace::default();
     trace.note(told("draining")).wait(500).note(told("draining")).wait(400);
     trace.asked(1, "a", "quote", None).came(0, 1, "a", None);
-    assert_eq!(trace.broken(), ["drain"]);
+    assert_eq!(trace.broken_rules(), ["drain"]);
 }
 
-/// What is written to a member that is cut off is not heard, and told again when it calls.
+/// A member in a partition does not receive what is sent to it, and is sent it again with its next call.
 #[test]
-fn what_a_member_was_told_while_it_was_cut_off_counts_when_it_is_told_again() {
+fn a_state_sent_during_a_partition_counts_from_its_repetition() {
     for (state, broken) in [("up", vec![]), ("removed", vec!["drain"])] {
         let told = |state: &str| What::Told { member: 0, worker: 0, state: state.into() };
         let reachable = |reachable| What::Reachable { member: Some(0), reachable };
@@ -203,31 +203,31 @@
         trace.note(reachable(true)).note(told(state)).wait(1200);
         trace.asked(1, "a", "quote", None);
         trace.note(What::Sent { worker: 0, member: 0, call: "a".into(), budget: None });
-        assert_eq!(trace.broken(), broken, "{state}");
+        assert_eq!(trace.broken_rules(), broken, "{state}");
     }
 }
 
 #[test]
-fn one_owner_acts_and_an_old_one_never_after_a_new_one() {
-    // Worker 0 knows fences, worker 1 knows none.
+fn an_old_owner_never_acts_after_a_new_one() {
+    // Worker 0 checks fencing tokens, worker 1 does not.
     let mut trace = Trace::default();
     trace.acted(0, 0, 1, true).wait(40).acted(1, 1, 2, true).acted(0, 1, 2, true);
-    assert_eq!(trace.broken(), Vec::<String>::new());
-    let f = trace.judge().figures;
+    assert_eq!(trace.broken_rules(), Vec::<String>::new());
+    let f = trace.verdict().figures;
     assert_eq!((f.acts, f.ownerless_longest_ms), (3, 41));
     trace.acted(0, 0, 1, false);
-    assert_eq!((trace.broken().len(), trace.judge().figures.stale_refused), (0, 1));
-    // The old owner gets through at one that knows no fences.
+    assert_eq!((trace.broken_rules().len(), trace.verdict().figures.stale_refused), (0, 1));
+    // A worker that does not check fencing tokens accepts the old owner.
     trace.acted(1, 0, 1, true);
-    assert_eq!(trace.broken(), ["owners"]);
-    // One token at two members.
+    assert_eq!(trace.broken_rules(), ["owners"]);
+    // Two members with the same token.
     let mut trace = Trace::default();
     trace.acted(0, 0, 1, true).acted(1, 1, 1, true);
-    assert_eq!(trace.broken(), ["owners"]);
+    assert_eq!(trace.broken_rules(), ["owners"]);
 }
 
 #[test]
-fn what_a_scenario_only_counts_fails_nothing() {
+fn a_counted_rule_is_no_violation() {
     let mut trace = Trace::default();
     trace.asked(1, "a", "quote", None).unheard("a", Silence::Broken);
     let text = SCENARIO.replacen('{', r#"{"counted": ["dropped"], "#, 1);
