--- a/lab/src/scale/distribution.rs
+++ b/lab/src/scale/distribution.rs
@@ -59,13 +59,13 @@
 fn changes(options: &Options, span: Duration) -> Vec<Duration> {
     let mut rng = fastrand::Rng::with_seed(options.seed ^ 0xd157);
     let mean = target::CHANGES_PER_DAY / target::SECONDS_PER_DAY;
-    let ends = span.saturating_sub(QUIET_END);
+    let changes_end = span.saturating_sub(QUIET_END);
     let mut at = |span: Duration| Duration::from_micros(rng.u64(0..span.as_micros() as u64));
     let in_burst = (mean * target::BURST_FACTOR * BURST_SPAN.as_secs_f64()) as usize;
-    let rest = (mean * ends.as_secs_f64()) as usize;
-    let burst_begins = ends / 2;
-    let mut changes: Vec<Duration> = (0..in_burst).map(|_| burst_begins + at(BURST_SPAN)).collect();
-    changes.extend((0..rest).map(|_| at(ends)));
+    let rest = (mean * changes_end.as_secs_f64()) as usize;
+    let burst_start = changes_end / 2;
+    let mut changes: Vec<Duration> = (0..in_burst).map(|_| burst_start + at(BURST_SPAN)).collect();
+    changes.extend((0..rest).map(|_| at(changes_end)));
     changes.sort_unstable();
     changes
 }
--- a/lab/src/scale/distribution/world.rs
+++ b/lab/src/scale/distribution/world.rs
@@ -111,7 +111,7 @@
     relay: Relay,
     relay_token: Option<Token>,
     was_relay: bool,
-    is_dead: bool,
+    has_failed: bool,
     started_at: Time,
     /// It started without a list, so its start-up times are measured.
     started_empty: bool,
@@ -120,7 +120,7 @@
     /// Sequence of the last change that was counted as in force.
     applied_sequence: u64,
     wake_at: Option<Time>,
-    served: u64,
+    served_bytes: u64,
     bytes_at_minute_start: u64,
     worst_minute: u64,
 }
@@ -129,12 +129,12 @@
 enum Event {
     Deliver { from: u16, to: u16, bytes: Vec<u8> },
     Wake(u16),
-    AskDiscovery,
+    CallDiscovery,
     DiscoveryResponds { requested_at: Time },
     Start(u16),
     RelayFails,
-    RelayReplaced,
-    Minute,
+    ReplaceRelay,
+    MinuteEnds,
 }
 
 /// The source's node number; dispatchers are numbered from 1.
@@ -146,7 +146,7 @@
     publisher: Publisher,
     source_token: Token,
     source_bytes: u64,
-    source_minute: u64,
+    source_bytes_at_minute_start: u64,
     discovery_calls: u64,
     /// Number of changes that the source has published.
     published: usize,
@@ -154,8 +154,8 @@
     relays: Vec<u16>,
     next_token: Token,
     queue: BinaryHeap<Reverse<(Time, u64, Event)>>,
-    count: u64,
-    random: fastrand::Rng,
+    last_id: u64,
+    rng: fastrand::Rng,
     timing: Timing,
     outcome: Outcome,
 }
@@ -219,15 +219,15 @@
             publisher,
             source_token: 1,
             source_bytes: 0,
-            source_minute: 0,
+            source_bytes_at_minute_start: 0,
             discovery_calls: 0,
             published: 0,
             nodes: Vec::new(),
             relays: Vec::new(),
             next_token: 1,
             queue: BinaryHeap::new(),
-            count: 0,
-            random: fastrand::Rng::with_seed(plan.seed),
+            last_id: 0,
+            rng: fastrand::Rng::with_seed(plan.seed),
             timing,
             outcome: Outcome::default(),
         };
@@ -241,12 +241,12 @@
         for number in 1..=dispatchers + u16::from(self.plan.start == Start::Newcomer) {
             let zone = (number - 1) % zones;
             let is_newcomer = number > dispatchers;
-            let starts_at = match self.plan.start {
+            let start_time = match self.plan.start {
                 Start::Settled => Time::ZERO,
                 Start::Newcomer if is_newcomer => NEWCOMER_START,
                 Start::Newcomer => Time::ZERO,
                 Start::All(span) => Duration::from_micros(
-                    self.random.u64(0..=u64::try_from(span.as_micros()).unwrap_or(u64::MAX)),
+                    self.rng.u64(0..=u64::try_from(span.as_micros()).unwrap_or(u64::MAX)),
                 ),
             };
             if usize::from(zone) == self.relays.len() {
@@ -258,24 +258,24 @@
                 relay: Relay::new(RELAY_BYTES_PER_SECOND, Versions::default(), &self.timing, self.now),
                 relay_token: None,
                 was_relay: false,
-                is_dead: false,
-                started_at: starts_at,
+                has_failed: false,
+                started_at: start_time,
                 started_empty: is_newcomer || matches!(self.plan.start, Start::All(_)),
                 has_essential: false,
                 has_complete: false,
                 applied_sequence: self.sequence(),
                 wake_at: None,
-                served: 0,
+                served_bytes: 0,
                 bytes_at_minute_start: 0,
                 worst_minute: 0,
             });
-            self.push(starts_at, Event::Start(number));
+            self.push(start_time, Event::Start(number));
         }
         for relay in self.relays.clone() {
             self.grant_relay_lease(relay);
         }
-        self.push(self.now, Event::AskDiscovery);
-        self.push(MINUTE, Event::Minute);
+        self.push(self.now, Event::CallDiscovery);
+        self.push(MINUTE, Event::MinuteEnds);
         if let Some(at) = self.plan.relay_fails_at {
             self.push(at, Event::RelayFails);
         }
@@ -298,25 +298,25 @@
     }
 
     fn push(&mut self, at: Time, event: Event) {
-        self.count += 1;
-        self.queue.push(Reverse((at, self.count, event)));
+        self.last_id += 1;
+        self.queue.push(Reverse((at, self.last_id, event)));
     }
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Deliver { from, to: SOURCE, bytes } => self.ask_source(from, &bytes),
+            Event::Deliver { from, to: SOURCE, bytes } => self.serve_at_source(from, &bytes),
             Event::Deliver { from, to, bytes } => self.deliver(from, to, &bytes),
             Event::Wake(number) => self.wake(number),
-            Event::AskDiscovery => self.ask_discovery(),
+            Event::CallDiscovery => self.call_discovery(),
             Event::DiscoveryResponds { requested_at } => self.publish(requested_at),
             Event::Start(number) => self.start_dispatcher(number),
             Event::RelayFails => {
                 let relay = self.relays[0];
-                self.node(relay).is_dead = true;
-                self.push(self.now + TAKEOVER_TIME, Event::RelayReplaced);
+                self.node(relay).has_failed = true;
+                self.push(self.now + TAKEOVER_TIME, Event::ReplaceRelay);
             }
-            Event::RelayReplaced => self.replace_relay(),
-            Event::Minute => self.end_minute(),
+            Event::ReplaceRelay => self.replace_relay(),
+            Event::MinuteEnds => self.end_minute(),
         }
     }
 
@@ -329,7 +329,7 @@
             timing: self.timing.clone(),
             limits: Limits::default(),
             versions: Versions::default(),
-            seed: self.random.u64(..),
+            seed: self.rng.u64(..),
         };
         let stored = (!self.node(number).started_empty).then(|| self.publisher.replica().clone());
         let subscriber = Subscriber::new(config, stored, self.now);
@@ -368,7 +368,7 @@
         let zone = self.node(old).zone;
         let next = (1..=self.nodes.len() as u16).find(|number| {
             let node = &self.nodes[usize::from(*number) - 1];
-            node.zone == zone && !node.is_dead && node.subscriber.is_some()
+            node.zone == zone && !node.has_failed && node.subscriber.is_some()
         });
         let Some(next) = next else { return };
         self.relays[0] = next;
@@ -400,7 +400,7 @@
     fn poll_subscriber(&mut self, number: u16) {
         let now = self.now;
         let node = self.node(number);
-        if node.is_dead {
+        if node.has_failed {
             return;
         }
         let Some(subscriber) = &mut node.subscriber else { return };
@@ -411,11 +411,11 @@
     }
 
     fn send(&mut self, from: u16, to: u16, bytes: Vec<u8>) {
-        if self.random.u32(..1000) < self.plan.lost_per_mille {
+        if self.rng.u32(..1000) < self.plan.lost_per_mille {
             return;
         }
         let span = self.latency_range(from, to);
-        let latency = Duration::from_micros(self.random.u64(span.0..=span.1));
+        let latency = Duration::from_micros(self.rng.u64(span.0..=span.1));
         self.push(self.now + latency, Event::Deliver { from, to, bytes });
     }
 
@@ -435,21 +435,21 @@
         u64::from(self.timing.message_overhead)
     }
 
-    fn ask_source(&mut self, from: u16, bytes: &[u8]) {
+    fn serve_at_source(&mut self, from: u16, bytes: &[u8]) {
         let request_bytes = bytes.len() as u64 + self.overhead();
         self.source_bytes += request_bytes;
-        if let Some(answer) = self.publisher.serve(self.now, Some(self.source_token), bytes) {
-            self.source_bytes += answer.len() as u64 + self.overhead();
-            self.send(SOURCE, from, answer);
+        if let Some(response) = self.publisher.serve(self.now, Some(self.source_token), bytes) {
+            self.source_bytes += response.len() as u64 + self.overhead();
+            self.send(SOURCE, from, response);
         }
     }
 
     fn deliver(&mut self, from: u16, to: u16, bytes: &[u8]) {
         let (now, overhead) = (self.now, self.overhead());
         let node = self.node(to);
-        let (false, Some(subscriber)) = (node.is_dead, &mut node.subscriber) else { return };
-        let is_answer = bytes.get(1).is_some_and(|kind| *kind >= 128);
-        if is_answer {
+        let (false, Some(subscriber)) = (node.has_failed, &mut node.subscriber) else { return };
+        let is_response = bytes.get(1).is_some_and(|kind| *kind >= 128);
+        if is_response {
             // The subscriber counts rejected messages itself.
             let _ = subscriber.receive(now, PeerId(from), bytes);
             self.record_progress(to);
@@ -457,11 +457,11 @@
             return;
         }
         let copy = (subscriber.replica(), subscriber.log_age(now));
-        let answer = node.relay.serve(now, node.relay_token, copy, bytes);
-        node.served += bytes.len() as u64 + overhead;
-        if let Some(answer) = answer {
-            node.served += answer.len() as u64 + overhead;
-            self.send(to, from, answer);
+        let response = node.relay.serve(now, node.relay_token, copy, bytes);
+        node.served_bytes += bytes.len() as u64 + overhead;
+        if let Some(response) = response {
+            node.served_bytes += response.len() as u64 + overhead;
+            self.send(to, from, response);
         }
     }
 
@@ -496,12 +496,12 @@
         node.applied_sequence = sequence;
     }
 
-    fn ask_discovery(&mut self) {
+    fn call_discovery(&mut self) {
         self.discovery_calls += 1;
         let now = self.now;
-        let lost_per_mille = |world: &mut Self| world.random.u32(..1000) < world.plan.lost_per_mille;
+        let lost_per_mille = |world: &mut Self| world.rng.u32(..1000) < world.plan.lost_per_mille;
         if lost_per_mille(self) || lost_per_mille(self) {
-            self.push(now + SOURCE_TIMEOUT, Event::AskDiscovery);
+            self.push(now + SOURCE_TIMEOUT, Event::CallDiscovery);
             return;
         }
         let next = self.plan.changes.get(self.published).copied().unwrap_or(Time::MAX);
@@ -513,25 +513,25 @@
         while let Some(_at) = self.plan.changes.get(self.published).filter(|at| **at <= self.now) {
             let version = self.published as u64 + 1;
             // Each change sets a worker to draining or back to up.
-            let worker = self.random.u32(..self.plan.size.workers);
+            let worker = self.rng.u32(..self.plan.size.workers);
             let changed = listed(worker, &self.plan.size, version);
             self.publisher.publish_worker(changed).expect("the log has room");
             self.published += 1;
         }
         self.publisher.confirm(requested_at);
-        self.push(self.now, Event::AskDiscovery);
+        self.push(self.now, Event::CallDiscovery);
     }
 
     fn end_minute(&mut self) {
         for node in &mut self.nodes {
-            let bytes = node.served + node.subscriber.as_ref().map_or(0, |s| s.counts().bytes);
+            let bytes = node.served_bytes + node.subscriber.as_ref().map_or(0, |s| s.counts().bytes);
             node.worst_minute = node.worst_minute.max(bytes - node.bytes_at_minute_start);
             node.bytes_at_minute_start = bytes;
         }
-        let in_minute = (self.source_bytes - self.source_minute) as f64 / MINUTE.as_secs_f64();
+        let in_minute = (self.source_bytes - self.source_bytes_at_minute_start) as f64 / MINUTE.as_secs_f64();
         self.outcome.source_worst_minute = self.outcome.source_worst_minute.max(in_minute);
-        self.source_minute = self.source_bytes;
-        self.push(self.now + MINUTE, Event::Minute);
+        self.source_bytes_at_minute_start = self.source_bytes;
+        self.push(self.now + MINUTE, Event::MinuteEnds);
     }
 
     fn end(mut self) -> Outcome {
@@ -539,11 +539,11 @@
         let sequence = self.sequence();
         let mut outcome = std::mem::take(&mut self.outcome);
         let (mut bytes, mut dispatchers) = (0.0, 0.0);
-        for node in self.nodes.iter().filter(|node| !node.is_dead) {
+        for node in self.nodes.iter().filter(|node| !node.has_failed) {
             let Some(subscriber) = &node.subscriber else { continue };
             outcome.missing_changes += sequence - node.applied_sequence;
             outcome.mismatches += subscriber.counts().mismatches;
-            let bytes_per_second = (node.served + subscriber.counts().bytes) as f64 / seconds;
+            let bytes_per_second = (node.served_bytes + subscriber.counts().bytes) as f64 / seconds;
             let worst = node.worst_minute as f64 / MINUTE.as_secs_f64();
             if node.was_relay {
                 outcome.relay_mean = outcome.relay_mean.max(bytes_per_second);
--- a/lab/src/scale/load_gossip.rs
+++ b/lab/src/scale/load_gossip.rs
@@ -106,13 +106,13 @@
 fn aggregation_seconds(dispatchers: u32, seed: u64) -> f64 {
     const ROUNDS: u32 = 3;
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut new_report = |turn: u32| {
+    let mut new_report = |round: u32| {
         let out = (0..MAX_NAMED_WORKERS as usize)
             .map(|_| (worker_tag(rng.u32(0..target::WORKERS as u32)), 1))
             .collect();
         LoadReport {
             purpose: Purpose::Ask,
-            turn: turn as u8 & 15,
+            turn: round as u8 & 15,
             zone: Tag::of("z00"),
             out,
             refused: Vec::new(),
--- a/lab/src/scale/membership.rs
+++ b/lab/src/scale/membership.rs
@@ -27,9 +27,10 @@
 pub fn rows(options: &Options) -> Vec<Row> {
     let sizes: &[u16] = if options.quick { &[5, 8, 12, 16] } else { &[5, 50, 150, 300] };
     // Runs are sequential, since CPU time is measured.
-    let lossless: Vec<Outcome> = sizes.iter().map(|count| Outcome::of(*count, 0, options.seed)).collect();
+    let lossless: Vec<Outcome> =
+        sizes.iter().map(|count| Outcome::measure(*count, 0, options.seed)).collect();
     let lossy: Vec<Outcome> =
-        sizes.iter().map(|count| Outcome::of(*count, LOSS_PERCENT, options.seed)).collect();
+        sizes.iter().map(|count| Outcome::measure(*count, LOSS_PERCENT, options.seed)).collect();
     let points = |outcomes: &[Outcome], value: fn(&Outcome) -> f64| -> Vec<(f64, f64)> {
         outcomes.iter().map(|o| (f64::from(o.members), value(o))).collect()
     };
@@ -133,7 +134,7 @@
     now: Duration,
     members: Vec<Option<Members>>,
     queue: BinaryHeap<Reverse<(Duration, u64, Event)>>,
-    count: u64,
+    last_id: u64,
     loss_percent: u32,
     rng: fastrand::Rng,
     timing: Timing,
@@ -152,7 +153,7 @@
             now: Duration::ZERO,
             members,
             queue: BinaryHeap::new(),
-            count: 0,
+            last_id: 0,
             loss_percent,
             timing,
             messages: 0,
@@ -167,8 +168,8 @@
     }
 
     fn schedule(&mut self, after: Duration, event: Event) {
-        self.count += 1;
-        self.queue.push(Reverse((self.now + after, self.count, event)));
+        self.last_id += 1;
+        self.queue.push(Reverse((self.now + after, self.last_id, event)));
     }
 
     fn run(&mut self, until: Duration) {
@@ -223,7 +224,7 @@
 }
 
 impl Outcome {
-    fn of(count: u16, loss_percent: u32, seed: u64) -> Self {
+    fn measure(count: u16, loss_percent: u32, seed: u64) -> Self {
         let mut cluster = Cluster::new(count, loss_percent, seed);
         cluster.run(SETTLING_TIME);
         let (messages, bytes, false_alarms_before) =
--- a/lab/src/scale/overrides.rs
+++ b/lab/src/scale/overrides.rs
@@ -27,7 +27,8 @@
 
 pub fn rows(options: &Options) -> Vec<Row> {
     let sizes: &[u16] = if options.quick { &[2, 10, 20, 40] } else { &[2, 30, 100, 300] };
-    let runs = |loss| -> Vec<Outcome> { sizes.iter().map(|n| Outcome::of(*n, loss, options.seed)).collect() };
+    let runs =
+        |loss| -> Vec<Outcome> { sizes.iter().map(|n| Outcome::measure(*n, loss, options.seed)).collect() };
     let (lossless, lossy) = (runs(0), runs(LOSS_PERCENT));
     let points = |outcomes: &[Outcome], value: fn(&Outcome) -> f64| -> Vec<(f64, f64)> {
         outcomes.iter().map(|o| (f64::from(o.dispatchers), value(o))).collect()
@@ -89,7 +90,7 @@
     in_flight: InFlight,
     rng: fastrand::Rng,
     loss_percent: u32,
-    count: u64,
+    last_id: u64,
     bytes: u64,
 }
 
@@ -111,19 +112,19 @@
             })
             .collect();
         let (now, in_flight) = (START_TIME, InFlight::new());
-        Self { now, dispatchers, in_flight, rng, loss_percent, count: 0, bytes: 0 }
+        Self { now, dispatchers, in_flight, rng, loss_percent, last_id: 0, bytes: 0 }
     }
 
-    fn send(&mut self, from: usize, out: Vec<Outgoing>) {
-        for (to, bytes) in out {
+    fn send(&mut self, from: usize, messages: Vec<Outgoing>) {
+        for (to, bytes) in messages {
             self.bytes += bytes.len() as u64;
             if self.rng.u32(0..100) < self.loss_percent {
                 continue;
             }
-            self.count += 1;
+            self.last_id += 1;
             let at = self.now + self.rng.u64(1..=MAX_DELAY);
             let to = usize::from(to.port() - FIRST_PORT);
-            self.in_flight.insert((at, self.count), Datagram { from: addr(from), to, bytes });
+            self.in_flight.insert((at, self.last_id), Datagram { from: addr(from), to, bytes });
         }
     }
 
@@ -134,8 +135,8 @@
         for index in 0..size {
             self.deliver(round_start + ROUND_INTERVAL * index as Millis / size as Millis);
             let (gossip, table) = &mut self.dispatchers[index];
-            let out = gossip.tick(table);
-            self.send(index, out);
+            let messages = gossip.tick(table);
+            self.send(index, messages);
         }
         self.deliver(round_start + ROUND_INTERVAL);
     }
@@ -145,8 +146,8 @@
             self.now = entry.key().0;
             let Datagram { from, to, bytes } = entry.remove();
             let (gossip, table) = &mut self.dispatchers[to];
-            let out = gossip.receive(self.now, from, &bytes, table);
-            self.send(to, out);
+            let messages = gossip.receive(self.now, from, &bytes, table);
+            self.send(to, messages);
         }
         self.now = until;
     }
@@ -165,8 +166,8 @@
             why: "a measurement".into(),
         };
         let record = table.set(order, self.now).expect("the order above is valid");
-        let out = gossip.announce(&record);
-        self.send(0, out);
+        let messages = gossip.announce(&record);
+        self.send(0, messages);
     }
 
     fn is_known_to_all(&self) -> bool {
@@ -175,7 +176,7 @@
 }
 
 impl Outcome {
-    fn of(dispatchers: u16, loss_percent: u32, seed: u64) -> Self {
+    fn measure(dispatchers: u16, loss_percent: u32, seed: u64) -> Self {
         let mut tier = Tier::new(dispatchers, loss_percent, seed);
         tier.run_rounds(MIN_CONVERGENCE + Millis::from(dispatchers) * CONVERGENCE_PER_DISPATCHER);
         let before = tier.bytes;
--- a/lab/src/scale/process.rs
+++ b/lab/src/scale/process.rs
@@ -167,17 +167,17 @@
 /// Calls and bytes of a hollow dispatcher in virtual time, as the mean of several.
 fn hollow_counts(configured_dispatchers: u32, options: &Options) -> (f64, f64) {
     let (settling, measured) = spans(options);
-    let until = |span: Duration| span.as_micros() as Time;
+    let micros = |span: Duration| span.as_micros() as Time;
     let changes: Vec<Time> = (1..)
         .map(|n| n * CHANGE_INTERVAL.as_micros() as Time)
-        .take_while(|at| *at < until(settling + measured))
+        .take_while(|at| *at < micros(settling + measured))
         .collect();
     let run = |span| {
         simulate(&Plan {
             configured_dispatchers,
             dispatchers: HOLLOW_DISPATCHERS,
             workers: CHECKED_WORKERS,
-            until: until(span),
+            until: micros(span),
             changes: &changes,
             empty_start_span: None,
             discovery: DiscoveryModel {
--- a/lab/src/scale/watch.rs
+++ b/lab/src/scale/watch.rs
@@ -119,7 +119,7 @@
     watchers: Vec<Watcher>,
     queue: BinaryHeap<Reverse<(Time, u64, u32)>>,
     steps: Vec<Option<Step>>,
-    count: u64,
+    last_id: u64,
     second: u64,
     second_calls: u64,
     second_bytes: u64,
@@ -139,7 +139,7 @@
         watchers: Vec::new(),
         queue: BinaryHeap::new(),
         steps: Vec::new(),
-        count: 0,
+        last_id: 0,
         second: 0,
         second_calls: 0,
         second_bytes: 0,
@@ -182,9 +182,9 @@
     }
 
     fn schedule_step(&mut self, at: Time, dispatcher: u32, step: Step) {
-        self.count += 1;
+        self.last_id += 1;
         self.steps[dispatcher as usize] = Some(step);
-        self.queue.push(Reverse((at, self.count, dispatcher)));
+        self.queue.push(Reverse((at, self.last_id, dispatcher)));
     }
 
     fn step(&mut self, dispatcher: u32) {
--- a/lab/src/scale/work_records.rs
+++ b/lab/src/scale/work_records.rs
@@ -28,7 +28,7 @@
         true => (QUICK_MEMBERS, &[100, 300, 1000, 3000]),
         false => (MEMBERS, &[1000, 5000, 20_000, 65_000]),
     };
-    let outcomes: Vec<Outcome> = sizes.iter().map(|tasks| Outcome::of(members, *tasks)).collect();
+    let outcomes: Vec<Outcome> = sizes.iter().map(|tasks| Outcome::measure(members, *tasks)).collect();
     let points = |value: fn(&Outcome) -> f64| -> Vec<(f64, f64)> {
         outcomes.iter().map(|o| (o.tasks, value(o))).collect()
     };
@@ -160,7 +160,7 @@
 }
 
 impl Outcome {
-    fn of(members: u16, tasks: u32) -> Self {
+    fn measure(members: u16, tasks: u32) -> Self {
         let limits = Limits { records: usize::MAX, bytes: usize::MAX, answer_retention: REMAINING_TIME };
         let mut holders: Vec<ReplicaHolder> = (0..members).map(|_| ReplicaHolder::new(limits)).collect();
         let (mut owned, mut sent) = (0, 0);
@@ -173,7 +173,7 @@
             owned = owned.max(replicas.usage().1);
         }
         let held = holders.iter().map(|holder| holder.usage().1).max().unwrap_or(0);
-        let takeover = Takeover::of(owner(0), &mut holders);
+        let takeover = Takeover::measure(owner(0), &mut holders);
         Self {
             tasks: f64::from(tasks),
             held_bytes: held as f64,
@@ -209,16 +209,16 @@
 
 impl Takeover {
     /// Collects a failed owner's records from all holders under a recovery lease.
-    fn of(dead: Incarnation, holders: &mut [ReplicaHolder]) -> Self {
+    fn measure(failed_owner: Incarnation, holders: &mut [ReplicaHolder]) -> Self {
         const TOKEN: u64 = 2;
         let mut takeover = Self::default();
         let all = (0..holders.len() as u16).map(Member);
         let timer = ThreadTimer::start();
-        let mut orphaned = OrphanedWork::new(dead, TOKEN, all, COPIES);
+        let mut orphaned = OrphanedWork::new(failed_owner, TOKEN, all, COPIES);
         for (member, holder) in holders.iter_mut().enumerate() {
-            holder.accept_recovery_lease(dead, TOKEN);
+            holder.accept_recovery_lease(failed_owner, TOKEN);
             let mut after = None;
-            while let Some(page) = holder.page(dead, TOKEN, after) {
+            while let Some(page) = holder.page(failed_owner, TOKEN, after) {
                 after = page.last().map(|record| record.id);
                 takeover.pages += 1;
                 takeover.bytes += page.iter().map(|record| record.encode().len()).sum::<usize>();
--- a/lab/src/sim/world.rs
+++ b/lab/src/sim/world.rs
@@ -53,7 +53,7 @@
     disk_state: Rc<RefCell<DiskState>>,
     incarnation: u64,
     /// Reference time at which its clock started.
-    began: Time,
+    clock_start: Time,
     /// Rate of its clock against reference time, in parts per million.
     clock_rate_ppm: u64,
     pub(super) stopped: bool,
@@ -103,7 +103,7 @@
     rng: fastrand::Rng,
     pub(super) processes: Vec<Process>,
     queue: BinaryHeap<Reverse<(Time, u64, SimEvent)>>,
-    count: u64,
+    last_id: u64,
     frames_in_flight: BTreeMap<u64, (Member, Member, Frame)>,
     pub(super) partitions: Vec<Partition>,
     /// Frames lost, in thousandths.
@@ -134,7 +134,7 @@
             now: Time::ZERO,
             processes: Vec::new(),
             queue: BinaryHeap::new(),
-            count: 0,
+            last_id: 0,
             frames_in_flight: BTreeMap::new(),
             partitions: Vec::new(),
             loss: [0, 0, 10, 50][rng.usize(0..4)],
@@ -150,12 +150,12 @@
         };
         for _ in 0..size.members {
             let rate = world.rng.u64(990_000..=1_010_000);
-            let (disk_state, began) = (Rc::default(), Time::ZERO);
+            let (disk_state, clock_start) = (Rc::default(), Time::ZERO);
             let process = Process {
                 node: None,
                 disk_state,
                 incarnation: 0,
-                began,
+                clock_start,
                 clock_rate_ppm: rate,
                 stopped: false,
                 generation: 0,
@@ -171,14 +171,14 @@
     }
 
     pub(super) fn schedule(&mut self, after: Duration, event: SimEvent) {
-        self.count += 1;
-        self.queue.push(Reverse((self.now + after, self.count, event)));
+        self.last_id += 1;
+        self.queue.push(Reverse((self.now + after, self.last_id, event)));
     }
 
     /// The current time on a member's own clock.
     pub(super) fn clock(&self, member: u16) -> Time {
         let process = &self.processes[usize::from(member)];
-        let span = self.now.saturating_sub(process.began).as_nanos() as u64;
+        let span = self.now.saturating_sub(process.clock_start).as_nanos() as u64;
         // Never zero: a process reads its clock some time after its start.
         Duration::from_nanos((span as u128 * u128::from(process.clock_rate_ppm) / 1_000_000) as u64 + 1)
     }
@@ -191,7 +191,7 @@
         let process = &mut self.processes[usize::from(member)];
         process.incarnation += 1;
         process.generation += 1;
-        (process.began, process.stopped) = (now, false);
+        (process.clock_start, process.stopped) = (now, false);
         process.inbox.clear();
         process.completed_writes.clear();
         let recovered = is_voter.then(|| {
@@ -379,9 +379,9 @@
             return;
         }
         let delay = Duration::from_micros(self.rng.u64(100..=self.mean_delay.as_micros() as u64 * 2));
-        self.count += 1;
-        self.frames_in_flight.insert(self.count, (from, to, frame));
-        let frame_id = self.count;
+        self.last_id += 1;
+        self.frames_in_flight.insert(self.last_id, (from, to, frame));
+        let frame_id = self.last_id;
         self.schedule(delay, SimEvent::Deliver(frame_id));
     }
 
@@ -471,12 +471,12 @@
 
     fn partition(&mut self, span: Duration) {
         self.report.partitions += 1;
-        self.count += 1;
+        self.last_id += 1;
         let share = self.rng.u32(1..60);
         let group = (0..self.size.members).map(|_| self.rng.u32(0..100) < share).collect();
         let (blocks_outbound, blocks_inbound) =
             [(true, true), (true, false), (false, true)][self.rng.usize(0..3)];
-        let number = self.count;
+        let number = self.last_id;
         self.partitions.push(Partition { number, group, blocks_outbound, blocks_inbound });
         self.schedule(span, SimEvent::Repair(Repair::HealPartition(number)));
     }
