--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -169,14 +169,14 @@
             Ok(cost.broken == 0)
         }
         Command::Idle { members, json } => {
-            let idle: Vec<_> = members.into_iter().map(lineroute_lab::sim::idle).collect();
+            let idle: Vec<_> = members.into_iter().map(lineroute_lab::sim::measure_idle).collect();
             idle.iter().try_for_each(|idle| print(idle, json))?;
             Ok(true)
         }
         Command::Ownership { seed, seeds, json } => {
             let summary = lineroute_lab::sim::sweep(seed, seeds);
             print(&summary, json)?;
-            Ok(summary.broken.is_empty())
+            Ok(summary.violations.is_empty())
         }
         Command::Scale { name, quick, seed, json, out } => lineroute_lab::scale::command::run(
             name.as_deref(),
