--- a/dispatcher/src/admin/calls.rs
+++ b/dispatcher/src/admin/calls.rs
@@ -4,7 +4,7 @@
     ClearOrder, Done, Fault, FlowCounts, ListLine, Overridden, OverrideLine, PeerCounts, PermitCounts,
     SetOrder, WorkerLine, Workers,
 };
-use crate::body::Budgets;
+use crate::body::StreamBudget;
 use crate::facade::Stage;
 use crate::fleet::api::ReplaceOrder;
 use crate::flow::{Flows, PermitStatsReport};
@@ -38,7 +38,7 @@
     pub classes: Vec<String>,
     pub flows: Flows,
     pub targets: HttpTargets,
-    pub budgets: Budgets,
+    pub budgets: StreamBudget,
     pub overrides: Overrides,
     pub peers: Option<peers::Handle>,
     pub store: Option<store::Handle>,
@@ -142,7 +142,7 @@
 
     fn listed(&self) -> Overridden {
         let now = now();
-        let lines = self.overrides.lines();
+        let lines = self.overrides.entries();
         let overrides = lines.iter().map(|line| OverrideLine::of(line, now)).collect();
         Overridden { dispatcher: self.dispatcher.clone(), overrides }
     }
@@ -200,7 +200,7 @@
             Some(pin) => {
                 let (class, tenant) = self
                     .overrides
-                    .flows_of(&pin)
+                    .parse_pin(&pin)
                     .map_err(|words| fault(StatusCode::BAD_REQUEST, Some("pin"), format!("pin: {words}")))?;
                 Scope::Pinned { class: class.into(), tenant: tenant.map(Into::into) }
             }
@@ -211,7 +211,7 @@
         let order = OverrideRequest { slot, weight, until: until_ms, by, why };
         let record = self.overrides.set(order).map_err(refused)?;
         let saved = self.saved().await;
-        let lines = self.overrides.lines();
+        let lines = self.overrides.entries();
         let set = lines.iter().find(|l| l.record == record).map(|l| OverrideLine::of(l, now()));
         Ok(json(StatusCode::CREATED, &Done { id: record.stamp.to_string(), saved, set }))
     }
@@ -282,7 +282,7 @@
     }
 
     fn is_cordoned(&self, slot: &Slot) -> bool {
-        let lines = self.overrides.lines();
+        let lines = self.overrides.entries();
         lines.iter().any(|line| line.record.slot == *slot && line.record.effect == Effect::Set(None))
     }
 
--- a/dispatcher/src/admin/console.rs
+++ b/dispatcher/src/admin/console.rs
@@ -7,7 +7,7 @@
 
 use super::Calls;
 use crate::accept::AcceptRetry;
-use crate::local_faults::open_patiently;
+use crate::local_faults::open_with_retry;
 use crate::siblings::protocol::{MAX_CALL, PREFIX};
 use crate::siblings::ProcessParts;
 use lineroute_control::admin_console::{parse, Command, Parsed, MAX_LINE};
@@ -32,7 +32,7 @@
 /// The address can't be bound.
 pub async fn bind(at: SocketAddr) -> Result<TcpListener, String> {
     let socket =
-        open_patiently(|| TcpListener::bind(at)).await.map_err(|e| format!("admin_addr: {at}: {e}"))?;
+        open_with_retry(|| TcpListener::bind(at)).await.map_err(|e| format!("admin_addr: {at}: {e}"))?;
     info!(addr = %at, "the admin console listens");
     Ok(socket)
 }
--- a/dispatcher/src/admin/mod.rs
+++ b/dispatcher/src/admin/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::accept::AcceptRetry;
 use crate::config::{Admin, AdminAddr};
-use crate::local_faults::open_patiently;
+use crate::local_faults::open_with_retry;
 use actix_http::{header, HttpMessage, HttpService, KeepAlive, Request, Response, StatusCode};
 use actix_service::{IntoServiceFactory, Service, ServiceFactory};
 use auth::AdminKeys;
@@ -63,7 +63,7 @@
         let fault = |e: std::io::Error| format!("operator's file: admin.listen: {at}: {e}");
         Ok(match at {
             AdminAddr::Tcp(addr) => {
-                Socket::Tcp(open_patiently(|| TcpListener::bind(addr)).await.map_err(fault)?)
+                Socket::Tcp(open_with_retry(|| TcpListener::bind(addr)).await.map_err(fault)?)
             }
             AdminAddr::Unix(path) => {
                 remove_stale(path).await?;
--- a/dispatcher/src/arrival.rs
+++ b/dispatcher/src/arrival.rs
@@ -38,23 +38,23 @@
             // The event loop asks the kernel, and runs whoever has something to read, before it comes back here. However long
             // that takes: what comes meanwhile is not covered.
             tokio::task::yield_now().await;
-            self.has_read_until(began);
+            self.record_read_until(began);
             tokio::time::sleep(LOOK_EVERY).await;
         }
     }
 
     /// What had come by then has been read.
-    fn has_read_until(&self, at: Instant) {
+    fn record_read_until(&self, at: Instant) {
         self.read_until.set(at);
     }
 
     /// The queue of the listening socket was empty then.
-    pub fn queue_is_empty(&self, at: Instant) {
+    pub fn record_queue_empty(&self, at: Instant) {
         self.queue_empty.set(at);
     }
 
     /// The earliest time at which something may have come that is read now, from a socket that was looked at before.
-    pub fn earliest(&self, now: Instant) -> Instant {
+    pub fn earliest_arrival(&self, now: Instant) -> Instant {
         let read_until = self.read_until.get();
         let held_up = now.saturating_duration_since(read_until) > LOOK_EVERY + LATE_LOOK;
         if held_up {
@@ -65,8 +65,8 @@
     }
 
     /// The same for what comes with a connection that stood in the queue.
-    pub fn earliest_in_queue(&self, now: Instant) -> Instant {
-        self.earliest(now).min(self.queue_empty.get())
+    pub fn earliest_queued_arrival(&self, now: Instant) -> Instant {
+        self.earliest_arrival(now).min(self.queue_empty.get())
     }
 }
 
@@ -83,8 +83,8 @@
         let start = Instant::now();
         let clock = ArrivalClock::new(start);
         for ms in (10..1000).step_by(10) {
-            clock.has_read_until(after(start, ms));
-            assert_eq!(clock.earliest(after(start, ms + 9)), after(start, ms + 9));
+            clock.record_read_until(after(start, ms));
+            assert_eq!(clock.earliest_arrival(after(start, ms + 9)), after(start, ms + 9));
         }
     }
 
@@ -92,15 +92,15 @@
     fn what_is_read_behind_a_hold_up_may_have_come_at_its_start() {
         let start = Instant::now();
         let clock = ArrivalClock::new(start);
-        clock.has_read_until(after(start, 100));
-        assert_eq!(clock.earliest(after(start, 2000)), after(start, 100));
+        clock.record_read_until(after(start, 100));
+        assert_eq!(clock.earliest_arrival(after(start, 2000)), after(start, 100));
         // Held up again before the first backlog was read: its start counts until all of that has been.
-        assert_eq!(clock.earliest(after(start, 2400)), after(start, 100));
+        assert_eq!(clock.earliest_arrival(after(start, 2400)), after(start, 100));
         // What came before the look at 2000 is read; the process was held up in the meantime.
-        clock.has_read_until(after(start, 2000));
-        assert_eq!(clock.earliest(after(start, 2410)), after(start, 2000));
-        clock.has_read_until(after(start, 2405));
-        assert_eq!(clock.earliest(after(start, 2415)), after(start, 2415));
+        clock.record_read_until(after(start, 2000));
+        assert_eq!(clock.earliest_arrival(after(start, 2410)), after(start, 2000));
+        clock.record_read_until(after(start, 2405));
+        assert_eq!(clock.earliest_arrival(after(start, 2415)), after(start, 2415));
     }
 
     /// A busy machine gives the process no processor for a moment: what came in it must not be promised its time anew.
@@ -108,18 +108,18 @@
     fn a_hold_up_as_short_as_the_margin_of_answers_is_noticed() {
         let start = Instant::now();
         let clock = ArrivalClock::new(start);
-        clock.has_read_until(after(start, 10));
-        assert_eq!(clock.earliest(after(start, 35)), after(start, 10));
+        clock.record_read_until(after(start, 10));
+        assert_eq!(clock.earliest_arrival(after(start, 35)), after(start, 10));
     }
 
     #[test]
     fn what_stood_in_the_queue_may_have_come_when_that_was_empty() {
         let start = Instant::now();
         let clock = ArrivalClock::new(start);
-        clock.has_read_until(after(start, 10));
-        clock.queue_is_empty(after(start, 12));
-        clock.has_read_until(after(start, 20));
-        assert_eq!(clock.earliest_in_queue(after(start, 25)), after(start, 12));
-        assert_eq!(clock.earliest(after(start, 25)), after(start, 25));
+        clock.record_read_until(after(start, 10));
+        clock.record_queue_empty(after(start, 12));
+        clock.record_read_until(after(start, 20));
+        assert_eq!(clock.earliest_queued_arrival(after(start, 25)), after(start, 12));
+        assert_eq!(clock.earliest_arrival(after(start, 25)), after(start, 25));
     }
 }
--- a/dispatcher/src/beanstalkd.rs
+++ b/dispatcher/src/beanstalkd.rs
@@ -8,17 +8,17 @@
 use tokio::io::{AsyncBufRead, AsyncBufReadExt, AsyncReadExt};
 
 /// A command line's length with its end, as beanstalkd has it.
-pub const MAX_LINE: usize = 224;
+pub const MAX_LINE_BYTES: usize = 224;
 /// A body's length, as beanstalkd has it by default.
-pub const MAX_JOB: usize = 65_535;
-const MAX_NAME: usize = 200;
+pub const MAX_JOB_BYTES: usize = 65_535;
+const MAX_NAME_BYTES: usize = 200;
 
 /// What was read where a line should stand.
 #[derive(Debug, PartialEq)]
 pub enum Line {
     Text(String),
     /// Too long, or not text. It was passed over up to its end.
-    Bad,
+    Invalid,
     /// The connection has ended.
     End,
 }
@@ -33,7 +33,7 @@
         }
         let end = chunk.iter().position(|&b| b == b'\n');
         let used = end.map_or(chunk.len(), |at| at + 1);
-        if line.len() + used > MAX_LINE {
+        if line.len() + used > MAX_LINE_BYTES {
             // Only its last byte matters still: a carriage return may stand before the line feed to come.
             bad = true;
             let last = if used > 1 { chunk[used - 2] } else { line.last().copied().unwrap_or(0) };
@@ -46,7 +46,7 @@
             line.truncate(line.len() - 2);
             return Ok(match String::from_utf8(line) {
                 Ok(text) if !bad => Line::Text(text),
-                _ => Line::Bad,
+                _ => Line::Invalid,
             });
         }
     }
@@ -76,14 +76,14 @@
 }
 
 /// Whether this may name a tube.
-pub fn is_name(name: &str) -> bool {
+pub fn is_valid_name(name: &str) -> bool {
     let plain = |b: u8| b.is_ascii_alphanumeric() || b"-+/;.$_()".contains(&b);
-    !name.is_empty() && name.len() <= MAX_NAME && !name.starts_with('-') && name.bytes().all(plain)
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES && !name.starts_with('-') && name.bytes().all(plain)
 }
 
 /// An answer as a job: the first line says which job, what became of it, and after how many seconds trying
 /// again makes sense; the result follows.
-pub fn write_answer(id: u64, answer: &Answer) -> Bytes {
+pub fn encode_answer(id: u64, answer: &Answer) -> Bytes {
     let (word, after, result) = match answer {
         Answer::Served(result) => ("served", Duration::ZERO, &result[..]),
         Answer::Refused(after) => ("refused", *after, &b""[..]),
@@ -96,7 +96,7 @@
 }
 
 /// What a worker's answer says: the job's id, the word for what became of it, and the result.
-pub fn read_answer(body: &Bytes) -> Option<(u64, &str, Bytes)> {
+pub fn decode_answer(body: &Bytes) -> Option<(u64, &str, Bytes)> {
     let end = body.iter().position(|&b| b == b'\n').unwrap_or(body.len());
     let line = std::str::from_utf8(&body[..end]).ok()?;
     let mut words = line.split(' ');
@@ -110,7 +110,7 @@
 
     #[test]
     fn lines_end_with_both_characters_and_stay_bounded() {
-        let long = "x".repeat(MAX_LINE * 3);
+        let long = "x".repeat(MAX_LINE_BYTES * 3);
         let text = format!("stats\r\nnot\nyet\r\n{long}\r\nquit\r\npart");
         let mut input = text.as_bytes();
         let runtime = actix_rt::System::new();
@@ -118,7 +118,7 @@
             let mut next = || futures_util::FutureExt::now_or_never(read_line(&mut input));
             assert_eq!(next().unwrap().unwrap(), Line::Text("stats".into()));
             assert_eq!(next().unwrap().unwrap(), Line::Text("not\nyet".into()));
-            assert_eq!(next().unwrap().unwrap(), Line::Bad);
+            assert_eq!(next().unwrap().unwrap(), Line::Invalid);
             assert_eq!(next().unwrap().unwrap(), Line::Text("quit".into()));
             assert_eq!(next().unwrap().unwrap(), Line::End);
         });
@@ -126,11 +126,11 @@
 
     #[test]
     fn an_answer_is_read_as_it_was_written() {
-        let body = write_answer(7, &Answer::Served("two\nlines".into()));
+        let body = encode_answer(7, &Answer::Served("two\nlines".into()));
         assert_eq!(&body[..], b"7 served 0.000\ntwo\nlines");
-        assert_eq!(read_answer(&body), Some((7, "served", "two\nlines".into())));
-        let body = write_answer(8, &Answer::Refused(Duration::from_millis(450)));
-        assert_eq!(read_answer(&body), Some((8, "refused", Bytes::new())));
-        assert_eq!(read_answer(&"no answer".into()), None);
+        assert_eq!(decode_answer(&body), Some((7, "served", "two\nlines".into())));
+        let body = encode_answer(8, &Answer::Refused(Duration::from_millis(450)));
+        assert_eq!(decode_answer(&body), Some((8, "refused", Bytes::new())));
+        assert_eq!(decode_answer(&"no answer".into()), None);
     }
 }
--- a/dispatcher/src/body.rs
+++ b/dispatcher/src/body.rs
@@ -13,11 +13,11 @@
 
 /// The memory that all streams share.
 #[derive(Clone)]
-pub struct Budgets(Rc<RefCell<Budget>>);
+pub struct StreamBudget(Rc<RefCell<Budget>>);
 
-impl Budgets {
+impl StreamBudget {
     pub fn new(total: usize, floor: usize, ceiling: usize) -> Self {
-        Budgets(Rc::new(RefCell::new(Budget::new(total, floor, ceiling))))
+        StreamBudget(Rc::new(RefCell::new(Budget::new(total, floor, ceiling))))
     }
 
     /// A stream; `None` if there is no room for one more.
@@ -47,10 +47,10 @@
 
 /// How a stream came to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
-    Whole,
+pub enum StreamEnd {
+    Complete,
     /// In the middle: what has come is not all.
-    Broken,
+    Truncated,
 }
 
 struct State {
@@ -59,14 +59,14 @@
     queue: VecDeque<Bytes>,
     /// Bytes that were read and are held all the same, to be sent again.
     kept: usize,
-    end: Option<Ended>,
+    end: Option<StreamEnd>,
     reader_gone: bool,
     reader: Option<Waker>,
     writer: Option<Waker>,
 }
 
 struct Stream {
-    budget: Budgets,
+    budget: StreamBudget,
     state: RefCell<State>,
 }
 
@@ -126,7 +126,7 @@
     }
 
     /// Says the end.
-    pub fn end(&self, ended: Ended) {
+    pub fn end(&self, ended: StreamEnd) {
         let state = &mut *self.0.state.borrow_mut();
         if state.end.is_none() {
             state.end = Some(ended);
@@ -150,7 +150,7 @@
 
 impl Drop for Writer {
     fn drop(&mut self) {
-        self.end(Ended::Broken);
+        self.end(StreamEnd::Truncated);
     }
 }
 
@@ -159,7 +159,7 @@
 
 impl Reader {
     /// The next bytes, or the end.
-    pub fn poll_next(&self, cx: &mut Context<'_>) -> Poll<Result<Bytes, Ended>> {
+    pub fn poll_next(&self, cx: &mut Context<'_>) -> Poll<Result<Bytes, StreamEnd>> {
         let state = &mut *self.0.state.borrow_mut();
         if let Some(bytes) = state.queue.pop_front() {
             self.0.account(state);
@@ -184,7 +184,7 @@
     }
 
     /// Whether what is kept leaves the writer no room.
-    fn is_cramped(&self) -> bool {
+    fn replay_blocks_writer(&self) -> bool {
         let state = self.0.state.borrow();
         let room = state.share.as_ref().map_or(0, |share| self.0.budget.0.borrow().available(share));
         room == 0 && state.queue.is_empty() && state.kept > 0
@@ -259,25 +259,25 @@
 
 impl Attempt {
     /// The next bytes, or the end.
-    pub async fn next(&mut self) -> Result<Bytes, Ended> {
+    pub async fn next(&mut self) -> Result<Bytes, StreamEnd> {
         std::future::poll_fn(|cx| self.poll_next(cx)).await
     }
 
-    fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Result<Bytes, Ended>> {
+    fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Result<Bytes, StreamEnd>> {
         let source = &mut *self.upload.0.borrow_mut();
         if source.attempt != self.number {
-            return Poll::Ready(Err(Ended::Broken));
+            return Poll::Ready(Err(StreamEnd::Truncated));
         }
         if let Some(bytes) = source.replay.next_chunk(&mut self.at) {
             return Poll::Ready(Ok(bytes));
         }
         // Guards against a wait for ever: what is held to be sent again must not keep the rest out.
-        if source.reader.is_cramped() {
+        if source.reader.replay_blocks_writer() {
             source.replay.discard();
             source.reader.keep(0);
         }
         let next = source.reader.poll_next(cx);
-        source.broken |= matches!(next, Poll::Ready(Err(Ended::Broken)));
+        source.broken |= matches!(next, Poll::Ready(Err(StreamEnd::Truncated)));
         if let Poll::Ready(Ok(bytes)) = &next {
             source.replay.push(bytes);
             source.reader.keep(source.replay.held());
@@ -291,7 +291,7 @@
 /// What a flow brings: a whole body, or one that comes.
 #[derive(Clone, Debug)]
 pub enum Body {
-    Whole(Bytes),
+    Buffered(Bytes),
     Stream(Upload),
 }
 
@@ -299,7 +299,7 @@
     /// The whole body; of a stream nothing.
     pub fn whole(&self) -> Bytes {
         match self {
-            Body::Whole(bytes) => bytes.clone(),
+            Body::Buffered(bytes) => bytes.clone(),
             Body::Stream(_) => Bytes::new(),
         }
     }
@@ -307,7 +307,7 @@
     /// Bytes that the flow itself holds; those of streams are the budget's.
     pub fn len(&self) -> usize {
         match self {
-            Body::Whole(bytes) => bytes.len(),
+            Body::Buffered(bytes) => bytes.len(),
             Body::Stream(_) => 0,
         }
     }
@@ -315,7 +315,7 @@
     /// Whether an attempt could send all of it.
     pub fn can_repeat(&self) -> bool {
         match self {
-            Body::Whole(_) => true,
+            Body::Buffered(_) => true,
             Body::Stream(upload) => upload.can_repeat(),
         }
     }
@@ -338,7 +338,7 @@
 
     #[test]
     fn a_stream_holds_no_more_than_its_part_and_gives_it_back() {
-        let budgets = Budgets::new(1000, 100, 300);
+        let budgets = StreamBudget::new(1000, 100, 300);
         let (writer, reader) = budgets.stream().expect("room");
         assert_eq!(poll(|cx| writer.poll_room(cx)), Some(Some(300)));
         writer.push(bytes(300));
@@ -354,21 +354,21 @@
 
     #[test]
     fn a_writer_that_goes_breaks_the_stream_off() {
-        let budgets = Budgets::new(1000, 100, 300);
+        let budgets = StreamBudget::new(1000, 100, 300);
         let (writer, reader) = budgets.stream().expect("room");
         writer.push(bytes(1));
         drop(writer);
         assert_eq!(poll(|cx| reader.poll_next(cx)), Some(Ok(bytes(1))));
-        assert_eq!(poll(|cx| reader.poll_next(cx)), Some(Err(Ended::Broken)));
+        assert_eq!(poll(|cx| reader.poll_next(cx)), Some(Err(StreamEnd::Truncated)));
         let (writer, reader) = budgets.stream().expect("room");
-        writer.end(Ended::Whole);
+        writer.end(StreamEnd::Complete);
         drop(writer);
-        assert_eq!(poll(|cx| reader.poll_next(cx)), Some(Err(Ended::Whole)));
+        assert_eq!(poll(|cx| reader.poll_next(cx)), Some(Err(StreamEnd::Complete)));
     }
 
     #[test]
     fn an_upload_is_read_again_while_its_beginning_is_held() {
-        let budgets = Budgets::new(10_000, 100, 3000);
+        let budgets = StreamBudget::new(10_000, 100, 3000);
         let (writer, reader) = budgets.stream().expect("room");
         let upload = Upload::new(reader, 250);
         writer.push(bytes(100));
@@ -379,7 +379,7 @@
         assert_eq!((budgets.held().0, poll(|cx| first.poll_next(cx))), (201, None));
         // The second starts over, and the first has nothing more to read.
         let mut second = upload.attempt().expect("whole");
-        assert_eq!(poll(|cx| first.poll_next(cx)), Some(Err(Ended::Broken)));
+        assert_eq!(poll(|cx| first.poll_next(cx)), Some(Err(StreamEnd::Truncated)));
         for size in [100, 101] {
             assert_eq!(poll(|cx| second.poll_next(cx)), Some(Ok(bytes(size))));
         }
@@ -392,7 +392,7 @@
     /// What is kept must not stop what is to come.
     #[test]
     fn what_is_held_to_be_sent_again_gives_way_when_there_is_no_room() {
-        let budgets = Budgets::new(400, 100, 150);
+        let budgets = StreamBudget::new(400, 100, 150);
         let (writer, reader) = budgets.stream().expect("room");
         let upload = Upload::new(reader, 1000);
         let mut attempt = upload.attempt().expect("whole");
--- a/dispatcher/src/cli/mod.rs
+++ b/dispatcher/src/cli/mod.rs
@@ -13,7 +13,7 @@
 mod workers;
 
 use crate::config::Sources;
-use crate::log::{Form, Threshold};
+use crate::log::{Format, LogLevel};
 use clap::{CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
 use std::process::ExitCode;
@@ -72,10 +72,10 @@
     pub sources: SourceArgs,
     /// The form of the log, which goes to standard error
     #[arg(long, value_name = "FORM", value_enum, default_value_t)]
-    pub log_format: Form,
+    pub log_format: Format,
     /// What is logged at least
     #[arg(long, value_name = "LEVEL", value_enum, default_value_t)]
-    pub log: Threshold,
+    pub log: LogLevel,
 }
 
 #[derive(Debug, Subcommand)]
--- a/dispatcher/src/config/fleet.rs
+++ b/dispatcher/src/config/fleet.rs
@@ -3,7 +3,7 @@
 use super::checked::{Fleet, TestClock};
 use super::faults::Faults;
 use super::operator::RawFleet;
-use super::{is_name, read_text};
+use super::{is_valid_name, read_text};
 use lineroute_control::peers::KeyRing;
 use lineroute_fleet::timing::Timing;
 use lineroute_fleet::Member;
@@ -27,7 +27,7 @@
     let mut members: Vec<(String, _)> = raw.members.iter().map(|m| (m.name.clone(), m.addr)).collect();
     members.sort();
     for (i, member) in raw.members.iter().enumerate() {
-        if !is_name(&member.name) || member.name.len() > 64 {
+        if !is_valid_name(&member.name) || member.name.len() > 64 {
             let words = format!("{:?} is not a plain word of 1 to 64 characters", member.name);
             faults.add(key(&format!("members[{i}].name")), words);
         }
--- a/dispatcher/src/config/mod.rs
+++ b/dispatcher/src/config/mod.rs
@@ -13,7 +13,7 @@
 pub use operator::{Matching, Operator, Protocol, RawAdmin, RawFront, RawPeers, RawRoute, RawWorkers};
 
 use crate::admin::auth::AdminKeys;
-use crate::beanstalkd::is_name;
+use crate::beanstalkd::is_valid_name;
 use crate::list::HostList;
 use lineroute::{Class, KindId};
 use lineroute_control::overrides::MAX_OVERRIDE_DURATION;
@@ -195,7 +195,7 @@
     let memory = (memory_mb as usize) << 20;
     check_routes(&operator, faults);
     let name = variable("GW_NAME").or(raw.name.take()).unwrap_or_else(|| "lineroute".into());
-    if !is_name(&name) || name.len() > 64 {
+    if !is_valid_name(&name) || name.len() > 64 {
         faults.add("GW_NAME", format!("{name:?} is not a plain word of 1 to 64 characters"));
     }
     let (workers, upstreams) = check_workers(&operator, &name, faults);
@@ -566,7 +566,7 @@
 
 fn check_tube(key: &str, name: &str) -> Result<(), String> {
     // A dispatcher's name may be added to it.
-    match is_name(name) && name.len() <= 128 {
+    match is_valid_name(name) && name.len() <= 128 {
         true => Ok(()),
         false => Err(format!("{key}: {name:?} is no name of a tube of 1 to 128 characters")),
     }
--- a/dispatcher/src/facade.rs
+++ b/dispatcher/src/facade.rs
@@ -23,7 +23,7 @@
 
 /// What a flow asks for.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct FlowRequest {
     pub class: usize,
     pub tenant: Option<usize>,
     pub key: Option<String>,
@@ -35,7 +35,7 @@
 
 /// One line of the list of targets.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListedTarget {
     pub target: TargetId,
     pub zone: u32,
     pub kind: u32,
@@ -57,11 +57,11 @@
 
 /// What operators have set: all of it.
 #[derive(Clone, Debug, Default)]
-pub struct Steer {
+pub struct TargetOverrides {
     /// Targets whose share is multiplied, and by what.
     pub weights: Vec<(TargetId, f64)>,
     /// Targets that get nothing new.
-    pub barred: Vec<TargetId>,
+    pub out_of_service: Vec<TargetId>,
     pub pins: Vec<Pinned>,
 }
 
@@ -78,19 +78,19 @@
 
 /// What has happened.
 #[derive(Debug)]
-pub enum News {
-    List(ListKind, Vec<Listed>),
+pub enum DispatchEvent {
+    List(ListKind, Vec<ListedTarget>),
     ListFailed,
     /// Whether what is known of targets may be acted on.
     ListValid(bool),
-    Steer(Steer),
+    Overrides(TargetOverrides),
     /// The client has gone, or the flow is over for another reason.
-    Left(FlowId),
-    Begun(FlowId, u32),
+    FlowAborted(FlowId),
+    JobStarted(FlowId, u32),
     /// The head of a forward's answer has gone to the client.
-    Passes(FlowId, u32),
+    ResponseStarted(FlowId, u32),
     Progress(FlowId, u32, f64),
-    Ended {
+    ForwardEnded {
         flow: FlowId,
         number: u32,
         outcome: Outcome,
@@ -99,9 +99,9 @@
         spent: Duration,
         load: Option<Load>,
     },
-    Probed(TargetId, Outcome, Option<Load>),
+    ProbeEnded(TargetId, Outcome, Option<Load>),
     /// Peers tell of a target: their forwards there, and whether it has just refused one.
-    Others(TargetId, u32, bool),
+    PeerHint(TargetId, u32, bool),
 }
 
 /// What is to be done.
@@ -193,7 +193,7 @@
 
     /// Until when a flow of this class may go out again, if a forward of it that was sent then has ended so: `None` where
     /// that sets no end.
-    pub fn again_until(&self, class: usize, sent: Instant, outcome: Outcome) -> Option<Instant> {
+    pub fn repeat_until(&self, class: usize, sent: Instant, outcome: Outcome) -> Option<Instant> {
         let window = self.windows.get(class).copied().flatten()?;
         (!outcome.never_ran(&self.rules)).then(|| sent + window)
     }
@@ -224,7 +224,7 @@
     }
 
     /// A new flow: where does it go?
-    pub fn pick(&mut self, flow: FlowId, ask: Ask) -> Vec<Decision> {
+    pub fn pick(&mut self, flow: FlowId, ask: FlowRequest) -> Vec<Decision> {
         self.forwards.insert(flow, 0);
         let request = Request {
             id: request_id(flow),
@@ -247,36 +247,40 @@
     }
 
     /// Something has happened: what follows?
-    pub fn report(&mut self, news: News) -> Vec<Decision> {
-        let event = match news {
-            News::List(kind, listed) => Event::WorkerList(kind, listed.iter().map(entry).collect()),
-            News::ListFailed => Event::ListFailed,
-            News::ListValid(valid) => Event::ListValid(valid),
-            News::Steer(steer) => Event::Overrides(Overrides {
-                weights: steer.weights.iter().map(|(t, factor)| (WorkerId(t.0), *factor)).collect(),
-                out_of_service: steer.barred.iter().map(|t| WorkerId(t.0)).collect(),
-                pins: (steer.pins.iter())
+    pub fn report(&mut self, event: DispatchEvent) -> Vec<Decision> {
+        let event = match event {
+            DispatchEvent::List(kind, listed) => Event::WorkerList(kind, listed.iter().map(entry).collect()),
+            DispatchEvent::ListFailed => Event::ListFailed,
+            DispatchEvent::ListValid(valid) => Event::ListValid(valid),
+            DispatchEvent::Overrides(overrides) => Event::Overrides(Overrides {
+                weights: overrides.weights.iter().map(|(t, factor)| (WorkerId(t.0), *factor)).collect(),
+                out_of_service: overrides.out_of_service.iter().map(|t| WorkerId(t.0)).collect(),
+                pins: (overrides.pins.iter())
                     .map(|p| (ClassId(p.class), p.tenant.map(TenantId), WorkerId(p.target.0)))
                     .collect(),
             }),
-            News::Others(target, in_flight, refused) => {
+            DispatchEvent::PeerHint(target, in_flight, refused) => {
                 Event::PeerHint { worker: WorkerId(target.0), in_flight, refused }
             }
-            News::Left(flow) => Event::Aborted(request_id(flow)),
-            News::Passes(flow, number) => Event::ResponseStarted(request_id(flow), AttemptNo(number)),
-            News::Begun(flow, number) => Event::JobStarted(request_id(flow), AttemptNo(number)),
-            News::Progress(flow, number, share) => {
+            DispatchEvent::FlowAborted(flow) => Event::Aborted(request_id(flow)),
+            DispatchEvent::ResponseStarted(flow, number) => {
+                Event::ResponseStarted(request_id(flow), AttemptNo(number))
+            }
+            DispatchEvent::JobStarted(flow, number) => Event::JobStarted(request_id(flow), AttemptNo(number)),
+            DispatchEvent::Progress(flow, number, share) => {
                 Event::Progress(request_id(flow), AttemptNo(number), share)
             }
-            News::Ended { flow, number, outcome, over, spent, load } => Event::AttemptEnded(AttemptEnd {
-                id: request_id(flow),
-                attempt: AttemptNo(number),
-                outcome,
-                request_done: over,
-                elapsed: spent.as_micros() as Micros,
-                report: load.map(report),
-            }),
-            News::Probed(target, outcome, load) => {
+            DispatchEvent::ForwardEnded { flow, number, outcome, over, spent, load } => {
+                Event::AttemptEnded(AttemptEnd {
+                    id: request_id(flow),
+                    attempt: AttemptNo(number),
+                    outcome,
+                    request_done: over,
+                    elapsed: spent.as_micros() as Micros,
+                    report: load.map(report),
+                })
+            }
+            DispatchEvent::ProbeEnded(target, outcome, load) => {
                 Event::ProbeEnded { worker: WorkerId(target.0), outcome, report: load.map(report) }
             }
         };
@@ -355,7 +359,7 @@
     Report { free_slots: load.free, queued: load.waiting, in_flight: load.held }
 }
 
-fn entry(listed: &Listed) -> WorkerEntry {
+fn entry(listed: &ListedTarget) -> WorkerEntry {
     WorkerEntry {
         worker: WorkerId(listed.target.0),
         zone: ZoneId(listed.zone),
--- a/dispatcher/src/fleet/mod.rs
+++ b/dispatcher/src/fleet/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::config::{Fleet, TestClock};
 use crate::flow::Flows;
-use crate::local_faults::open_patiently;
+use crate::local_faults::open_with_retry;
 use crate::overrides;
 use lineroute_control::peers::KeyRing;
 use lineroute_fleet::consensus::replica_id_of;
@@ -131,7 +131,7 @@
         // Seconds, with room for a million tokens in each.
         floor: (began_unix / 1000) << 20,
     };
-    let socket = open_patiently(|| TcpListener::bind(config.listen))
+    let socket = open_with_retry(|| TcpListener::bind(config.listen))
         .await
         .map_err(|e| format!("fleet.listen: {}: {e}", config.listen))?;
     let at = socket.local_addr().map_err(|e| format!("fleet.listen: {e}"))?;
--- a/dispatcher/src/flow/contract.rs
+++ b/dispatcher/src/flow/contract.rs
@@ -2,7 +2,7 @@
 //! outcomes. Listeners and targets translate to and from their protocols; nothing here depends on one protocol.
 
 use crate::body::{Body, Reader};
-use crate::facade::{FlowId, Listed, Stage, TargetId};
+use crate::facade::{FlowId, ListedTarget, Stage, TargetId};
 use crate::fleet::FencedOperation;
 use bytes::Bytes;
 use lineroute_permit::RetryPermit;
@@ -135,7 +135,7 @@
 
 /// One entry of the worker list, including fields that the decision module does not need.
 pub struct ListEntry {
-    pub listed: Listed,
+    pub listed: ListedTarget,
     pub endpoint: Endpoint,
     pub zone: Rc<str>,
     pub kind: Rc<str>,
--- a/dispatcher/src/flow/core.rs
+++ b/dispatcher/src/flow/core.rs
@@ -4,7 +4,7 @@
 use super::contract::{Answer, Bounds, Endpoint, Forward, ForwardId, Job, Listener};
 use super::permit_stats::PermitStats;
 use super::DEADLINE_FALLBACK_DELAY;
-use crate::facade::{Ask, Decision, Facade, FlowId, Load, News, Outcome, Stage, TargetId};
+use crate::facade::{Decision, DispatchEvent, Facade, FlowId, FlowRequest, Load, Outcome, Stage, TargetId};
 use crate::list::monitor::ListMonitor;
 use bytes::Bytes;
 use lineroute_permit::{EarlierAttempts, RetryFacts, RetryPermit};
@@ -19,7 +19,7 @@
     pub(super) job: Rc<Job>,
     pub(super) listener: Option<Box<dyn Listener>>,
     /// The request for a decision, until it has been made.
-    pub(super) ask: Option<Ask>,
+    pub(super) ask: Option<FlowRequest>,
     pub(super) deadline: Instant,
     pub(super) in_flight: Option<InFlight>,
     pub(super) start_by: Option<Instant>,
@@ -199,7 +199,7 @@
         let Some(in_flight) = flow.in_flight.take() else { return Vec::new() };
         flow.tried_targets.push(in_flight.forward.target);
         flow.may_have_run |= !self.facade.never_ran(outcome);
-        let again_until = self.facade.again_until(flow.job.class, in_flight.sent, outcome);
+        let again_until = self.facade.repeat_until(flow.job.class, in_flight.sent, outcome);
         flow.start_by = flow.start_by.or(again_until);
         let count = self.in_flight_counts.entry(in_flight.forward.target).or_default();
         *count = count.saturating_sub(1);
@@ -233,7 +233,7 @@
             warn!(flow = forward_id.flow.0, target = %in_flight.forward.target_name, class = flow.job.class,
                 outcome = ?outcome, "answer truncated after its head was sent");
         }
-        let news = News::Ended { flow: forward_id.flow, number, outcome, over, spent, load };
+        let news = DispatchEvent::ForwardEnded { flow: forward_id.flow, number, outcome, over, spent, load };
         let decisions = self.facade.report(news);
         effects.extend(self.effects(decisions, watch));
         self.remove_if_finished(forward_id.flow);
@@ -272,7 +272,7 @@
                 "flow not answered by the decision module at its deadline"
             );
             effects.push(Effect::Answer(listener, Answer::Failed));
-            let decisions = self.facade.report(News::Left(id));
+            let decisions = self.facade.report(DispatchEvent::FlowAborted(id));
             effects.extend(self.effects(decisions, watch));
             self.remove_if_finished(id);
         }
@@ -288,7 +288,7 @@
             || flow.in_flight.as_ref().is_some_and(|in_flight| in_flight.first_byte_written);
         let answer = if may_have_run { Answer::Failed } else { Answer::Refused(retry_after) };
         let mut effects = vec![Effect::Answer(listener, answer)];
-        let decisions = self.facade.report(News::Left(id));
+        let decisions = self.facade.report(DispatchEvent::FlowAborted(id));
         effects.extend(self.effects(decisions, watch));
         effects.extend(self.cancel(id));
         self.remove_if_finished(id);
--- a/dispatcher/src/flow/mod.rs
+++ b/dispatcher/src/flow/mod.rs
@@ -16,7 +16,7 @@
 
 use self::core::{Core, Effect, Flow};
 use self::permit_stats::PermitStats;
-use crate::facade::{Ask, Facade, FlowId, Load, News, Outcome};
+use crate::facade::{DispatchEvent, Facade, FlowId, FlowRequest, Load, Outcome};
 use crate::fleet::prober::Probing;
 use crate::list::monitor::ListMonitor;
 use bytes::Bytes;
@@ -122,7 +122,7 @@
             core.last_flow_id += 1;
             core.body_bytes += size;
             let id = FlowId(core.last_flow_id);
-            let ask = Ask {
+            let ask = FlowRequest {
                 class: job.class,
                 tenant: job.tenant,
                 key: job.key.clone(),
@@ -179,7 +179,7 @@
             let Some(flow) = core.flows.get_mut(&id).filter(|f| f.listener.is_some()) else { return false };
             flow.listener = None;
             flow.client_left_at = Some(Instant::now());
-            let decisions = core.facade.report(News::Left(id));
+            let decisions = core.facade.report(DispatchEvent::FlowAborted(id));
             let mut effects = core.effects(decisions, &self.watch_requested);
             effects.extend(core.cancel(id));
             core.remove_if_finished(id);
@@ -192,12 +192,15 @@
     /// A target reports that the job has started.
     pub fn job_started(&self, forward_id: ForwardId) {
         debug!(flow = forward_id.flow.0, forward = forward_id.number, "forward began");
-        self.report_forward_news(forward_id, News::Begun(forward_id.flow, forward_id.number));
+        self.report_forward_news(forward_id, DispatchEvent::JobStarted(forward_id.flow, forward_id.number));
     }
 
     /// A target reports the progress of the job.
     pub fn job_progress(&self, forward_id: ForwardId, share: f64) {
-        self.report_forward_news(forward_id, News::Progress(forward_id.flow, forward_id.number, share));
+        self.report_forward_news(
+            forward_id,
+            DispatchEvent::Progress(forward_id.flow, forward_id.number, share),
+        );
     }
 
     /// The head of an answer has arrived and the answer is streamed from here on. This is the single answer of
@@ -213,7 +216,8 @@
             let Some(listener) = flow.listener.take() else { return false };
             flow.head_latency = flow.in_flight.as_ref().map(|in_flight| in_flight.sent.elapsed());
             let mut effects = vec![Effect::Answer(listener, Answer::Passing(streamed))];
-            let decisions = core.facade.report(News::Passes(forward_id.flow, forward_id.number));
+            let decisions =
+                core.facade.report(DispatchEvent::ResponseStarted(forward_id.flow, forward_id.number));
             effects.extend(core.effects(decisions, &self.watch_requested));
             effects
         };
@@ -236,7 +240,7 @@
         count
     }
 
-    fn report_forward_news(&self, forward_id: ForwardId, news: News) {
+    fn report_forward_news(&self, forward_id: ForwardId, news: DispatchEvent) {
         let effects = {
             let core = &mut *self.core.borrow_mut();
             if !core.is_in_flight(forward_id) {
@@ -268,7 +272,7 @@
         self.apply_effects(effects);
     }
 
-    fn report(&self, news: News) {
+    fn report(&self, news: DispatchEvent) {
         let effects = {
             let core = &mut *self.core.borrow_mut();
             let decisions = core.facade.report(news);
--- a/dispatcher/src/flow/permits.rs
+++ b/dispatcher/src/flow/permits.rs
@@ -5,7 +5,7 @@
 use super::core::Core;
 use super::permit_stats::PermitStatsReport;
 use super::Flows;
-use crate::facade::{News, Stage};
+use crate::facade::{DispatchEvent, Stage};
 use crate::list::monitor::ListReport;
 use lineroute_control::list_status::ListState;
 use lineroute_permit::audit::SendAudit;
@@ -109,7 +109,7 @@
             if std::mem::replace(&mut core.list_valid_reported, valid) == valid {
                 return;
             }
-            let decisions = core.facade.report(News::ListValid(valid));
+            let decisions = core.facade.report(DispatchEvent::ListValid(valid));
             core.effects(decisions, &self.watch_requested)
         };
         self.apply_effects(effects);
--- a/dispatcher/src/flow/targets.rs
+++ b/dispatcher/src/flow/targets.rs
@@ -2,7 +2,7 @@
 
 use super::core::{Effect, KnownTarget};
 use super::{Flows, Forward, ListEntry, ListKind, OperatorStateSource, PeerLoad, TargetStatus};
-use crate::facade::{Load, News, Outcome, Stage, Steer, TargetId};
+use crate::facade::{DispatchEvent, Load, Outcome, Stage, TargetId, TargetOverrides};
 use crate::fleet::prober::Probing;
 use crate::fleet::FencedOperation;
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -61,7 +61,7 @@
             let core = &mut *self.core.borrow_mut();
             let mut effects = Vec::new();
             for PeerLoad { target, in_flight, refused } in news {
-                let decisions = core.facade.report(News::Others(*target, *in_flight, *refused));
+                let decisions = core.facade.report(DispatchEvent::PeerHint(*target, *in_flight, *refused));
                 effects.extend(core.effects(decisions, &self.watch_requested));
             }
             effects
@@ -84,12 +84,12 @@
 
     /// A probe that another process sent on behalf of this one has ended.
     pub fn shared_probe_ended(&self, target: TargetId, outcome: Outcome, load: Option<Load>) {
-        self.report(News::Probed(target, outcome, load));
+        self.report(DispatchEvent::ProbeEnded(target, outcome, load));
     }
 
     /// The list could not be fetched, or the watch was interrupted.
     pub fn list_failed(&self) {
-        self.report(News::ListFailed);
+        self.report(DispatchEvent::ListFailed);
     }
 
     /// The identifier of a target, by its name.
@@ -98,14 +98,14 @@
     }
 
     /// Replaces all operator overrides.
-    pub fn apply_overrides(&self, steer: Steer) {
+    pub fn apply_overrides(&self, steer: TargetOverrides) {
         {
             let core = &mut *self.core.borrow_mut();
             let now = Instant::now();
             let since = |target| (target, core.out_of_service.get(&target).copied().unwrap_or(now));
-            core.out_of_service = steer.barred.iter().copied().map(since).collect();
+            core.out_of_service = steer.out_of_service.iter().copied().map(since).collect();
         }
-        self.report(News::Steer(steer));
+        self.report(DispatchEvent::Overrides(steer));
     }
 
     /// Sets the source from which the overrides are refreshed before each first byte.
@@ -184,7 +184,7 @@
                 });
             }
             let listed = entries.into_iter().map(|e| e.listed).collect();
-            let decisions = core.facade.report(News::List(kind, listed));
+            let decisions = core.facade.report(DispatchEvent::List(kind, listed));
             effects.extend(core.effects(decisions, &self.watch_requested));
             effects
         };
--- a/dispatcher/src/list/mod.rs
+++ b/dispatcher/src/list/mod.rs
@@ -10,7 +10,7 @@
 pub use follow::follow;
 pub use watch::watch;
 
-use crate::facade::{ListKind, Listed, Stage};
+use crate::facade::{ListKind, ListedTarget, Stage};
 use crate::flow::{Endpoint, Flows, ListEntry};
 use crate::peers::discovery_reports::DiscoveryReports;
 use crate::targets::client::HttpClient;
@@ -118,7 +118,7 @@
     for host in &list.servers {
         debug!(target = %host.id, zone = %host.zone, kind = %host.kind, state = ?host.state,
             started_ms = host.started_ms, size = host.weight, "worker list entry");
-        let listed = Listed {
+        let listed = ListedTarget {
             target: flows.target_id(&host.id),
             zone: NameTable::position(&mut names.zones, &host.zone),
             kind: NameTable::position(&mut names.kinds, &host.kind),
--- a/dispatcher/src/list/monitor.rs
+++ b/dispatcher/src/list/monitor.rs
@@ -111,7 +111,7 @@
 
     /// The earliest time at which data that is read now may have arrived.
     fn earliest_arrival(&self) -> u64 {
-        self.millis_at(self.arrivals.earliest(Instant::now()))
+        self.millis_at(self.arrivals.earliest_arrival(Instant::now()))
     }
 
     fn millis_at(&self, instant: Instant) -> u64 {
--- a/dispatcher/src/listeners/beanstalkd/command.rs
+++ b/dispatcher/src/listeners/beanstalkd/command.rs
@@ -1,6 +1,6 @@
 //! A command line of the beanstalkd protocol, read strictly: one space between words, nothing left over.
 
-use crate::beanstalkd::is_name;
+use crate::beanstalkd::is_valid_name;
 use std::time::Duration;
 
 #[derive(Debug, PartialEq)]
@@ -46,7 +46,7 @@
     }
 
     fn name(&mut self) -> Result<String, &'static str> {
-        self.0.next().filter(|w| is_name(w)).map(str::to_owned).ok_or(BAD)
+        self.0.next().filter(|w| is_valid_name(w)).map(str::to_owned).ok_or(BAD)
     }
 }
 
--- a/dispatcher/src/listeners/beanstalkd/mod.rs
+++ b/dispatcher/src/listeners/beanstalkd/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::accept::AcceptRetry;
 use crate::arrival::ArrivalClock;
-use crate::beanstalkd::{read_body, read_line, skip, write_answer, Line, MAX_JOB};
+use crate::beanstalkd::{encode_answer, read_body, read_line, skip, Line, MAX_JOB_BYTES};
 use crate::body::Body;
 use crate::config::BeanstalkdFront;
 use crate::facade::FlowId;
@@ -157,7 +157,7 @@
             expected_run_time: None,
             path: self.settings.path.clone(),
             protocol_data: None,
-            body: Body::Whole(body),
+            body: Body::Buffered(body),
         };
         let (budget, answers) = (mapped.budget, mapped.answers.clone());
         if delay.is_zero() {
@@ -199,7 +199,7 @@
             if !tubes.close(id) {
                 return;
             }
-            let body = write_answer(id, answer);
+            let body = encode_answer(id, answer);
             tubes.put(answers, ANSWER_PRIORITY, ANSWER_TTR, body, Instant::now());
         }
         self.changed.notify_waiters();
@@ -258,7 +258,7 @@
         while self.hears().await? {
             let line = match read_line(&mut self.input).await? {
                 Line::Text(line) => line,
-                Line::Bad => {
+                Line::Invalid => {
                     self.say("BAD_FORMAT").await?;
                     continue;
                 }
@@ -268,7 +268,7 @@
                 Err(word) => word.into(),
                 Ok(Command::Quit) => return Ok(()),
                 Ok(Command::Put { pri, delay, ttr, bytes }) => {
-                    if bytes > MAX_JOB as u64 {
+                    if bytes > MAX_JOB_BYTES as u64 {
                         // Real clients send the body before they read what is said of it.
                         skip(&mut self.input, bytes + 2).await?;
                         "JOB_TOO_BIG".into()
@@ -399,7 +399,9 @@
                 let mapped = front.settings.tubes.iter().any(|t| t.tube == tube || t.answers == tube);
                 text(tubes.stats_tube(&tube, mapped, now))
             }
-            Command::Stats => Reply::Text(tubes.stats(MAX_JOB, front.slots.count(), front.stopping.get())),
+            Command::Stats => {
+                Reply::Text(tubes.stats(MAX_JOB_BYTES, front.slots.count(), front.stopping.get()))
+            }
             Command::ListTubes => {
                 let mapped = front.settings.tubes.iter().flat_map(|t| [t.tube.as_str(), &t.answers]);
                 Reply::Text(tubes.list(mapped))
--- a/dispatcher/src/listeners/connection_slots.rs
+++ b/dispatcher/src/listeners/connection_slots.rs
@@ -98,7 +98,7 @@
 
     /// There are bytes that are not read yet, as the event loop tells.
     pub fn has_unread_now(&self) {
-        self.has_unread(self.arrivals.earliest(Instant::now()));
+        self.has_unread(self.arrivals.earliest_arrival(Instant::now()));
     }
 
     /// Whether there may be bytes that are not read yet.
@@ -118,7 +118,7 @@
 
     /// Something was read.
     pub fn bytes_received(&self) {
-        let earliest = self.arrivals.earliest(Instant::now());
+        let earliest = self.arrivals.earliest_arrival(Instant::now());
         self.arrived.set(self.unread_since.get().map_or(earliest, |since| since.min(earliest)));
         if matches!(self.stage.get(), Stage::Silent | Stage::Idle) {
             self.set(Stage::Head);
--- a/dispatcher/src/listeners/http.rs
+++ b/dispatcher/src/listeners/http.rs
@@ -5,7 +5,7 @@
 use super::guard::{write_now, Guarded};
 use super::socket::queued;
 use crate::accept::AcceptRetry;
-use crate::body::{Body, Budgets};
+use crate::body::{Body, StreamBudget};
 use crate::config::Route;
 use crate::facade::FlowId;
 use crate::flow::{Answer, Flows, Job, Listener, OpenError};
@@ -187,7 +187,7 @@
     pub phase: Rc<Phase>,
     pub slots: Rc<ConnectionSlots>,
     /// The memory that bodies in passage share.
-    pub budgets: Budgets,
+    pub budgets: StreamBudget,
     /// The other processes of this dispatcher, where there may be some.
     pub siblings: Option<Rc<Siblings>>,
     /// Begins the ids of jobs that came without one; how many have.
@@ -261,7 +261,7 @@
             let accepted = match at_once {
                 Some(accepted) => accepted,
                 None => {
-                    arrivals.queue_is_empty(looked);
+                    arrivals.record_queue_empty(looked);
                     // Both can be dropped here: a connection that is not accepted stands in the queue.
                     let accepted = tokio::select! {
                         accepted = socket.accept() => accepted,
@@ -269,7 +269,7 @@
                         () = self.phase.queue_changed.notified() => continue,
                     };
                     // It was empty until this one came: those behind it came no sooner.
-                    arrivals.queue_is_empty(arrivals.earliest(Instant::now()));
+                    arrivals.record_queue_empty(arrivals.earliest_arrival(Instant::now()));
                     accepted
                 }
             };
@@ -278,7 +278,11 @@
                     retry.succeeded();
                     stops::at("http.accepted");
                     let now = Instant::now();
-                    let since = if queued { arrivals.earliest_in_queue(now) } else { arrivals.earliest(now) };
+                    let since = if queued {
+                        arrivals.earliest_queued_arrival(now)
+                    } else {
+                        arrivals.earliest_arrival(now)
+                    };
                     self.admit(service.clone(), stream, peer, since);
                 }
                 Err(e) => retry.failed(&e).await,
@@ -293,7 +297,7 @@
             return;
         }
         for (stream, peer) in queued(&socket) {
-            let since = arrivals.earliest_in_queue(Instant::now());
+            let since = arrivals.earliest_queued_arrival(Instant::now());
             self.admit(service.clone(), stream, peer, since);
         }
     }
@@ -446,7 +450,7 @@
         };
         let arrived = slot.map_or_else(Instant::now, ConnectionSlot::arrived);
         job.body = match body(&mut request, slot).await {
-            Ok(body) => Body::Whole(body),
+            Ok(body) => Body::Buffered(body),
             Err(status) => return plain(status, "no body could be read\n"),
         };
         let Ok(permit) = self.start_permit(&job.reference, slot) else { return refused(BUSY_RETRY) };
@@ -536,7 +540,7 @@
             expected_run_time: work.map(|us| Duration::from_micros(us as u64)),
             path: request.uri().path_and_query().map_or("/".into(), |p| p.as_str().to_owned()),
             protocol_data: None,
-            body: Body::Whole(Bytes::new()),
+            body: Body::Buffered(Bytes::new()),
         };
         Ok((job, Duration::from_millis(budget).min(longest.max(Duration::from_secs(3600)))))
     }
--- a/dispatcher/src/listeners/pass.rs
+++ b/dispatcher/src/listeners/pass.rs
@@ -2,7 +2,7 @@
 
 use super::connection_slots::{ConnectionSlot, Stage};
 use super::http::{plain, refused, HttpListener, Passes, BUSY_RETRY};
-use crate::body::{Body, Ended, Reader, Upload, Writer};
+use crate::body::{Body, Reader, StreamEnd, Upload, Writer};
 use crate::config::{PassingRoute, Route};
 use crate::flow::{Answer, OpenError};
 use crate::targets::upstream::RequestContext;
@@ -43,15 +43,15 @@
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, io::Error>>> {
         let next = self.reader.poll_next(cx);
-        if next == Poll::Ready(Err(Ended::Broken)) && !std::mem::replace(&mut self.broken, true) {
+        if next == Poll::Ready(Err(StreamEnd::Truncated)) && !std::mem::replace(&mut self.broken, true) {
             // The server writes what it has when it is told to wait, and throws it away at an error.
             cx.waker().wake_by_ref();
             return Poll::Pending;
         }
         next.map(|next| match next {
             Ok(bytes) => Some(Ok(bytes)),
-            Err(Ended::Whole) => None,
-            Err(Ended::Broken) => Some(Err(io::ErrorKind::ConnectionAborted.into())),
+            Err(StreamEnd::Complete) => None,
+            Err(StreamEnd::Truncated) => Some(Err(io::ErrorKind::ConnectionAborted.into())),
         })
     }
 }
@@ -101,7 +101,7 @@
                 Ok(body) if body.len() as u64 > passing.max_body => {
                     return text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n")
                 }
-                Ok(body) => job.body = Body::Whole(body),
+                Ok(body) => job.body = Body::Buffered(body),
                 Err(status) => return text(status, "no body could be read\n"),
             }
         }
@@ -187,7 +187,7 @@
     async fn run(mut self, mut payload: actix_http::Payload) {
         let ended = loop {
             if self.writer.room().await.is_none() {
-                break Ended::Broken;
+                break StreamEnd::Truncated;
             }
             match payload.next().await {
                 Some(Ok(chunk)) if chunk.len() as u64 <= self.left => {
@@ -196,14 +196,15 @@
                 }
                 Some(Ok(_)) => {
                     self.too_large.set(true);
-                    break Ended::Broken;
+                    break StreamEnd::Truncated;
                 }
-                Some(Err(_)) => break Ended::Broken,
-                None => break Ended::Whole,
+                Some(Err(_)) => break StreamEnd::Truncated,
+                None => break StreamEnd::Complete,
             }
         };
         self.writer.end(ended);
-        if let Some(slot) = self.slot.filter(|slot| ended == Ended::Whole && slot.stage() == Stage::Streaming)
+        if let Some(slot) =
+            self.slot.filter(|slot| ended == StreamEnd::Complete && slot.stage() == Stage::Streaming)
         {
             slot.set(Stage::InWork);
         }
--- a/dispatcher/src/listeners/socket.rs
+++ b/dispatcher/src/listeners/socket.rs
@@ -2,7 +2,7 @@
 //! across a replacement of the process. An inherited socket is never bound anew: the address is the
 //! platform's, and a second bind would fail while the other process still serves it.
 
-use crate::local_faults::open_patiently;
+use crate::local_faults::open_with_retry;
 use socket2::SockRef;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
 pub async fn open(origin: Origin) -> Result<TcpListener, String> {
     match origin {
         Origin::Bind(addr) => {
-            open_patiently(|| TcpListener::bind(addr)).await.map_err(|e| format!("{addr}: {e}"))
+            open_with_retry(|| TcpListener::bind(addr)).await.map_err(|e| format!("{addr}: {e}"))
         }
         Origin::Inherited(fd) => inherit(fd),
     }
--- a/dispatcher/src/local_faults.rs
+++ b/dispatcher/src/local_faults.rs
@@ -7,11 +7,11 @@
 use std::time::{Duration, Instant};
 
 /// What failed for want of something here is tried again after so long, and not at once: others may free it meanwhile.
-pub const TRY_AGAIN_AFTER: Duration = Duration::from_millis(50);
+pub const LOCAL_FAULT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Whether an error is this machine's own.
 pub fn is_local(error: &io::Error) -> bool {
-    is_short(error)
+    is_resource_shortage(error)
         || matches!(
             Errno::from_io_error(error),
             Some(Errno::ADDRNOTAVAIL | Errno::ADDRINUSE | Errno::NETUNREACH | Errno::NETDOWN)
@@ -19,7 +19,7 @@
 }
 
 /// Whether descriptors, buffers or memory were short: others may free some.
-pub fn is_short(error: &io::Error) -> bool {
+pub fn is_resource_shortage(error: &io::Error) -> bool {
     matches!(Errno::from_io_error(error), Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM))
 }
 
@@ -30,15 +30,15 @@
 ///
 /// # Errors
 /// The last one, of whatever kind.
-pub async fn open_patiently<T, F>(open: impl Fn() -> F) -> io::Result<T>
+pub async fn open_with_retry<T, F>(open: impl Fn() -> F) -> io::Result<T>
 where
     F: Future<Output = io::Result<T>>,
 {
     let began = Instant::now();
     loop {
         match open().await {
-            Err(e) if is_short(&e) && began.elapsed() < OPENS_WITHIN => {
-                tokio::time::sleep(TRY_AGAIN_AFTER).await;
+            Err(e) if is_resource_shortage(&e) && began.elapsed() < OPENS_WITHIN => {
+                tokio::time::sleep(LOCAL_FAULT_RETRY_DELAY).await;
             }
             result => return result,
         }
--- a/dispatcher/src/log.rs
+++ b/dispatcher/src/log.rs
@@ -19,7 +19,7 @@
 
 /// The form of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, ValueEnum)]
-pub enum Form {
+pub enum Format {
     /// A line an event, for people.
     #[default]
     Text,
@@ -29,7 +29,7 @@
 
 /// What is written at least.
 #[derive(Clone, Copy, Debug, Default, PartialEq, ValueEnum)]
-pub enum Threshold {
+pub enum LogLevel {
     Error,
     Warn,
     #[default]
@@ -38,31 +38,31 @@
     Trace,
 }
 
-impl Threshold {
+impl LogLevel {
     fn filter(self) -> LevelFilter {
         LevelFilter::from_level(match self {
-            Threshold::Error => Level::ERROR,
-            Threshold::Warn => Level::WARN,
-            Threshold::Info => Level::INFO,
-            Threshold::Debug => Level::DEBUG,
-            Threshold::Trace => Level::TRACE,
+            LogLevel::Error => Level::ERROR,
+            LogLevel::Warn => Level::WARN,
+            LogLevel::Info => Level::INFO,
+            LogLevel::Debug => Level::DEBUG,
+            LogLevel::Trace => Level::TRACE,
         })
     }
 }
 
 /// Counts the lines of each second, and those left out.
 #[derive(Debug)]
-pub struct Limit {
+pub struct RateLimit {
     start: Instant,
     second: AtomicU64,
     lines: AtomicU32,
     left_out: AtomicU32,
 }
 
-impl Limit {
+impl RateLimit {
     fn new() -> Self {
         let (second, lines, left_out) = Default::default();
-        Limit { start: Instant::now(), second, lines, left_out }
+        RateLimit { start: Instant::now(), second, lines, left_out }
     }
 
     /// Whether a line may be written at this moment.
@@ -83,9 +83,9 @@
 }
 
 /// The limit as a filter of a layer.
-struct Limited(Arc<Limit>);
+struct RateLimitFilter(Arc<RateLimit>);
 
-impl<S: Subscriber> Filter<S> for Limited {
+impl<S: Subscriber> Filter<S> for RateLimitFilter {
     fn enabled(&self, _: &Metadata<'_>, _: &Context<'_, S>) -> bool {
         true
     }
@@ -95,25 +95,25 @@
     }
 }
 
-fn layer<S: Subscriber + for<'a> LookupSpan<'a>>(form: Form) -> Box<dyn Layer<S> + Send + Sync> {
+fn layer<S: Subscriber + for<'a> LookupSpan<'a>>(form: Format) -> Box<dyn Layer<S> + Send + Sync> {
     let plain = tracing_subscriber::fmt::layer().with_writer(std::io::stderr).with_ansi(false);
     match form {
-        Form::Text => plain.boxed(),
-        Form::Json => plain.json().flatten_event(true).with_span_list(false).boxed(),
+        Format::Text => plain.boxed(),
+        Format::Json => plain.json().flatten_event(true).with_span_list(false).boxed(),
     }
 }
 
 /// Starts the log for the whole process. To be called once; the limit is handed to [`report`].
-pub fn start(form: Form, threshold: Threshold) -> Arc<Limit> {
-    let limit = Arc::new(Limit::new());
-    let limited = layer(form).with_filter(Limited(limit.clone()));
+pub fn start(form: Format, threshold: LogLevel) -> Arc<RateLimit> {
+    let limit = Arc::new(RateLimit::new());
+    let limited = layer(form).with_filter(RateLimitFilter(limit.clone()));
     // A second start, as in tests, changes nothing.
     let _ = tracing_subscriber::registry().with(threshold.filter()).with(limited).try_init();
     limit
 }
 
 /// Tells once a second how many lines were left out, if any were. Never ends.
-pub async fn report(limit: Arc<Limit>) {
+pub async fn report(limit: Arc<RateLimit>) {
     loop {
         tokio::time::sleep(Duration::from_secs(1)).await;
         let left_out = limit.take_left_out();
@@ -129,7 +129,7 @@
 
     #[test]
     fn a_flood_is_cut_and_counted() {
-        let limit = Limit::new();
+        let limit = RateLimit::new();
         let start = limit.start;
         let written = (0..200).filter(|_| limit.admit(start)).count();
         assert_eq!((written, limit.take_left_out()), (LINES_PER_SECOND as usize, 200 - LINES_PER_SECOND));
--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -24,9 +24,9 @@
 mod store;
 mod targets;
 
-use crate::local_faults::open_patiently;
+use crate::local_faults::open_with_retry;
 use arrival::ArrivalClock;
-use body::Budgets;
+use body::StreamBudget;
 use cli::RunArgs;
 use config::{Config, Faults, Occasion, Sources, StateDir};
 use facade::{Discovery, Facade, ListKind, ReportSource};
@@ -49,7 +49,7 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use stop::Running;
+use stop::RunningProcess;
 use store::{LoggedOperatorState, Store};
 use targets::beanstalkd::BeanstalkdTargets;
 use targets::client::HttpClient;
@@ -137,7 +137,7 @@
     config: &mut Config,
     flows: &Flows,
     targets: &HttpTargets,
-    budgets: &Budgets,
+    budgets: &StreamBudget,
     reports: &Rc<DiscoveryReports>,
     phase: &Rc<Phase>,
 ) -> Result<Started, String> {
@@ -244,7 +244,7 @@
     flows.update_list_validity();
     let discovery_reports = Rc::new(DiscoveryReports::new(monitor.clone()));
     actix_rt::spawn(monitor.clone().run(flows.clone()));
-    let budgets = Budgets::new(config.memory / STREAM_PART, STREAM_FLOOR, STREAM_CEILING);
+    let budgets = StreamBudget::new(config.memory / STREAM_PART, STREAM_FLOOR, STREAM_CEILING);
     let client = HttpClient::new(connect_within, keepalive, config.outbound, config.connections);
     let targets = HttpTargets::new(flows.clone(), client.clone(), connect_within, reports);
     flows.add_target(Rc::new(targets.clone()));
@@ -281,12 +281,12 @@
     stops::at("start.listen");
     let socket = listeners::socket::open(origin).await?;
     let prefix = format!("{}-{:x}", config.name, config.seed);
-    let mut front = None;
+    let mut beanstalkd = None;
     if let Some(settings) = config.beanstalkd {
         let socket = listen_to_beanstalkd(settings.listen).await?;
         let listener = BeanstalkdListener::new(flows.clone(), settings, prefix.clone(), arrivals);
         actix_rt::spawn(listener.clone().serve(socket));
-        front = Some(listener);
+        beanstalkd = Some(listener);
     }
     let listen = socket.local_addr().map_err(|e| e.to_string())?;
     info!(addr = %listen, "listens");
@@ -334,7 +334,8 @@
     }
 
     term.recv().await;
-    let running = Running { flows, phase, front, fleet, siblings, serving, slots, longest_deadline };
+    let running =
+        RunningProcess { flows, phase, beanstalkd, fleet, siblings, serving, slots, longest_deadline };
     running.stop().await;
     Ok(())
 }
@@ -361,7 +362,7 @@
 }
 
 async fn listen_to_beanstalkd(at: SocketAddr) -> Result<TcpListener, String> {
-    let bound = open_patiently(|| TcpListener::bind(at)).await;
+    let bound = open_with_retry(|| TcpListener::bind(at)).await;
     let socket = bound.map_err(|e| format!("beanstalkd.listen: {e}"))?;
     let listen = socket.local_addr().map_err(|e| e.to_string())?;
     info!(addr = %listen, "listens to beanstalkd clients");
--- a/dispatcher/src/overrides.rs
+++ b/dispatcher/src/overrides.rs
@@ -2,7 +2,7 @@
 //! change. The talk with peers, the snapshot and the admin listener meet here; decisions get what is in force
 //! through the core.
 
-use crate::facade::{Pinned, Steer};
+use crate::facade::{Pinned, TargetOverrides};
 use crate::flow::Flows;
 use lineroute_control::overrides::{
     ActiveOverrides, InvalidRequest, Merged, OverrideEntry, OverrideRequest, Record, Slot, Table,
@@ -154,9 +154,9 @@
             "overrides in force"
         );
         let flows = &self.0.flows;
-        let mut steer = Steer {
+        let mut overrides = TargetOverrides {
             weights: weights.iter().map(|(w, factor)| (flows.target_id(w), *factor)).collect(),
-            barred: out.iter().map(|w| flows.target_id(w)).collect(),
+            out_of_service: out.iter().map(|w| flows.target_id(w)).collect(),
             pins: Vec::new(),
         };
         for pin in pins {
@@ -165,7 +165,7 @@
             match (class, tenant) {
                 (Some(class), None | Some(Some(_))) => {
                     let target = flows.target_id(&pin.worker);
-                    steer.pins.push(Pinned { class, tenant: tenant.flatten(), target });
+                    overrides.pins.push(Pinned { class, tenant: tenant.flatten(), target });
                 }
                 // Set at a dispatcher whose settings differ.
                 _ => {
@@ -174,7 +174,7 @@
             }
         }
         *self.0.applied.borrow_mut() = forces;
-        self.0.flows.apply_overrides(steer);
+        self.0.flows.apply_overrides(overrides);
     }
 
     /// Ends overrides at their time. Never ends itself.
@@ -195,7 +195,7 @@
     }
 
     /// All that has not ended, and how it stands.
-    pub fn lines(&self) -> Vec<OverrideEntry> {
+    pub fn entries(&self) -> Vec<OverrideEntry> {
         self.0.table.borrow().entries(now(), |worker| self.0.flows.is_listed(worker))
     }
 
@@ -208,7 +208,7 @@
     ///
     /// # Errors
     /// Says which of the two the settings lack, and what they have.
-    pub fn flows_of(&self, pin: &str) -> Result<(String, Option<String>), String> {
+    pub fn parse_pin(&self, pin: &str) -> Result<(String, Option<String>), String> {
         let Inner { classes, tenants, .. } = &*self.0;
         if classes.iter().any(|c| c == pin) {
             return Ok((pin.into(), None));
@@ -230,13 +230,13 @@
         self.0.revision.subscribe()
     }
 
-    /// From here on what is set here is kept for [`Overrides::take_fresh`].
-    pub fn talk(&self) {
+    /// From here on what is set here is kept for [`Overrides::take_unsent`].
+    pub fn enable_gossip(&self) {
         self.0.talks.set(true);
     }
 
     /// What was set here since it was last asked; resolves when there is something.
-    pub async fn take_fresh(&self) -> Vec<Arc<Record>> {
+    pub async fn take_unsent(&self) -> Vec<Arc<Record>> {
         loop {
             let fresh = std::mem::take(&mut *self.0.fresh.borrow_mut());
             if !fresh.is_empty() {
--- a/dispatcher/src/peers/load_gossip.rs
+++ b/dispatcher/src/peers/load_gossip.rs
@@ -5,7 +5,7 @@
 use crate::config::LoadGossipPeers;
 use crate::facade::{FlowId, TargetId};
 use crate::flow::{Flows, ForwardObserver, PeerLoad};
-use crate::local_faults::open_patiently;
+use crate::local_faults::open_with_retry;
 use crate::peers::discovery_reports::{DiscoveryReports, ReportSender};
 use lineroute_control::discovery_report::DiscoveryReport;
 use lineroute_control::load_gossip::{
@@ -83,7 +83,7 @@
     reports: Rc<DiscoveryReports>,
 ) -> Result<(), String> {
     let LoadGossipPeers { listen, own, peers, all_peers, zone_name } = config;
-    let socket = open_patiently(|| UdpSocket::bind(listen))
+    let socket = open_with_retry(|| UdpSocket::bind(listen))
         .await
         .map_err(|e| format!("peer_listen: {listen}: {e}"))?;
     info!(peers = peers.len(), own, "load gossip: started");
--- a/dispatcher/src/peers/mod.rs
+++ b/dispatcher/src/peers/mod.rs
@@ -5,7 +5,7 @@
 pub mod load_gossip;
 
 use crate::config::Peers;
-use crate::local_faults::open_patiently;
+use crate::local_faults::open_with_retry;
 use crate::overrides::{now, Overrides};
 use discovery_reports::{DiscoveryReports, ReportSender};
 use lineroute_control::discovery_report::DiscoveryReport;
@@ -69,7 +69,7 @@
     reports: Rc<DiscoveryReports>,
 ) -> Result<Handle, String> {
     let Peers { listen, others, keys } = config;
-    let socket = open_patiently(|| UdpSocket::bind(listen))
+    let socket = open_with_retry(|| UdpSocket::bind(listen))
         .await
         .map_err(|e| format!("peer_listen: {listen}: {e}"))?;
     let mut seed = [0; 32];
@@ -77,7 +77,7 @@
     let at = socket.local_addr().map_err(|e| format!("peer_listen: {e}"))?;
     info!(addr = %at, peers = others.len(), "talks with peers");
     let gossip = Rc::new(RefCell::new(Gossip::new(&others, keys, seed)));
-    overrides.talk();
+    overrides.enable_gossip();
     let handle = Handle { gossip, socket: Rc::new(socket) };
     reports.set_sender(Rc::new(handle.clone()));
     let task = GossipTask { handle: handle.clone(), overrides, reports };
@@ -115,7 +115,7 @@
                     let out = self.overrides.with(|table| self.handle.gossip.borrow_mut().tick(table));
                     self.handle.send(out);
                 }
-                fresh = self.overrides.take_fresh() => {
+                fresh = self.overrides.take_unsent() => {
                     let out: Vec<Outgoing> =
                         fresh.iter().flat_map(|r| self.handle.gossip.borrow_mut().announce(r)).collect();
                     self.handle.send(out);
--- a/dispatcher/src/stop.rs
+++ b/dispatcher/src/stop.rs
@@ -13,14 +13,14 @@
 use tracing::{info, warn};
 
 /// After SIGTERM clients keep coming for a while: so long they are served.
-const KEEP_TAKING: Duration = Duration::from_millis(700);
+const ACCEPT_GRACE: Duration = Duration::from_millis(700);
 /// How long answers may take to reach their clients once the last flow has ended.
-const LAST_WORDS: Duration = Duration::from_secs(1);
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long answers that pass may go on once everything else is done; then they are cut short.
 const PASS_ON: Duration = Duration::from_secs(10);
 /// Between two lines of the log on what a stop waits for.
 const REPORT_STOP_EVERY: Duration = Duration::from_millis(500);
-/// The platform counts the longest deadline as this at most; so long and [`KEEP_TAKING`] behind SIGTERM it may kill.
+/// The platform counts the longest deadline as this at most; so long and [`ACCEPT_GRACE`] behind SIGTERM it may kill.
 const LONGEST_COUNTED: Duration = Duration::from_secs(3);
 /// Answers go out so long before that: the signal was sent before it was heeded, and many clients are answered at once.
 const LAST_MOMENT_MARGIN: Duration = Duration::from_millis(200);
@@ -36,10 +36,10 @@
 const KEEP_ANSWERS: Duration = Duration::from_secs(5);
 
 /// What a stop has to end, in its order.
-pub struct Running {
+pub struct RunningProcess {
     pub flows: Flows,
     pub phase: Rc<Phase>,
-    pub front: Option<Rc<BeanstalkdListener>>,
+    pub beanstalkd: Option<Rc<BeanstalkdListener>>,
     pub fleet: Option<fleet::Handle>,
     /// The other processes of this dispatcher, where there may be some.
     pub siblings: Option<Rc<Siblings>>,
@@ -52,14 +52,15 @@
 
 /// How long behind SIGTERM everybody has to have an answer: SIGKILL may follow so soon.
 fn last_moment(longest_deadline: Duration) -> Duration {
-    (longest_deadline.min(LONGEST_COUNTED) + KEEP_TAKING).saturating_sub(LAST_MOMENT_MARGIN)
+    (longest_deadline.min(LONGEST_COUNTED) + ACCEPT_GRACE).saturating_sub(LAST_MOMENT_MARGIN)
 }
 
-impl Running {
+impl RunningProcess {
     /// Takes nothing new, answers what was taken before the platform may kill the process, and ends its connections. Dropped, it leaves
     /// off where it was.
     pub async fn stop(self) {
-        let Running { flows, phase, front, fleet, siblings, serving, slots, longest_deadline } = self;
+        let RunningProcess { flows, phase, beanstalkd, fleet, siblings, serving, slots, longest_deadline } =
+            self;
         info!(flows = flows.unanswered_flows(), "SIGTERM: stopping");
         let since = Instant::now();
         let report = actix_rt::spawn(report_stop(flows.clone(), since));
@@ -67,9 +68,9 @@
         siblings.iter().for_each(|siblings| siblings.stop());
         let queue = siblings.clone().filter(|_| phase.is_shared());
         let queue = queue.map(|siblings| actix_rt::spawn(leave_queue(siblings, phase.clone())));
-        front.iter().for_each(|f| f.stop());
+        beanstalkd.iter().for_each(|f| f.stop());
         let last_moment = last_moment(longest_deadline);
-        tokio::time::sleep(KEEP_TAKING.min(last_moment)).await;
+        tokio::time::sleep(ACCEPT_GRACE.min(last_moment)).await;
         phase.shut();
         info!(flows = flows.unanswered_flows(), "SIGTERM: new requests are refused from here on");
         let settled = async {
@@ -84,7 +85,7 @@
             while_within(GIVE_UP_WITHIN, || flows.forwards_in_flight() > 0).await;
         }
         info!("SIGTERM: every request has its answer");
-        while_within(KEEP_ANSWERS, || front.as_ref().is_some_and(|f| f.left() > 0)).await;
+        while_within(KEEP_ANSWERS, || beanstalkd.as_ref().is_some_and(|f| f.left() > 0)).await;
         while_within(PASS_ON, || flows.streaming_answers() > 0).await;
         if flows.streaming_answers() > 0 {
             warn!(flows = flows.streaming_answers(), "SIGTERM: answers that were passing are cut short");
@@ -97,7 +98,7 @@
         // Whoever still waits in the listener's queue is let in and refused; then there is none.
         phase.end();
         let _ = serving.await;
-        while_within(LAST_WORDS, || slots.count() > 0).await;
+        while_within(FLUSH_TIMEOUT, || slots.count() > 0).await;
         siblings.iter().for_each(|siblings| siblings.leave());
         queue.iter().for_each(JoinHandle::abort);
         report.abort();
--- a/dispatcher/src/targets/beanstalkd.rs
+++ b/dispatcher/src/targets/beanstalkd.rs
@@ -5,12 +5,12 @@
 //! the body follows. The first line of an answer names the job's id and its status: `started`, `served`,
 //! `failed`, or `refused` if the job was handed back without being started; the result follows.
 
-use crate::beanstalkd::{read_answer, read_body, read_line, Line, MAX_JOB};
+use crate::beanstalkd::{decode_answer, read_body, read_line, Line, MAX_JOB_BYTES};
 use crate::config::BeanstalkdWorkers;
 use crate::facade::{Outcome, TargetId};
 use crate::fleet::FencedOperation;
 use crate::flow::{Flows, Forward, ForwardId, Target};
-use crate::local_faults::{is_local, TRY_AGAIN_AFTER};
+use crate::local_faults::{is_local, LOCAL_FAULT_RETRY_DELAY};
 use bytes::Bytes;
 use futures_util::FutureExt;
 use lineroute_permit::RetryPermit;
@@ -65,7 +65,7 @@
             self.output.write_all(request).await?;
             match read_line(&mut self.input).await? {
                 Line::Text(line) => Ok(line),
-                Line::Bad => Err(io::ErrorKind::InvalidData.into()),
+                Line::Invalid => Err(io::ErrorKind::InvalidData.into()),
                 Line::End => Err(io::ErrorKind::UnexpectedEof.into()),
             }
         })
@@ -85,7 +85,7 @@
     /// Reads the body whose size is the last word of the reply.
     async fn reply_body(&mut self, reply: &str) -> io::Result<Bytes> {
         let size = reply.rsplit(' ').next().and_then(|n| n.parse::<usize>().ok());
-        let size = size.filter(|s| *s <= MAX_JOB * 2).ok_or(io::ErrorKind::InvalidData)?;
+        let size = size.filter(|s| *s <= MAX_JOB_BYTES * 2).ok_or(io::ErrorKind::InvalidData)?;
         let body = with_timeout(COMMAND_TIMEOUT, read_body(&mut self.input, size)).await?;
         body.ok_or_else(|| io::ErrorKind::InvalidData.into())
     }
@@ -216,7 +216,7 @@
                             }
                             // A probe that failed for a local reason says nothing about the worker; it is
                             // retried.
-                            Err(e) if is_local(&e) => tokio::time::sleep(TRY_AGAIN_AFTER * 2).await,
+                            Err(e) if is_local(&e) => tokio::time::sleep(LOCAL_FAULT_RETRY_DELAY * 2).await,
                             Err(_) => break false,
                         }
                     };
@@ -256,7 +256,7 @@
         let open = match self.ensure_connected(server, connection).await {
             Ok(open) => open,
             Err(e) if is_local(&e) => {
-                tokio::time::sleep(TRY_AGAIN_AFTER).await;
+                tokio::time::sleep(LOCAL_FAULT_RETRY_DELAY).await;
                 self.flows.forward_ended(forward_id, Outcome::Moot, None);
                 return true;
             }
@@ -360,7 +360,7 @@
 
     /// Handles an answer of a worker.
     fn handle_answer(&self, server: &Server, body: &Bytes) {
-        let Some((id, word, result)) = read_answer(body) else {
+        let Some((id, word, result)) = decode_answer(body) else {
             warn!(server = %server.addr, "beanstalkd server: malformed job in the answers tube");
             return;
         };
--- a/dispatcher/src/targets/http.rs
+++ b/dispatcher/src/targets/http.rs
@@ -8,7 +8,7 @@
 use crate::facade::{Load, Outcome, TargetId};
 use crate::fleet::FencedOperation;
 use crate::flow::{Flows, Forward, ForwardId, Target};
-use crate::local_faults::TRY_AGAIN_AFTER;
+use crate::local_faults::LOCAL_FAULT_RETRY_DELAY;
 use crate::siblings::Delivery;
 use awc::http::{header, Method};
 use bytes::Bytes;
@@ -345,7 +345,7 @@
             Err(CallError::Busy | CallError::NotPermitted | CallError::Stale) => Outcome::Moot,
             Err(CallError::Local(_)) => {
                 // If this task is dropped here, nothing was sent, and the gate reports that.
-                tokio::time::sleep(TRY_AGAIN_AFTER).await;
+                tokio::time::sleep(LOCAL_FAULT_RETRY_DELAY).await;
                 Outcome::Moot
             }
             Err(CallError::Timeout) if Instant::now() >= forward.deadline => Outcome::TimedOut,
--- a/dispatcher/src/targets/upstream.rs
+++ b/dispatcher/src/targets/upstream.rs
@@ -2,12 +2,12 @@
 //! time; `lineroute_stream` judges from its end whether the attempt ran. awc is not used here: it writes a
 //! whole request before it reads the answer, and it buffers what a slow peer has not read.
 
-use crate::body::{Attempt, Body, Ended, Reader, Writer};
+use crate::body::{Attempt, Body, Reader, StreamEnd, Writer};
 use crate::config::HttpWorkers;
 use crate::facade::{Outcome, TargetId};
 use crate::fleet::FencedOperation;
 use crate::flow::{Flows, Forward, ForwardId, Job, StreamedAnswer, Target};
-use crate::local_faults::{is_local, TRY_AGAIN_AFTER};
+use crate::local_faults::{is_local, LOCAL_FAULT_RETRY_DELAY};
 use bytes::{Bytes, BytesMut};
 use http::{HeaderMap, HeaderValue, Method};
 use lineroute_http1::{
@@ -183,7 +183,7 @@
             Err(ConnectFailure::Unreachable) => return never_ran(),
             Err(ConnectFailure::Local) => {
                 // If this task is dropped here, nothing was sent.
-                tokio::time::sleep(TRY_AGAIN_AFTER).await;
+                tokio::time::sleep(LOCAL_FAULT_RETRY_DELAY).await;
                 return ForwardEnd { external_cause: true, ..never_ran() };
             }
         };
@@ -284,8 +284,8 @@
         // The listener has already answered it.
         head.headers.remove("expect");
         let (framing, source) = match &job.body {
-            Body::Whole(bytes) if bytes.is_empty() => (Framing::None, BodySource::Whole(None)),
-            Body::Whole(bytes) => {
+            Body::Buffered(bytes) if bytes.is_empty() => (Framing::None, BodySource::Whole(None)),
+            Body::Buffered(bytes) => {
                 (Framing::Length(bytes.len() as u64), BodySource::Whole(Some(bytes.clone())))
             }
             Body::Stream(upload) => {
@@ -315,8 +315,8 @@
             };
             let chunk = match next {
                 Ok(chunk) => chunk,
-                Err(Ended::Broken) => return Err(UploadError::Client),
-                Err(Ended::Whole) => break,
+                Err(StreamEnd::Truncated) => return Err(UploadError::Client),
+                Err(StreamEnd::Complete) => break,
             };
             client_pace.record_progress(self.now(), chunk.len());
             framed.clear();
@@ -493,7 +493,7 @@
         reusable: bool,
     ) -> ForwardEnd {
         if let Some(writer) = writer {
-            writer.end(Ended::Whole);
+            writer.end(StreamEnd::Complete);
             return ForwardEnd { reusable, ..ForwardEnd::of(AttemptResult::Completed) };
         }
         // A listener of another protocol only distinguishes success and failure.
@@ -526,9 +526,9 @@
 }
 
 impl BodySource {
-    async fn next(&mut self) -> Result<Bytes, Ended> {
+    async fn next(&mut self) -> Result<Bytes, StreamEnd> {
         match self {
-            BodySource::Whole(bytes) => bytes.take().ok_or(Ended::Whole),
+            BodySource::Whole(bytes) => bytes.take().ok_or(StreamEnd::Complete),
             BodySource::Stream(attempt) => attempt.next().await,
         }
     }
@@ -566,7 +566,7 @@
                 match tokio::time::timeout(this.0.connect_timeout, connect).await {
                     Ok(Ok(_)) => break Outcome::Served,
                     // A probe that failed for a local reason says nothing about the worker; it is retried.
-                    Ok(Err(e)) if is_local(&e) => tokio::time::sleep(TRY_AGAIN_AFTER * 2).await,
+                    Ok(Err(e)) if is_local(&e) => tokio::time::sleep(LOCAL_FAULT_RETRY_DELAY * 2).await,
                     Ok(Err(_)) | Err(_) => break Outcome::NoRoute,
                 }
             };
--- a/lab/fault-plan/src/lib.rs
+++ b/lab/fault-plan/src/lib.rs
@@ -63,7 +63,7 @@
     /// How far the wall clock is off, in milliseconds.
     pub clock_offset_ms: i64,
     /// A connection that was reset shows as ETIMEDOUT or EHOSTUNREACH.
-    pub resets_show_otherwise: bool,
+    pub disguise_resets: bool,
     /// How many of a thousand calls fail, in the order of [`CALLS`].
     pub rates: [u64; CALLS.len()],
 }
@@ -73,7 +73,7 @@
     pub fn to_bytes(&self) -> [u8; BYTES] {
         let mut words = [0u64; WORDS];
         words[CLOCK_WORD] = self.clock_offset_ms.cast_unsigned();
-        words[RESETS_WORD] = u64::from(self.resets_show_otherwise);
+        words[RESETS_WORD] = u64::from(self.disguise_resets);
         for call in CALLS {
             words[call.word()] = self.rates[call as usize];
         }
--- a/lab/fault-shim/src/lib.rs
+++ b/lab/fault-shim/src/lib.rs
@@ -41,14 +41,14 @@
 }
 
 /// An error that this call is to end with now.
-fn drawn(call: Call, errors: &[c_int]) -> Option<c_int> {
-    plan::strikes(call).then(|| errors[plan::below(errors.len() as u64) as usize])
+fn injected_error(call: Call, errors: &[c_int]) -> Option<c_int> {
+    plan::should_fail(call).then(|| errors[plan::random_below(errors.len() as u64) as usize])
 }
 
 /// How many bytes a call may move: all, or fewer where it is to be cut short.
-fn part_of(call: Call, bytes: size_t) -> size_t {
-    if bytes > 1 && plan::strikes(call) {
-        1 + plan::below(bytes as u64 - 1) as size_t
+fn shortened_len(call: Call, bytes: size_t) -> size_t {
+    if bytes > 1 && plan::should_fail(call) {
+        1 + plan::random_below(bytes as u64 - 1) as size_t
     } else {
         bytes
     }
@@ -56,7 +56,7 @@
 
 /// Has `epoll` tell anew of a descriptor of which less was moved than could be: an edge-triggered watcher takes a short read or
 /// write for the end of what there is, as epoll(7) permits.
-fn tell_anew(descriptor: c_int) {
+fn rearm_edge_trigger(descriptor: c_int) {
     let Some(slot) = usize::try_from(descriptor).ok().filter(|slot| *slot < DESCRIPTORS) else { return };
     let watched = WATCHED[slot].load(Ordering::Relaxed);
     if watched == 0 {
@@ -71,9 +71,9 @@
 }
 
 /// The result of a read or write: a reset may show as another error.
-fn shown(result: ssize_t) -> ssize_t {
-    if result == -1 && matches!(error(), libc::ECONNRESET | libc::EPIPE) && plan::resets_show_otherwise() {
-        return fail(RESET_ERRORS[plan::below(2) as usize]) as ssize_t;
+fn disguise_reset(result: ssize_t) -> ssize_t {
+    if result == -1 && matches!(error(), libc::ECONNRESET | libc::EPIPE) && plan::disguise_resets() {
+        return fail(RESET_ERRORS[plan::random_below(2) as usize]) as ssize_t;
     }
     result
 }
@@ -111,7 +111,7 @@
     most: c_int,
     timeout: c_int,
 ) -> c_int {
-    if timeout != 0 && plan::strikes(Call::Wait) {
+    if timeout != 0 && plan::should_fail(Call::Wait) {
         return fail(libc::EINTR);
     }
     (next::epoll_wait())(watcher, events, most, timeout)
@@ -126,7 +126,7 @@
     size: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    if let Some(error) = drawn(Call::Accept, &ACCEPT_ERRORS) {
+    if let Some(error) = injected_error(Call::Accept, &ACCEPT_ERRORS) {
         return fail(error);
     }
     (next::accept4())(socket, from, size, flags)
@@ -144,7 +144,7 @@
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     let internet = matches!(domain, libc::AF_INET | libc::AF_INET6);
-    if let Some(error) = internet.then(|| drawn(Call::Socket, &SOCKET_ERRORS)).flatten() {
+    if let Some(error) = internet.then(|| injected_error(Call::Socket, &SOCKET_ERRORS)).flatten() {
         return fail(error);
     }
     (next::socket())(domain, kind, protocol)
@@ -154,7 +154,7 @@
 /// As connect(2).
 #[no_mangle]
 pub unsafe extern "C" fn connect(socket: c_int, to: *const sockaddr, size: socklen_t) -> c_int {
-    if let Some(error) = drawn(Call::Connect, &CONNECT_ERRORS) {
+    if let Some(error) = injected_error(Call::Connect, &CONNECT_ERRORS) {
         return fail(error);
     }
     (next::connect())(socket, to, size)
@@ -164,24 +164,24 @@
 /// As recv(2).
 #[no_mangle]
 pub unsafe extern "C" fn recv(socket: c_int, to: *mut c_void, size: size_t, flags: c_int) -> ssize_t {
-    let part = if flags & libc::MSG_PEEK == 0 { part_of(Call::ShortRead, size) } else { size };
+    let part = if flags & libc::MSG_PEEK == 0 { shortened_len(Call::ShortRead, size) } else { size };
     let result = (next::recv())(socket, to, part, flags);
     if part < size && result == part as ssize_t {
-        tell_anew(socket);
+        rearm_edge_trigger(socket);
     }
-    shown(result)
+    disguise_reset(result)
 }
 
 /// # Safety
 /// As send(2).
 #[no_mangle]
 pub unsafe extern "C" fn send(socket: c_int, from: *const c_void, size: size_t, flags: c_int) -> ssize_t {
-    let part = part_of(Call::ShortWrite, size);
+    let part = shortened_len(Call::ShortWrite, size);
     let result = (next::send())(socket, from, part, flags);
     if part < size && result == part as ssize_t {
-        tell_anew(socket);
+        rearm_edge_trigger(socket);
     }
-    shown(result)
+    disguise_reset(result)
 }
 
 /// Whether a descriptor is that of a regular file.
@@ -200,12 +200,12 @@
 /// As write(2).
 #[no_mangle]
 pub unsafe extern "C" fn write(descriptor: c_int, from: *const c_void, size: size_t) -> ssize_t {
-    if size > 1 && is_file(descriptor) && plan::strikes(Call::FileWrite) {
+    if size > 1 && is_file(descriptor) && plan::should_fail(Call::FileWrite) {
         // A part may be there when the disk is full.
-        if plan::below(2) == 0 {
-            (next::write())(descriptor, from, 1 + plan::below(size as u64 - 1) as size_t);
+        if plan::random_below(2) == 0 {
+            (next::write())(descriptor, from, 1 + plan::random_below(size as u64 - 1) as size_t);
         }
-        return fail(FILE_ERRORS[plan::below(2) as usize]) as ssize_t;
+        return fail(FILE_ERRORS[plan::random_below(2) as usize]) as ssize_t;
     }
     (next::write())(descriptor, from, size)
 }
@@ -214,28 +214,28 @@
 /// As readv(2).
 #[no_mangle]
 pub unsafe extern "C" fn readv(descriptor: c_int, parts: *const iovec, count: c_int) -> ssize_t {
-    if count > 1 && plan::strikes(Call::ShortRead) {
+    if count > 1 && plan::should_fail(Call::ShortRead) {
         let result = (next::readv())(descriptor, parts, 1);
         if result == (*parts).iov_len as ssize_t {
-            tell_anew(descriptor);
+            rearm_edge_trigger(descriptor);
         }
-        return shown(result);
+        return disguise_reset(result);
     }
-    shown((next::readv())(descriptor, parts, count))
+    disguise_reset((next::readv())(descriptor, parts, count))
 }
 
 /// # Safety
 /// As writev(2).
 #[no_mangle]
 pub unsafe extern "C" fn writev(descriptor: c_int, parts: *const iovec, count: c_int) -> ssize_t {
-    if count > 1 && plan::strikes(Call::ShortWrite) {
+    if count > 1 && plan::should_fail(Call::ShortWrite) {
         let result = (next::writev())(descriptor, parts, 1);
         if result == (*parts).iov_len as ssize_t {
-            tell_anew(descriptor);
+            rearm_edge_trigger(descriptor);
         }
-        return shown(result);
+        return disguise_reset(result);
     }
-    shown((next::writev())(descriptor, parts, count))
+    disguise_reset((next::writev())(descriptor, parts, count))
 }
 
 /// # Safety
--- a/lab/fault-shim/src/plan.rs
+++ b/lab/fault-shim/src/plan.rs
@@ -7,17 +7,17 @@
 use std::sync::OnceLock;
 
 /// Rates are parts of this.
-const ALL: u64 = 1000;
+const RATE_BASE: u64 = 1000;
 
 /// Where the file is mapped.
-struct Mapped(*const AtomicU64);
+struct MappedPlan(*const AtomicU64);
 
 // SAFETY: what it points to is mapped for the life of the process, and is read as atomic words alone.
-unsafe impl Send for Mapped {}
+unsafe impl Send for MappedPlan {}
 // SAFETY: as above.
-unsafe impl Sync for Mapped {}
+unsafe impl Sync for MappedPlan {}
 
-fn map() -> Option<Mapped> {
+fn map() -> Option<MappedPlan> {
     let path = std::env::var(PLAN_VARIABLE).ok().and_then(|path| CString::new(path).ok())?;
     // SAFETY: the path ends with a zero byte; the mapping is checked, and the file is as long as it.
     unsafe {
@@ -27,19 +27,19 @@
         }
         let at = libc::mmap(std::ptr::null_mut(), BYTES, libc::PROT_READ, libc::MAP_SHARED, file, 0);
         libc::close(file);
-        (at != libc::MAP_FAILED).then(|| Mapped(at.cast::<AtomicU64>()))
+        (at != libc::MAP_FAILED).then(|| MappedPlan(at.cast::<AtomicU64>()))
     }
 }
 
 fn word(index: usize) -> u64 {
-    static PLAN: OnceLock<Option<Mapped>> = OnceLock::new();
+    static PLAN: OnceLock<Option<MappedPlan>> = OnceLock::new();
     let Some(plan) = PLAN.get_or_init(map) else { return 0 };
     // SAFETY: the index is one of the plan's words.
     unsafe { (*plan.0.add(index)).load(Ordering::Relaxed) }
 }
 
 /// A number below a bound. Each process has its own sequence.
-pub fn below(bound: u64) -> u64 {
+pub fn random_below(bound: u64) -> u64 {
     static STATE: AtomicU64 = AtomicU64::new(0);
     const STEP: u64 = 0x9e37_79b9_7f4a_7c15;
     let mut x = STATE.fetch_add(STEP, Ordering::Relaxed) ^ u64::from(std::process::id());
@@ -49,13 +49,13 @@
 }
 
 /// Whether this call is to fail now.
-pub fn strikes(call: Call) -> bool {
+pub fn should_fail(call: Call) -> bool {
     let rate = word(call.word());
-    rate > 0 && below(ALL) < rate
+    rate > 0 && random_below(RATE_BASE) < rate
 }
 
 /// Whether resets show as other errors.
-pub fn resets_show_otherwise() -> bool {
+pub fn disguise_resets() -> bool {
     word(RESETS_WORD) != 0
 }
 
--- a/lab/src/fault_plans.rs
+++ b/lab/src/fault_plans.rs
@@ -78,9 +78,7 @@
             CallTrouble::Wait => Call::Wait,
             CallTrouble::ShortRead => Call::ShortRead,
             CallTrouble::ShortWrite => Call::ShortWrite,
-            CallTrouble::Resets => {
-                return self.change(member, |plan| plan.resets_show_otherwise = per_mille > 0)
-            }
+            CallTrouble::Resets => return self.change(member, |plan| plan.disguise_resets = per_mille > 0),
         };
         self.change(member, |plan| plan.rates[call as usize] = per_mille);
     }
