--- a/dispatcher/src/accept.rs
+++ b/dispatcher/src/accept.rs
@@ -1,22 +1,22 @@
-//! Accepting connections where it may fail.
+//! Retries after a failed `accept`.
 //!
-//! A failed accept says one of two things. Either one connection came to an end while it stood in the queue (`ECONNABORTED`, or an
-//! error of its network, which Linux passes on): the next one may be accepted at once. Or this machine was short of descriptors,
-//! buffers or memory: others may free some, so it is tried again soon, and less often the longer that lasts. Whoever stands
-//! in the queue meanwhile has no more time than before.
+//! An `accept` fails for one of two reasons. Either a single connection ended while it was queued (`ECONNABORTED`, or a pending
+//! network error, which Linux reports through `accept`): the next connection can be accepted at once. Or this host is short of
+//! descriptors, buffers or memory: another process may release some, so `accept` is retried after a pause that doubles up to a
+//! limit. The deadlines of queued requests are not extended meanwhile.
 
 use rustix::io::Errno;
 use std::io;
 use std::time::Duration;
 use tracing::warn;
 
-/// The pause behind the first failure of a row that is this machine's own. It doubles from one to the next.
+/// Pause after the first of several consecutive local failures. It doubles with each further failure.
 const FIRST_PAUSE: Duration = Duration::from_millis(1);
-/// The longest pause: a hundred tries a second cost next to nothing.
-const LONGEST_PAUSE: Duration = Duration::from_millis(10);
+/// Upper limit of the pause. A hundred attempts a second cost next to nothing.
+const MAX_PAUSE: Duration = Duration::from_millis(10);
 
-/// Whether an error of accept is that of the connection which was to be accepted, and says nothing of the next one.
-fn is_of_one_connection(error: &io::Error) -> bool {
+/// Whether an `accept` error concerns only the connection being accepted, and not the next one.
+fn concerns_one_connection(error: &io::Error) -> bool {
     matches!(
         Errno::from_io_error(error),
         Some(
@@ -34,44 +34,45 @@
     )
 }
 
-/// When one listener tries to accept again.
+/// Retry state of one listener's `accept`.
 #[derive(Debug)]
 pub struct AcceptRetry {
     listener: &'static str,
-    /// The pause behind the next failure that is this machine's own.
+    /// Pause after the next local failure.
     pause: Duration,
 }
 
 impl AcceptRetry {
-    /// For a listener of this name in the log.
+    /// `listener` is the listener's name in the log.
     pub fn new(listener: &'static str) -> Self {
         AcceptRetry { listener, pause: FIRST_PAUSE }
     }
 
-    /// A connection was accepted.
+    /// Resets the pause after a connection has been accepted.
     pub fn succeeded(&mut self) {
         self.pause = FIRST_PAUSE;
     }
 
-    /// Accepting failed: resolves when it is to be tried again. Dropped, it has counted the failure.
+    /// Waits after a failed `accept` until the next attempt. The failure counts as soon as the future is polled, also when it is
+    /// dropped before it completes.
     pub async fn failed(&mut self, error: &io::Error) {
-        if let Some(pause) = self.pause_behind(error) {
+        if let Some(pause) = self.pause_after(error) {
             tokio::time::sleep(pause).await;
         } else {
             tokio::task::yield_now().await;
         }
     }
 
-    /// How long to wait behind a failure; `None`: not at all. The first of a row is logged.
-    fn pause_behind(&mut self, error: &io::Error) -> Option<Duration> {
-        if is_of_one_connection(error) {
+    /// Returns the pause after a failure, or `None` for an immediate retry. Logs the first of several consecutive failures.
+    fn pause_after(&mut self, error: &io::Error) -> Option<Duration> {
+        if concerns_one_connection(error) {
             return None;
         }
         let pause = self.pause;
         if pause == FIRST_PAUSE {
             warn!(listener = self.listener, error = %error, "accept fails");
         }
-        self.pause = (pause * 2).min(LONGEST_PAUSE);
+        self.pause = (pause * 2).min(MAX_PAUSE);
         Some(pause)
     }
 }
@@ -85,26 +86,26 @@
     }
 
     #[test]
-    fn what_ended_one_connection_holds_up_no_other() {
+    fn per_connection_errors_cause_no_pause() {
         let mut retry = AcceptRetry::new("test");
-        for of_one in [Errno::CONNABORTED, Errno::PROTO, Errno::NETUNREACH, Errno::HOSTUNREACH] {
-            assert_eq!(retry.pause_behind(&error(of_one)), None, "{of_one:?}");
+        for errno in [Errno::CONNABORTED, Errno::PROTO, Errno::NETUNREACH, Errno::HOSTUNREACH] {
+            assert_eq!(retry.pause_after(&error(errno)), None, "{errno:?}");
         }
     }
 
     #[test]
-    fn the_pause_grows_to_its_bound_and_is_short_again_behind_a_connection() {
+    fn pause_doubles_up_to_its_limit_and_resets_after_success() {
         let mut retry = AcceptRetry::new("test");
-        let mut pauses = || retry.pause_behind(&error(Errno::MFILE)).map(|pause| pause.as_millis());
-        let row: Vec<_> = (0..6).map(|_| pauses()).collect();
-        assert_eq!(row, [1, 2, 4, 8, 10, 10].map(Some));
+        let mut next_pause_ms = || retry.pause_after(&error(Errno::MFILE)).map(|pause| pause.as_millis());
+        let sequence: Vec<_> = (0..6).map(|_| next_pause_ms()).collect();
+        assert_eq!(sequence, [1, 2, 4, 8, 10, 10].map(Some));
         retry.succeeded();
-        assert_eq!(retry.pause_behind(&error(Errno::NOBUFS)), Some(FIRST_PAUSE));
+        assert_eq!(retry.pause_after(&error(Errno::NOBUFS)), Some(FIRST_PAUSE));
     }
 
-    /// An error that no page names is tried again with a pause: guards against spinning.
+    /// Errors that accept(2) does not document are retried with a pause, so that the accept loop never spins.
     #[test]
-    fn an_unknown_error_is_waited_for() {
-        assert!(AcceptRetry::new("test").pause_behind(&io::Error::other("of no system call")).is_some());
+    fn unknown_errors_cause_a_pause() {
+        assert!(AcceptRetry::new("test").pause_after(&io::Error::other("not from a system call")).is_some());
     }
 }
