--- a/dispatcher/src/arrival.rs
+++ b/dispatcher/src/arrival.rs
@@ -1,70 +1,72 @@
-//! When what is read now may have come.
+//! Estimates when data that is read now arrived.
 //!
-//! A request's time runs from when its client sent it, and not from when this process came to read it. Between the two it may
-//! stand in a socket: behind another request, in the queue of a listening socket while accepting fails or the process starts, or
-//! while the process itself stands still. How long is not told by the kernel, but there is a time at which nothing was there yet.
-//! In doubt a request came right behind that: its client is then promised less time, and never more than it has. An answer about the
-//! worker list is as old, too: what changed while it stood unread is not in it.
+//! A request's deadline counts from when its client sent it, not from when this process read it. In between the request may be
+//! buffered in a socket: behind another request, in the accept queue while `accept` fails or the process starts, or while the
+//! process itself is stalled. The kernel does not report for how long, but there is a last time at which the socket was known to
+//! be empty. When in doubt the request is taken to have arrived right after that: this may underestimate the client's
+//! remaining time, but never overestimates it. The same holds for a response with the worker list: it does not contain
+//! changes made while it was waiting to be read.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Between two looks of a process that runs. With [`LATE_LOOK`] it is the longest hold-up that goes unnoticed: less than the
-/// margin by which answers are given before their deadline (`ANSWER_MARGIN` of `flow`), since what is not noticed is taken from that.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
-/// A look may be so late without a hold-up being presumed.
-const LATE_LOOK: Duration = Duration::from_millis(5);
+/// Interval between two polls while the process runs. Together with [`POLL_TOLERANCE`] it is the longest stall that goes
+/// undetected. The sum is less than the margin by which answers precede their deadline (`ANSWER_MARGIN` of `flow`), since
+/// undetected stalls use up that margin.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// How late a poll may be before a stall is assumed.
+const POLL_TOLERANCE: Duration = Duration::from_millis(5);
 
-/// Keeps when this process last looked at its sockets.
+/// Tracks when this process last polled its sockets.
 #[derive(Debug)]
 pub struct ArrivalClock {
-    /// What had come by then to sockets that are open has been read.
+    /// Data that reached open sockets by this time has been read.
     read_until: Cell<Instant>,
-    /// When the queue of the listening socket was empty last.
+    /// When the accept queue was last empty.
     queue_empty: Cell<Instant>,
 }
 
 impl ArrivalClock {
-    /// Begins before the listening socket is opened.
+    /// To be called before the listening socket is opened.
     pub fn new(now: Instant) -> Self {
         ArrivalClock { read_until: Cell::new(now), queue_empty: Cell::new(now) }
     }
 
-    /// Keeps the clock. Never ends; dropped, it holds nothing, and all that is read counts as held up.
+    /// Updates the clock; never completes. Once it is dropped, all data counts as delayed since the last update.
     pub async fn run(self: Rc<Self>) {
         loop {
             let began = Instant::now();
-            // The event loop asks the kernel, and runs whoever has something to read, before it comes back here. However long
-            // that takes: what comes meanwhile is not covered.
+            // The event loop polls the kernel and runs all tasks with readable sockets before this one resumes. Data that
+            // arrives in the meantime is not covered, hence the time from before the yield.
             tokio::task::yield_now().await;
             self.record_read_until(began);
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// What had come by then has been read.
+    /// Records that all data that had arrived by `at` has been read.
     fn record_read_until(&self, at: Instant) {
         self.read_until.set(at);
     }
 
-    /// The queue of the listening socket was empty then.
+    /// Records that the accept queue was empty at `at`.
     pub fn record_queue_empty(&self, at: Instant) {
         self.queue_empty.set(at);
     }
 
-    /// The earliest time at which something may have come that is read now, from a socket that was looked at before.
+    /// The earliest time at which data read now may have arrived on a socket that has been polled before.
     pub fn earliest_arrival(&self, now: Instant) -> Instant {
         let read_until = self.read_until.get();
-        let held_up = now.saturating_duration_since(read_until) > LOOK_EVERY + LATE_LOOK;
-        if held_up {
+        let stalled = now.saturating_duration_since(read_until) > POLL_INTERVAL + POLL_TOLERANCE;
+        if stalled {
             read_until
         } else {
             now
         }
     }
 
-    /// The same for what comes with a connection that stood in the queue.
+    /// The same for data on a connection that was waiting in the accept queue.
     pub fn earliest_queued_arrival(&self, now: Instant) -> Instant {
         self.earliest_arrival(now).min(self.queue_empty.get())
     }
@@ -79,7 +81,7 @@
     }
 
     #[test]
-    fn what_is_read_while_the_process_runs_has_just_come() {
+    fn data_read_without_a_stall_has_just_arrived() {
         let start = Instant::now();
         let clock = ArrivalClock::new(start);
         for ms in (10..1000).step_by(10) {
@@ -89,23 +91,24 @@
     }
 
     #[test]
-    fn what_is_read_behind_a_hold_up_may_have_come_at_its_start() {
+    fn data_read_after_a_stall_may_date_from_its_start() {
         let start = Instant::now();
         let clock = ArrivalClock::new(start);
         clock.record_read_until(after(start, 100));
         assert_eq!(clock.earliest_arrival(after(start, 2000)), after(start, 100));
-        // Held up again before the first backlog was read: its start counts until all of that has been.
+        // Stalled again before the first backlog was read: the start of the first stall counts until all of it has been read.
         assert_eq!(clock.earliest_arrival(after(start, 2400)), after(start, 100));
-        // What came before the look at 2000 is read; the process was held up in the meantime.
+        // Data from before the poll at 2000 has been read; the process was stalled in the meantime.
         clock.record_read_until(after(start, 2000));
         assert_eq!(clock.earliest_arrival(after(start, 2410)), after(start, 2000));
         clock.record_read_until(after(start, 2405));
         assert_eq!(clock.earliest_arrival(after(start, 2415)), after(start, 2415));
     }
 
-    /// A busy machine gives the process no processor for a moment: what came in it must not be promised its time anew.
+    /// On a busy host the process may get no CPU time for a moment. Requests that arrive then must not be granted their full
+    /// time from the moment they are read.
     #[test]
-    fn a_hold_up_as_short_as_the_margin_of_answers_is_noticed() {
+    fn stalls_as_short_as_the_answer_margin_are_detected() {
         let start = Instant::now();
         let clock = ArrivalClock::new(start);
         clock.record_read_until(after(start, 10));
@@ -113,7 +116,7 @@
     }
 
     #[test]
-    fn what_stood_in_the_queue_may_have_come_when_that_was_empty() {
+    fn queued_data_may_date_from_when_the_queue_was_last_empty() {
         let start = Instant::now();
         let clock = ArrivalClock::new(start);
         clock.record_read_until(after(start, 10));
