--- a/dispatcher/src/beanstalkd.rs
+++ b/dispatcher/src/beanstalkd.rs
@@ -1,5 +1,5 @@
-//! The beanstalkd protocol, as far as both sides of it share: reading lines, names, limits, and the form in
-//! which one final answer is written as a job.
+//! The parts of the beanstalkd protocol that listener and targets share: reading lines, names, limits, and the
+//! encoding of a final answer as a job.
 
 use crate::flow::Answer;
 use bytes::Bytes;
@@ -7,25 +7,25 @@
 use std::time::Duration;
 use tokio::io::{AsyncBufRead, AsyncBufReadExt, AsyncReadExt};
 
-/// A command line's length with its end, as beanstalkd has it.
+/// Maximum length of a command line with its CRLF, as in beanstalkd.
 pub const MAX_LINE_BYTES: usize = 224;
-/// A body's length, as beanstalkd has it by default.
+/// Maximum length of a job body, beanstalkd's default.
 pub const MAX_JOB_BYTES: usize = 65_535;
 const MAX_NAME_BYTES: usize = 200;
 
-/// What was read where a line should stand.
+/// The result of reading a line.
 #[derive(Debug, PartialEq)]
 pub enum Line {
     Text(String),
-    /// Too long, or not text. It was passed over up to its end.
+    /// Too long, or not UTF-8. It has been skipped up to its end.
     Invalid,
-    /// The connection has ended.
+    /// The connection was closed.
     End,
 }
 
-/// Reads up to CRLF. A line feed alone ends nothing.
+/// Reads up to CRLF. A line feed alone does not end a line.
 pub async fn read_line(input: &mut (impl AsyncBufRead + Unpin)) -> io::Result<Line> {
-    let (mut line, mut bad) = (Vec::new(), false);
+    let (mut line, mut invalid) = (Vec::new(), false);
     loop {
         let chunk = input.fill_buf().await?;
         if chunk.is_empty() {
@@ -34,8 +34,8 @@
         let end = chunk.iter().position(|&b| b == b'\n');
         let used = end.map_or(chunk.len(), |at| at + 1);
         if line.len() + used > MAX_LINE_BYTES {
-            // Only its last byte matters still: a carriage return may stand before the line feed to come.
-            bad = true;
+            // Only the last two bytes are kept: a carriage return may precede the next line feed.
+            invalid = true;
             let last = if used > 1 { chunk[used - 2] } else { line.last().copied().unwrap_or(0) };
             line = vec![last, chunk[used - 1]];
         } else {
@@ -45,23 +45,23 @@
         if line.ends_with(b"\r\n") {
             line.truncate(line.len() - 2);
             return Ok(match String::from_utf8(line) {
-                Ok(text) if !bad => Line::Text(text),
+                Ok(text) if !invalid => Line::Text(text),
                 _ => Line::Invalid,
             });
         }
     }
 }
 
-/// Reads a body and the CRLF behind it. `None`: something else stands there, or the connection has ended.
+/// Reads a body and the CRLF that follows it; `None` if something else follows.
 pub async fn read_body(input: &mut (impl AsyncBufRead + Unpin), size: usize) -> io::Result<Option<Bytes>> {
     let mut body = vec![0; size + 2];
     input.read_exact(&mut body).await?;
-    let whole = body.ends_with(b"\r\n");
+    let terminated = body.ends_with(b"\r\n");
     body.truncate(size);
-    Ok(whole.then(|| body.into()))
+    Ok(terminated.then(|| body.into()))
 }
 
-/// Passes over so many bytes.
+/// Discards `bytes` bytes of the input.
 pub async fn skip(input: &mut (impl AsyncBufRead + Unpin), mut bytes: u64) -> io::Result<()> {
     while bytes > 0 {
         let chunk = input.fill_buf().await?;
@@ -75,19 +75,19 @@
     Ok(())
 }
 
-/// Whether this may name a tube.
+/// Whether `name` is a valid tube name.
 pub fn is_valid_name(name: &str) -> bool {
     let plain = |b: u8| b.is_ascii_alphanumeric() || b"-+/;.$_()".contains(&b);
     !name.is_empty() && name.len() <= MAX_NAME_BYTES && !name.starts_with('-') && name.bytes().all(plain)
 }
 
-/// An answer as a job: the first line says which job, what became of it, and after how many seconds trying
-/// again makes sense; the result follows.
+/// Encodes an answer as a job: the first line holds the job's id, its outcome and the number of seconds after
+/// which a retry makes sense; the result follows.
 pub fn encode_answer(id: u64, answer: &Answer) -> Bytes {
     let (word, after, result) = match answer {
         Answer::Served(result) => ("served", Duration::ZERO, &result[..]),
         Answer::Refused(after) => ("refused", *after, &b""[..]),
-        // Only a front that brought an HTTP head gets an answer that passes.
+        // Streamed answers go to HTTP listeners only.
         Answer::Passing(_) | Answer::Failed => ("failed", Duration::ZERO, &b""[..]),
     };
     let mut body = format!("{id} {word} {:.3}\n", after.as_secs_f64()).into_bytes();
@@ -95,7 +95,7 @@
     body.into()
 }
 
-/// What a worker's answer says: the job's id, the word for what became of it, and the result.
+/// Decodes a worker's answer into the job's id, the outcome and the result.
 pub fn decode_answer(body: &Bytes) -> Option<(u64, &str, Bytes)> {
     let end = body.iter().position(|&b| b == b'\n').unwrap_or(body.len());
     let line = std::str::from_utf8(&body[..end]).ok()?;
@@ -109,7 +109,7 @@
     use super::*;
 
     #[test]
-    fn lines_end_with_both_characters_and_stay_bounded() {
+    fn lines_end_with_crlf_and_are_limited_in_length() {
         let long = "x".repeat(MAX_LINE_BYTES * 3);
         let text = format!("stats\r\nnot\nyet\r\n{long}\r\nquit\r\npart");
         let mut input = text.as_bytes();
@@ -125,7 +125,7 @@
     }
 
     #[test]
-    fn an_answer_is_read_as_it_was_written() {
+    fn answers_decode_to_what_was_encoded() {
         let body = encode_answer(7, &Answer::Served("two\nlines".into()));
         assert_eq!(&body[..], b"7 served 0.000\ntwo\nlines");
         assert_eq!(decode_answer(&body), Some((7, "served", "two\nlines".into())));
