--- a/dispatcher/src/body.rs
+++ b/dispatcher/src/body.rs
@@ -1,7 +1,7 @@
-//! Bodies of flows: whole, or streams in bounded memory. What may be held and what may be sent again is
-//! decided in `lineroute_stream`; here bytes and wakers meet its decisions.
+//! Bodies of flows: buffered, or streamed in bounded memory. `lineroute_stream` decides how much may be held and
+//! what may be replayed; this module applies its decisions to bytes and wakers.
 //!
-//! All of it lives on one thread. No borrow is held over an await.
+//! Everything runs on one thread. No `RefCell` borrow is held across an await.
 
 use bytes::Bytes;
 use lineroute_stream::{Budget, ReplayBuffer, ReplayCursor, Share};
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
 
-/// The memory that all streams share.
+/// The memory budget that all streams share.
 #[derive(Clone)]
 pub struct StreamBudget(Rc<RefCell<Budget>>);
 
@@ -20,7 +20,7 @@
         StreamBudget(Rc::new(RefCell::new(Budget::new(total, floor, ceiling))))
     }
 
-    /// A stream; `None` if there is no room for one more.
+    /// Opens a stream; `None` if the budget has no room for another one.
     pub fn stream(&self) -> Option<(Writer, Reader)> {
         let share = self.0.borrow_mut().open()?;
         let stream = Rc::new(Stream {
@@ -28,7 +28,7 @@
             state: RefCell::new(State {
                 share: Some(share),
                 queue: VecDeque::new(),
-                kept: 0,
+                retained: 0,
                 end: None,
                 reader_gone: false,
                 reader: None,
@@ -38,27 +38,27 @@
         Some((Writer(stream.clone()), Reader(stream)))
     }
 
-    /// Bytes held, and streams open.
+    /// The number of bytes held and of open streams.
     pub fn held(&self) -> (usize, usize) {
         let budget = self.0.borrow();
         (budget.held(), budget.open_streams())
     }
 }
 
-/// How a stream came to its end.
+/// How a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
     Complete,
-    /// In the middle: what has come is not all.
+    /// The stream ended before its body was complete.
     Truncated,
 }
 
 struct State {
-    /// `None` only while the stream is dropped.
+    /// `None` only while the stream is being dropped.
     share: Option<Share>,
     queue: VecDeque<Bytes>,
-    /// Bytes that were read and are held all the same, to be sent again.
-    kept: usize,
+    /// Bytes that have been read but are retained for replay.
+    retained: usize,
     end: Option<StreamEnd>,
     reader_gone: bool,
     reader: Option<Waker>,
@@ -71,10 +71,10 @@
 }
 
 impl Stream {
-    /// Sets what the stream holds by what it has.
+    /// Adjusts the stream's share of the budget to the bytes that it holds.
     fn account(&self, state: &mut State) {
-        let State { share, queue, kept, .. } = state;
-        let held = queue.iter().map(Bytes::len).sum::<usize>() + *kept;
+        let State { share, queue, retained, .. } = state;
+        let held = queue.iter().map(Bytes::len).sum::<usize>() + *retained;
         if let Some(share) = share {
             let mut budget = self.budget.0.borrow_mut();
             let before = share.held();
@@ -92,11 +92,11 @@
     }
 }
 
-/// Where bytes go in. Dropped before the end was said, it breaks the stream off.
+/// The writing end of a stream. Dropping it before [`Writer::end`] truncates the stream.
 pub struct Writer(Rc<Stream>);
 
 impl Writer {
-    /// Resolves when there is room, to how much; `None`: nobody reads any more.
+    /// Waits until there is room and returns how much; `None` if the reader is gone.
     pub async fn room(&self) -> Option<usize> {
         std::future::poll_fn(|cx| self.poll_room(cx)).await
     }
@@ -114,7 +114,7 @@
         Poll::Pending
     }
 
-    /// Adds bytes. More than there was room for is held all the same: the caller brings little at a time.
+    /// Appends bytes. Bytes beyond the available room are held nevertheless: callers push small chunks.
     pub fn push(&self, bytes: Bytes) {
         let state = &mut *self.0.state.borrow_mut();
         if bytes.is_empty() || state.reader_gone {
@@ -125,7 +125,7 @@
         state.reader.take().map(Waker::wake).unwrap_or_default();
     }
 
-    /// Says the end.
+    /// Marks the end of the stream. Later calls have no effect.
     pub fn end(&self, ended: StreamEnd) {
         let state = &mut *self.0.state.borrow_mut();
         if state.end.is_none() {
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Resolves when nobody reads any more.
+    /// Resolves when the reader is gone.
     pub async fn gone(&self) {
         std::future::poll_fn(|cx| {
             let state = &mut *self.0.state.borrow_mut();
@@ -154,7 +154,7 @@
     }
 }
 
-/// Where bytes come out. Dropped, it tells the writer.
+/// The reading end of a stream. Dropping it notifies the writer.
 pub struct Reader(Rc<Stream>);
 
 impl Reader {
@@ -175,19 +175,19 @@
         }
     }
 
-    /// So many bytes that were read are held.
-    fn keep(&self, kept: usize) {
+    /// Sets the number of read bytes that are retained for replay.
+    fn set_retained(&self, retained: usize) {
         let state = &mut *self.0.state.borrow_mut();
-        state.kept = kept;
+        state.retained = retained;
         self.0.account(state);
         state.writer.take().map(Waker::wake).unwrap_or_default();
     }
 
-    /// Whether what is kept leaves the writer no room.
+    /// Whether the bytes retained for replay leave the writer no room.
     fn replay_blocks_writer(&self) -> bool {
         let state = self.0.state.borrow();
         let room = state.share.as_ref().map_or(0, |share| self.0.budget.0.borrow().available(share));
-        room == 0 && state.queue.is_empty() && state.kept > 0
+        room == 0 && state.queue.is_empty() && state.retained > 0
     }
 }
 
@@ -196,43 +196,43 @@
         let state = &mut *self.0.state.borrow_mut();
         state.reader_gone = true;
         state.queue.clear();
-        state.kept = 0;
+        state.retained = 0;
         self.0.account(state);
         state.writer.take().map(Waker::wake).unwrap_or_default();
     }
 }
 
-/// A client's body as attempts read it: from its beginning, as long as that is held.
+/// A client's streamed body as attempts read it: each from the beginning, as long as that is still held.
 #[derive(Clone)]
 pub struct Upload(Rc<RefCell<Source>>);
 
 struct Source {
     reader: Reader,
     replay: ReplayBuffer,
-    /// Counts attempts: only the last one reads.
+    /// Number of attempts so far. Only the latest one may read.
     attempt: u32,
-    /// It came to no whole end: nothing of it is worth sending again.
-    broken: bool,
+    /// The client's body was truncated, so a repeat is pointless.
+    truncated: bool,
 }
 
 impl Upload {
-    /// A body that comes out of `reader`; up to `replay` bytes of it are held to be sent again.
+    /// A body read from `reader`; up to `replay` bytes of it are retained for replay.
     pub fn new(reader: Reader, replay: usize) -> Self {
         Upload(Rc::new(RefCell::new(Source {
             reader,
             replay: ReplayBuffer::new(replay),
             attempt: 0,
-            broken: false,
+            truncated: false,
         })))
     }
 
     /// Whether an attempt could send all of it.
     pub fn can_repeat(&self) -> bool {
         let source = self.0.borrow();
-        source.replay.is_complete() && !source.broken
+        source.replay.is_complete() && !source.truncated
     }
 
-    /// Reads it for an attempt; `None`: its beginning is gone.
+    /// Starts an attempt at the beginning of the body; `None` if the beginning is no longer held.
     pub fn attempt(&self) -> Option<Attempt> {
         let source = &mut *self.0.borrow_mut();
         source.attempt += 1;
@@ -250,7 +250,7 @@
     }
 }
 
-/// An attempt's view of an upload.
+/// An attempt's read position in an upload.
 pub struct Attempt {
     upload: Upload,
     at: ReplayCursor,
@@ -271,24 +271,24 @@
         if let Some(bytes) = source.replay.next_chunk(&mut self.at) {
             return Poll::Ready(Ok(bytes));
         }
-        // Guards against a wait for ever: what is held to be sent again must not keep the rest out.
+        // Prevents a deadlock: bytes retained for replay must not block the rest of the body.
         if source.reader.replay_blocks_writer() {
             source.replay.discard();
-            source.reader.keep(0);
+            source.reader.set_retained(0);
         }
         let next = source.reader.poll_next(cx);
-        source.broken |= matches!(next, Poll::Ready(Err(StreamEnd::Truncated)));
+        source.truncated |= matches!(next, Poll::Ready(Err(StreamEnd::Truncated)));
         if let Poll::Ready(Ok(bytes)) = &next {
             source.replay.push(bytes);
-            source.reader.keep(source.replay.held());
-            // What has just passed is behind this attempt.
+            source.reader.set_retained(source.replay.held());
+            // Advance past the chunk that this attempt has just received.
             source.replay.next_chunk(&mut self.at);
         }
         next
     }
 }
 
-/// What a flow brings: a whole body, or one that comes.
+/// The body of a flow's request.
 #[derive(Clone, Debug)]
 pub enum Body {
     Buffered(Bytes),
@@ -296,7 +296,7 @@
 }
 
 impl Body {
-    /// The whole body; of a stream nothing.
+    /// The buffered body; empty for a stream.
     pub fn whole(&self) -> Bytes {
         match self {
             Body::Buffered(bytes) => bytes.clone(),
@@ -304,7 +304,7 @@
         }
     }
 
-    /// Bytes that the flow itself holds; those of streams are the budget's.
+    /// Bytes held by the flow itself. Bytes of streams count towards the stream budget instead.
     pub fn len(&self) -> usize {
         match self {
             Body::Buffered(bytes) => bytes.len(),
@@ -325,8 +325,8 @@
 mod tests {
     use super::*;
 
-    fn poll<T>(mut act: impl FnMut(&mut Context<'_>) -> Poll<T>) -> Option<T> {
-        match act(&mut Context::from_waker(Waker::noop())) {
+    fn poll<T>(mut poll_fn: impl FnMut(&mut Context<'_>) -> Poll<T>) -> Option<T> {
+        match poll_fn(&mut Context::from_waker(Waker::noop())) {
             Poll::Ready(value) => Some(value),
             Poll::Pending => None,
         }
@@ -337,7 +337,7 @@
     }
 
     #[test]
-    fn a_stream_holds_no_more_than_its_part_and_gives_it_back() {
+    fn a_stream_stays_within_its_share_and_returns_it() {
         let budgets = StreamBudget::new(1000, 100, 300);
         let (writer, reader) = budgets.stream().expect("room");
         assert_eq!(poll(|cx| writer.poll_room(cx)), Some(Some(300)));
@@ -353,7 +353,7 @@
     }
 
     #[test]
-    fn a_writer_that_goes_breaks_the_stream_off() {
+    fn dropping_the_writer_truncates_the_stream() {
         let budgets = StreamBudget::new(1000, 100, 300);
         let (writer, reader) = budgets.stream().expect("room");
         writer.push(bytes(1));
@@ -367,7 +367,7 @@
     }
 
     #[test]
-    fn an_upload_is_read_again_while_its_beginning_is_held() {
+    fn an_upload_can_be_replayed_while_its_beginning_is_held() {
         let budgets = StreamBudget::new(10_000, 100, 3000);
         let (writer, reader) = budgets.stream().expect("room");
         let upload = Upload::new(reader, 250);
@@ -377,7 +377,7 @@
         writer.push(bytes(101));
         assert_eq!(poll(|cx| first.poll_next(cx)), Some(Ok(bytes(101))));
         assert_eq!((budgets.held().0, poll(|cx| first.poll_next(cx))), (201, None));
-        // The second starts over, and the first has nothing more to read.
+        // The second attempt starts over, and the first one can read no further.
         let mut second = upload.attempt().expect("whole");
         assert_eq!(poll(|cx| first.poll_next(cx)), Some(Err(StreamEnd::Truncated)));
         for size in [100, 101] {
@@ -389,9 +389,9 @@
         assert_eq!(budgets.held().0, 0);
     }
 
-    /// What is kept must not stop what is to come.
+    /// Bytes retained for replay must not block the rest of the body.
     #[test]
-    fn what_is_held_to_be_sent_again_gives_way_when_there_is_no_room() {
+    fn replay_bytes_are_discarded_when_the_writer_has_no_room() {
         let budgets = StreamBudget::new(400, 100, 150);
         let (writer, reader) = budgets.stream().expect("room");
         let upload = Upload::new(reader, 1000);
@@ -401,7 +401,7 @@
             let Some(room) = room else { panic!("no room, {:?} held", budgets.held()) };
             writer.push(bytes(room));
             assert_eq!(poll(|cx| attempt.poll_next(cx)), Some(Ok(bytes(room))));
-            // It finds that nothing more can come.
+            // This poll finds the writer without room and discards the replay buffer.
             assert_eq!(poll(|cx| attempt.poll_next(cx)), None);
             assert!(budgets.held().0 <= 150);
         }
