--- a/dispatcher/src/facade.rs
+++ b/dispatcher/src/facade.rs
@@ -1,6 +1,6 @@
-//! The decision module in blocking style. Everything here is plain and synchronous: the caller says what
-//! happened, and gets back what is to be done, in the words of the flow. The module's events and actions
-//! don't leave this file, and neither does its clock, the only one that decisions rest on.
+//! Synchronous interface to the decision module. The caller reports an event and receives decisions in terms of
+//! flows and targets. The decision module's own events, actions and clock are not visible outside this file; all
+//! decisions are based on that one clock.
 
 use lineroute::{
     Action, AttemptEnd, AttemptNo, Balancer, CellId, ClassId, Event, Key, KindId, Micros, Overrides, Report,
@@ -13,27 +13,27 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A flow, by a number that is never used twice.
+/// Identifies a flow. Numbers are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct FlowId(pub u64);
 
-/// A target, by the number that its name was given.
+/// Identifies a target by the number assigned to its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct TargetId(pub u32);
 
-/// What a flow asks for.
+/// The request of a flow.
 #[derive(Clone, Debug)]
 pub struct FlowRequest {
     pub class: usize,
     pub tenant: Option<usize>,
     pub key: Option<String>,
     pub slots: f64,
-    /// Its running time as the client guesses it.
+    /// The client's estimate of the running time.
     pub work: Option<Duration>,
     pub deadline: Instant,
 }
 
-/// One line of the list of targets.
+/// An entry of the list of targets.
 #[derive(Clone, Debug)]
 pub struct ListedTarget {
     pub target: TargetId,
@@ -41,13 +41,13 @@
     pub kind: u32,
     pub cell: u32,
     pub stage: Stage,
-    /// Its last start as Unix time in milliseconds; 0: long ago.
+    /// Time of the last start in milliseconds of Unix time; 0 if it was long ago.
     pub started_ms: u64,
-    /// Its size beside that of others; 0: not known.
+    /// Size relative to other targets; 0 if unknown.
     pub size: f64,
 }
 
-/// Flows that go to one target only: those of a class, or of one tenant of it.
+/// Pins flows to a single target: all flows of a class, or those of one of its tenants.
 #[derive(Clone, Debug)]
 pub struct Pinned {
     pub class: usize,
@@ -55,39 +55,37 @@
     pub target: TargetId,
 }
 
-/// What operators have set: all of it.
+/// All overrides in force.
 #[derive(Clone, Debug, Default)]
 pub struct TargetOverrides {
-    /// Targets whose share is multiplied, and by what.
+    /// Factors by which the shares of targets are multiplied.
     pub weights: Vec<(TargetId, f64)>,
-    /// Targets that get nothing new.
+    /// Targets that receive no new forwards.
     pub out_of_service: Vec<TargetId>,
     pub pins: Vec<Pinned>,
 }
 
-/// A target's own account of its load, as far as it gives one.
+/// The load that a target reports; fields that it does not report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Free slots.
     pub free: Option<f64>,
-    /// Jobs waiting.
     pub waiting: Option<f64>,
-    /// Jobs in hand, waiting ones included.
+    /// Jobs in flight, queued ones included.
     pub held: Option<f64>,
 }
 
-/// What has happened.
+/// An event that the decision module is told of.
 #[derive(Debug)]
 pub enum DispatchEvent {
     List(ListKind, Vec<ListedTarget>),
     ListFailed,
-    /// Whether what is known of targets may be acted on.
+    /// Whether the known list of targets may be used for decisions.
     ListValid(bool),
     Overrides(TargetOverrides),
-    /// The client has gone, or the flow is over for another reason.
+    /// The client has disconnected, or the flow has ended for another reason.
     FlowAborted(FlowId),
     JobStarted(FlowId, u32),
-    /// The head of a forward's answer has gone to the client.
+    /// The head of a forward's response has been sent to the client.
     ResponseStarted(FlowId, u32),
     Progress(FlowId, u32, f64),
     ForwardEnded {
@@ -100,11 +98,11 @@
         load: Option<Load>,
     },
     ProbeEnded(TargetId, Outcome, Option<Load>),
-    /// Peers tell of a target: their forwards there, and whether it has just refused one.
+    /// What peers report of a target: their forwards in flight there, and whether it has just refused one.
     PeerHint(TargetId, u32, bool),
 }
 
-/// What is to be done.
+/// A decision that the caller carries out.
 #[derive(Debug, PartialEq)]
 pub enum Decision {
     /// Start a forward.
@@ -113,36 +111,37 @@
         number: u32,
         target: TargetId,
     },
-    /// Hold the flow: nothing can be done for it yet.
+    /// Keep the flow waiting until a later decision.
     Wait(FlowId),
-    /// Give the flow a final answer without a result. `retry_after`: trying again is harmless, after that time.
+    /// Give the flow a final answer without a result. With `retry_after` the client may safely retry after that time.
     FixedResponse {
         flow: FlowId,
         retry_after: Option<Duration>,
     },
-    /// Give up a forward that is out.
+    /// Cancel a forward in flight.
     Cancel {
         flow: FlowId,
         number: u32,
     },
     Probe(TargetId),
-    /// See that the list is watched.
+    /// Ensure that the worker list is being watched.
     Watch,
 }
 
-/// Wall time at an instant that both are read at once: workers' starts are told as Unix time.
+/// Maps instants to Unix time, from one simultaneous reading of both clocks. Unix time is needed because workers' start times
+/// are given in it.
 struct Clock {
     origin: Instant,
-    unix: Micros,
+    unix_micros: Micros,
 }
 
 impl Clock {
     fn at(&self, instant: Instant) -> Micros {
-        self.unix + instant.saturating_duration_since(self.origin).as_micros() as Micros
+        self.unix_micros + instant.saturating_duration_since(self.origin).as_micros() as Micros
     }
 
     fn instant(&self, at: Micros) -> Instant {
-        self.origin + Duration::from_micros(at.saturating_sub(self.unix))
+        self.origin + Duration::from_micros(at.saturating_sub(self.unix_micros))
     }
 }
 
@@ -150,80 +149,81 @@
     balancer: Balancer,
     clock: Clock,
     actions: Vec<Action>,
-    wake: Option<Micros>,
-    /// Forwards made of each open flow. The module numbers them in the order of its sends.
+    next_wake: Option<Micros>,
+    /// Number of forwards of each open flow. The decision module target_ids them in the order of its sends.
     forwards: FxHashMap<FlowId, u32>,
-    numbers: FxHashMap<Arc<str>, TargetId>,
-    names: Vec<Arc<str>>,
-    /// How long repeats of each class may begin to go out, where that has an end; and the rules.
-    windows: Vec<Option<Duration>>,
+    target_ids: FxHashMap<Arc<str>, TargetId>,
+    target_names: Vec<Arc<str>>,
+    /// By class: the period during which repeats may start, if limited.
+    repeat_windows: Vec<Option<Duration>>,
     effects: Vec<RepeatSafety>,
     rules: Rules,
 }
 
 impl Facade {
     pub fn new(mut settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        // Workers' memory of a key must not end between a decision and its write.
+        // A worker must not forget a key between the decision to repeat and the write of the repeat.
         for class in &mut settings.classes {
             if let Effect::ByKey { ttl, .. } = &mut class.effect {
                 *ttl = ttl.saturating_sub(STALL_ALLOWANCE.as_micros() as Micros);
             }
         }
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as Micros;
-        let window = |effect| match effect {
+        let unix_micros =
+            SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as Micros;
+        let repeat_window = |effect| match effect {
             Effect::ByKey { ttl, .. } => Some(Duration::from_micros(ttl)),
             Effect::Repeatable | Effect::Once => None,
         };
-        let windows = settings.classes.iter().map(|c| window(c.effect)).collect();
+        let repeat_windows = settings.classes.iter().map(|c| repeat_window(c.effect)).collect();
         let rules = settings.rules.clone();
         let effects = settings.classes.iter().map(|c| side_effect(c.effect)).collect();
         Ok(Facade {
-            windows,
+            repeat_windows,
             effects,
             rules,
             balancer: Balancer::new(settings, seed)?,
-            clock: Clock { origin: Instant::now(), unix },
+            clock: Clock { origin: Instant::now(), unix_micros },
             actions: Vec::new(),
-            wake: None,
+            next_wake: None,
             forwards: FxHashMap::default(),
-            numbers: FxHashMap::default(),
-            names: Vec::new(),
+            target_ids: FxHashMap::default(),
+            target_names: Vec::new(),
         })
     }
 
-    /// Until when a flow of this class may go out again, if a forward of it that was sent then has ended so: `None` where
-    /// that sets no end.
+    /// The time until which a flow of this class may be repeated after a forward sent at `sent` ended with `outcome`; `None` if
+    /// that sets no limit.
     pub fn repeat_until(&self, class: usize, sent: Instant, outcome: Outcome) -> Option<Instant> {
-        let window = self.windows.get(class).copied().flatten()?;
-        (!outcome.never_ran(&self.rules)).then(|| sent + window)
+        let repeat_window = self.repeat_windows.get(class).copied().flatten()?;
+        (!outcome.never_ran(&self.rules)).then(|| sent + repeat_window)
     }
 
-    /// Whether an outcome proves that the forward never ran.
+    /// Whether the outcome proves that the forward never ran.
     pub fn never_ran(&self, outcome: Outcome) -> bool {
         outcome.never_ran(&self.rules)
     }
 
-    /// What a second run of a flow of this class would do.
+    /// Whether flows of this class can safely run twice.
     pub fn side_effect(&self, class: usize) -> RepeatSafety {
         self.effects.get(class).copied().unwrap_or(RepeatSafety::NotIdempotent)
     }
 
-    /// The number of a target by its name, the same for as long as the program runs.
+    /// The id of the target with this name, stable for the lifetime of the process.
     pub fn target(&mut self, name: &str) -> TargetId {
-        if let Some(&id) = self.numbers.get(name) {
+        if let Some(&id) = self.target_ids.get(name) {
             return id;
         }
-        let (id, name) = (TargetId(self.names.len() as u32), Arc::<str>::from(name));
-        self.names.push(name.clone());
-        self.numbers.insert(name, id);
+        let (id, name) = (TargetId(self.target_names.len() as u32), Arc::<str>::from(name));
+        self.target_names.push(name.clone());
+        self.target_ids.insert(name, id);
         id
     }
 
     pub fn name(&self, target: TargetId) -> &str {
-        self.names.get(target.0 as usize).map_or("?", |name| name)
+        self.target_names.get(target.0 as usize).map_or("?", |name| name)
     }
 
-    /// A new flow: where does it go?
+    /// Decides on a new flow.
     pub fn pick(&mut self, flow: FlowId, ask: FlowRequest) -> Vec<Decision> {
         self.forwards.insert(flow, 0);
         let request = Request {
@@ -246,7 +246,7 @@
         decisions
     }
 
-    /// Something has happened: what follows?
+    /// Reports an event and returns the resulting decisions.
     pub fn report(&mut self, event: DispatchEvent) -> Vec<Decision> {
         let event = match event {
             DispatchEvent::List(kind, listed) => Event::WorkerList(kind, listed.iter().map(entry).collect()),
@@ -287,22 +287,22 @@
         self.handle(event)
     }
 
-    /// Time has passed: is anything due?
+    /// Returns decisions that have become due by now.
     pub fn tick(&mut self) -> Vec<Decision> {
         let now = self.clock.at(Instant::now());
-        if self.wake.is_none_or(|at| now < at) {
+        if self.next_wake.is_none_or(|at| now < at) {
             return Vec::new();
         }
-        self.wake = None;
+        self.next_wake = None;
         self.handle(Event::Timer(0))
     }
 
-    /// When `tick` has something to do next.
+    /// When `tick` is next due.
     pub fn next_tick(&self) -> Option<Instant> {
-        self.wake.map(|at| self.clock.instant(at))
+        self.next_wake.map(|at| self.clock.instant(at))
     }
 
-    /// The flow and its forwards are over: nothing more will be said of it.
+    /// Drops the state of a flow that has ended with all its forwards.
     pub fn forget(&mut self, flow: FlowId) {
         self.forwards.remove(&flow);
     }
@@ -329,8 +329,8 @@
                 Action::Probe(worker) => Decision::Probe(TargetId(worker.0)),
                 Action::Subscribe => Decision::Watch,
                 Action::Wake(at, _) => {
-                    // An earlier wake stands: the module drops one that comes too soon and is asked again.
-                    self.wake = Some(self.wake.map_or(at, |w| w.min(at)));
+                    // An earlier timer is kept: the decision module ignores one that fires too early and sets it again.
+                    self.next_wake = Some(self.next_wake.map_or(at, |w| w.min(at)));
                     continue;
                 }
             });
