--- a/dispatcher/src/facade.rs
+++ b/dispatcher/src/facade.rs
@@ -29,7 +29,7 @@
     pub key: Option<String>,
     pub slots: f64,
     /// The client's estimate of the running time.
-    pub work: Option<Duration>,
+    pub expected_run_time: Option<Duration>,
     pub deadline: Instant,
 }
 
@@ -68,10 +68,10 @@
 /// The load that a target reports; fields that it does not report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    pub free: Option<f64>,
-    pub waiting: Option<f64>,
+    pub free_slots: Option<f64>,
+    pub queued: Option<f64>,
     /// Jobs in flight, queued ones included.
-    pub held: Option<f64>,
+    pub in_flight: Option<f64>,
 }
 
 /// An event that the decision module is told of.
@@ -176,7 +176,7 @@
         };
         let repeat_windows = settings.classes.iter().map(|c| repeat_window(c.effect)).collect();
         let rules = settings.rules.clone();
-        let effects = settings.classes.iter().map(|c| side_effect(c.effect)).collect();
+        let effects = settings.classes.iter().map(|c| repeat_safety(c.effect)).collect();
         Ok(Facade {
             repeat_windows,
             effects,
@@ -204,7 +204,7 @@
     }
 
     /// Whether flows of this class can safely run twice.
-    pub fn side_effect(&self, class: usize) -> RepeatSafety {
+    pub fn repeat_safety(&self, class: usize) -> RepeatSafety {
         self.effects.get(class).copied().unwrap_or(RepeatSafety::NotIdempotent)
     }
 
@@ -224,16 +224,16 @@
     }
 
     /// Decides on a new flow.
-    pub fn pick(&mut self, flow: FlowId, ask: FlowRequest) -> Vec<Decision> {
+    pub fn pick(&mut self, flow: FlowId, flow_request: FlowRequest) -> Vec<Decision> {
         self.forwards.insert(flow, 0);
         let request = Request {
             id: request_id(flow),
-            class: ClassId(ask.class),
-            tenant: ask.tenant.map(TenantId),
-            key: ask.key.map(|k| Key(k.into())),
-            deadline: self.clock.at(ask.deadline),
-            slots: ask.slots,
-            work: ask.work.map(|work| work.as_micros() as Micros),
+            class: ClassId(flow_request.class),
+            tenant: flow_request.tenant.map(TenantId),
+            key: flow_request.key.map(|k| Key(k.into())),
+            deadline: self.clock.at(flow_request.deadline),
+            slots: flow_request.slots,
+            work: flow_request.expected_run_time.map(|time| time.as_micros() as Micros),
         };
         let mut decisions = self.handle(Event::Request(request));
         let decided = decisions.iter().any(|d| match d {
@@ -339,7 +339,7 @@
     }
 }
 
-fn side_effect(effect: Effect) -> RepeatSafety {
+fn repeat_safety(effect: Effect) -> RepeatSafety {
     match effect {
         Effect::Repeatable => RepeatSafety::Idempotent,
         Effect::ByKey { .. } => RepeatSafety::IdempotentByKey,
@@ -356,7 +356,7 @@
 }
 
 fn report(load: Load) -> Report {
-    Report { free_slots: load.free, queued: load.waiting, in_flight: load.held }
+    Report { free_slots: load.free_slots, queued: load.queued, in_flight: load.in_flight }
 }
 
 fn entry(listed: &ListedTarget) -> WorkerEntry {
--- a/dispatcher/src/fleet/prober.rs
+++ b/dispatcher/src/fleet/prober.rs
@@ -139,7 +139,7 @@
             return;
         }
         let Some(waiting) = self.waiting.borrow_mut().remove(&found.name) else { return };
-        let load = found.load.map(|[free, waiting, held]| Load { free, waiting, held });
+        let load = found.load.map(|[free_slots, queued, in_flight]| Load { free_slots, queued, in_flight });
         self.flows.shared_probe_ended(waiting.target, outcome, load);
     }
 
@@ -193,7 +193,7 @@
         self.found.borrow_mut().insert(name.into(), Instant::now());
         let Some(thing) = self.thing(zone) else { return };
         let Some(outcome) = OUTCOMES.iter().position(|o| *o == outcome) else { return };
-        let load = load.map(|l| [l.free, l.waiting, l.held]);
+        let load = load.map(|l| [l.free_slots, l.queued, l.in_flight]);
         let found = Found { name: name.into(), outcome: outcome as u8, load };
         if let Ok(words) = postcard::to_stdvec(&found) {
             // Where the zone is another's by now, what was found stays with this process.
--- a/dispatcher/src/flow/core.rs
+++ b/dispatcher/src/flow/core.rs
@@ -130,7 +130,7 @@
         // Checked independently of what the decision module decided.
         let facts = RetryFacts {
             now: Instant::now(),
-            effect: self.facade.side_effect(flow.job.class),
+            effect: self.facade.repeat_safety(flow.job.class),
             earlier: match flow.may_have_run {
                 true => EarlierAttempts::MayHaveRun { repeat_until: flow.start_by },
                 false => EarlierAttempts::NeverRan,
--- a/dispatcher/src/flow/mod.rs
+++ b/dispatcher/src/flow/mod.rs
@@ -127,7 +127,7 @@
                 tenant: job.tenant,
                 key: job.key.clone(),
                 slots: job.slots,
-                work: job.expected_run_time,
+                expected_run_time: job.expected_run_time,
                 deadline,
             };
             core.deadlines.insert((deadline, id));
--- a/dispatcher/src/targets/load.rs
+++ b/dispatcher/src/targets/load.rs
@@ -10,9 +10,9 @@
 /// not finite are ignored, so that invalid reports do not influence decisions.
 fn set_field(load: &mut Load, name: &str, value: f64) {
     let field = match name {
-        "x0" => &mut load.free,
-        "queue" | "depth" => &mut load.waiting,
-        "inflight" | "concurrent" => &mut load.held,
+        "x0" => &mut load.free_slots,
+        "queue" | "depth" => &mut load.queued,
+        "inflight" | "concurrent" => &mut load.in_flight,
         _ => return,
     };
     if value.is_finite() && value >= 0.0 {
@@ -59,7 +59,7 @@
 
     #[test]
     fn both_forms_parse_alike_and_invalid_input_is_ignored() {
-        let load = Load { free: Some(2.5), waiting: Some(3.0), held: Some(7.0) };
+        let load = Load { free_slots: Some(2.5), queued: Some(3.0), in_flight: Some(7.0) };
         assert_eq!(from_line("TEXT inflight=7, queue=3, x0=2.5, util=0.61"), Some(load));
         assert_eq!(from_body(br#"{"load":{"x0":2.5,"depth":3,"concurrent":7,"util":1}}"#), Some(load));
         assert_eq!(from_body(br#"{"x0":2.5,"queue":3,"inflight":7}"#), Some(load));
