--- a/dispatcher/src/local_faults.rs
+++ b/dispatcher/src/local_faults.rs
@@ -1,15 +1,15 @@
-//! Errors that are this machine's own: it had no descriptor, buffer, port or route for a connection. They say nothing of the
-//! machine at the other end, whether that is a worker or discovery.
+//! Errors caused by this host: it had no descriptor, buffer, port or route for a connection. They say nothing about the
+//! remote host, whether that is a worker or discovery.
 
 use rustix::io::Errno;
 use std::future::Future;
 use std::io;
 use std::time::{Duration, Instant};
 
-/// What failed for want of something here is tried again after so long, and not at once: others may free it meanwhile.
+/// Delay before a retry after a local failure. The retry is not immediate, since other processes may free resources meanwhile.
 pub const LOCAL_FAULT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Whether an error is this machine's own.
+/// Whether an error is caused by this host.
 pub fn is_local(error: &io::Error) -> bool {
     is_resource_shortage(error)
         || matches!(
@@ -18,18 +18,18 @@
         )
 }
 
-/// Whether descriptors, buffers or memory were short: others may free some.
+/// Whether this host was short of descriptors, buffers or memory, which other processes may free.
 pub fn is_resource_shortage(error: &io::Error) -> bool {
     matches!(Errno::from_io_error(error), Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM))
 }
 
-/// At a start, sockets are asked for again for so long while descriptors or buffers are short.
-const OPENS_WITHIN: Duration = Duration::from_secs(5);
+/// How long opening a socket at start-up is retried while descriptors or buffers are short.
+const OPEN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Opens a socket that a process needs from its start on. It is waited for where descriptors or buffers are short for a while.
+/// Opens a socket that the process needs from its start on. Retries for a limited time while descriptors or buffers are short.
 ///
 /// # Errors
-/// The last one, of whatever kind.
+/// Returns the error of the last attempt, of any kind.
 pub async fn open_with_retry<T, F>(open: impl Fn() -> F) -> io::Result<T>
 where
     F: Future<Output = io::Result<T>>,
@@ -37,7 +37,7 @@
     let began = Instant::now();
     loop {
         match open().await {
-            Err(e) if is_resource_shortage(&e) && began.elapsed() < OPENS_WITHIN => {
+            Err(e) if is_resource_shortage(&e) && began.elapsed() < OPEN_TIMEOUT => {
                 tokio::time::sleep(LOCAL_FAULT_RETRY_DELAY).await;
             }
             result => return result,
@@ -50,7 +50,7 @@
     use super::*;
 
     #[test]
-    fn only_what_this_machine_lacks_is_its_own() {
+    fn only_resource_and_local_network_errors_are_local() {
         let error = |errno: Errno| io::Error::from_raw_os_error(errno.raw_os_error());
         for own in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::ADDRNOTAVAIL, Errno::NETUNREACH] {
             assert!(is_local(&error(own)), "{own:?}");
@@ -58,6 +58,6 @@
         for other in [Errno::CONNREFUSED, Errno::CONNRESET, Errno::TIMEDOUT, Errno::HOSTUNREACH] {
             assert!(!is_local(&error(other)), "{other:?}");
         }
-        assert!(!is_local(&io::Error::other("of no system call")));
+        assert!(!is_local(&io::Error::other("not from a system call")));
     }
 }
