--- a/dispatcher/src/log.rs
+++ b/dispatcher/src/log.rs
@@ -1,7 +1,7 @@
-//! The log: structured, on standard error, so many lines a second at most.
+//! Structured, rate-limited logging to standard error.
 //!
-//! Events go through `tracing`. A level that is off costs a load; what is written at `info` is written per
-//! event of the program's life or per fault, never per request.
+//! Events go through `tracing`. A disabled level costs one atomic load. Events at `info` and above are logged per
+//! life-cycle event of the process or per fault, never per request.
 
 use clap::ValueEnum;
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
@@ -14,20 +14,20 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::Layer;
 
-/// Lines a second. A dead network makes every request fail: the log must not take the core then.
+/// Maximum number of lines per second. When a network outage makes every request fail, logging must not use up the CPU core.
 const LINES_PER_SECOND: u32 = 50;
 
-/// The form of the log.
+/// The format of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, ValueEnum)]
 pub enum Format {
-    /// A line an event, for people.
+    /// One human-readable line per event.
     #[default]
     Text,
-    /// A JSON object a line, for programs.
+    /// One JSON object per line.
     Json,
 }
 
-/// What is written at least.
+/// The least severe level that is logged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, ValueEnum)]
 pub enum LogLevel {
     Error,
@@ -50,39 +50,39 @@
     }
 }
 
-/// Counts the lines of each second, and those left out.
+/// Counts the lines of each second and the lines dropped.
 #[derive(Debug)]
 pub struct RateLimit {
     start: Instant,
     second: AtomicU64,
     lines: AtomicU32,
-    left_out: AtomicU32,
+    dropped: AtomicU32,
 }
 
 impl RateLimit {
     fn new() -> Self {
-        let (second, lines, left_out) = Default::default();
-        RateLimit { start: Instant::now(), second, lines, left_out }
+        let (second, lines, dropped) = Default::default();
+        RateLimit { start: Instant::now(), second, lines, dropped }
     }
 
-    /// Whether a line may be written at this moment.
+    /// Counts a line and returns whether it may be written at `now`.
     fn admit(&self, now: Instant) -> bool {
         let second = now.saturating_duration_since(self.start).as_secs();
         if self.second.swap(second, Ordering::Relaxed) != second {
             self.lines.store(0, Ordering::Relaxed);
         }
         let admitted = self.lines.fetch_add(1, Ordering::Relaxed) < LINES_PER_SECOND;
-        self.left_out.fetch_add(u32::from(!admitted), Ordering::Relaxed);
+        self.dropped.fetch_add(u32::from(!admitted), Ordering::Relaxed);
         admitted
     }
 
-    /// Lines left out since this was last asked.
-    fn take_left_out(&self) -> u32 {
-        self.left_out.swap(0, Ordering::Relaxed)
+    /// Returns the number of lines dropped since the last call.
+    fn take_dropped(&self) -> u32 {
+        self.dropped.swap(0, Ordering::Relaxed)
     }
 }
 
-/// The limit as a filter of a layer.
+/// Applies the rate limit as a layer filter.
 struct RateLimitFilter(Arc<RateLimit>);
 
 impl<S: Subscriber> Filter<S> for RateLimitFilter {
@@ -96,29 +96,29 @@
 }
 
 fn layer<S: Subscriber + for<'a> LookupSpan<'a>>(form: Format) -> Box<dyn Layer<S> + Send + Sync> {
-    let plain = tracing_subscriber::fmt::layer().with_writer(std::io::stderr).with_ansi(false);
+    let layer = tracing_subscriber::fmt::layer().with_writer(std::io::stderr).with_ansi(false);
     match form {
-        Format::Text => plain.boxed(),
-        Format::Json => plain.json().flatten_event(true).with_span_list(false).boxed(),
+        Format::Text => layer.boxed(),
+        Format::Json => layer.json().flatten_event(true).with_span_list(false).boxed(),
     }
 }
 
-/// Starts the log for the whole process. To be called once; the limit is handed to [`report`].
+/// Initializes logging for the process. The returned limit is to be passed to [`report_dropped_lines`].
 pub fn start(form: Format, threshold: LogLevel) -> Arc<RateLimit> {
     let limit = Arc::new(RateLimit::new());
     let limited = layer(form).with_filter(RateLimitFilter(limit.clone()));
-    // A second start, as in tests, changes nothing.
+    // Fails if logging is already initialized, as in tests; the first subscriber stays.
     let _ = tracing_subscriber::registry().with(threshold.filter()).with(limited).try_init();
     limit
 }
 
-/// Tells once a second how many lines were left out, if any were. Never ends.
-pub async fn report(limit: Arc<RateLimit>) {
+/// Logs once a second how many lines were dropped, if any. Never completes.
+pub async fn report_dropped_lines(limit: Arc<RateLimit>) {
     loop {
         tokio::time::sleep(Duration::from_secs(1)).await;
-        let left_out = limit.take_left_out();
+        let left_out = limit.take_dropped();
         if left_out > 0 {
-            tracing::warn!(left_out, "lines were left out of the log");
+            tracing::warn!(left_out, "log lines dropped by the rate limit");
         }
     }
 }
@@ -128,12 +128,12 @@
     use super::*;
 
     #[test]
-    fn a_flood_is_cut_and_counted() {
+    fn lines_beyond_the_rate_limit_are_dropped_and_counted() {
         let limit = RateLimit::new();
         let start = limit.start;
         let written = (0..200).filter(|_| limit.admit(start)).count();
-        assert_eq!((written, limit.take_left_out()), (LINES_PER_SECOND as usize, 200 - LINES_PER_SECOND));
+        assert_eq!((written, limit.take_dropped()), (LINES_PER_SECOND as usize, 200 - LINES_PER_SECOND));
         assert!(limit.admit(start + Duration::from_secs(1)));
-        assert_eq!(limit.take_left_out(), 0);
+        assert_eq!(limit.take_dropped(), 0);
     }
 }
--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -79,7 +79,7 @@
         // This thread does all of it: whatever is logged is this dispatcher's, and this process's: two may run at a time.
         let process = std::process::id();
         let _dispatcher = info_span!("lineroute", dispatcher = %config.name, process).entered();
-        actix_rt::spawn(log::report(limit));
+        actix_rt::spawn(log::report_dropped_lines(limit));
         if config.inherited.is_some() || config.admin_console.is_some() {
             info!(inherited = ?config.inherited, admin_console = ?config.admin_console, state_dir = ?config.state_dir,
                 "process starts, perhaps beside one that it replaces");
