--- a/dispatcher/src/overrides.rs
+++ b/dispatcher/src/overrides.rs
@@ -1,6 +1,6 @@
-//! The overrides of this dispatcher: the table, what is in force by the wall clock, and who is to hear of a
-//! change. The talk with peers, the snapshot and the admin listener meet here; decisions get what is in force
-//! through the core.
+//! The overrides of this dispatcher: the table, which of them are in force by the wall clock, and notifications of
+//! changes. Shared by override gossip, the store and the admin API. The decision module receives the
+//! overrides in force through the flows.
 
 use crate::facade::{Pinned, TargetOverrides};
 use crate::flow::Flows;
@@ -15,13 +15,13 @@
 use tokio::sync::{watch, Notify};
 use tracing::{info, warn};
 
-/// With something in force the wall clock is looked at this often: it may be set.
-const LOOK: Duration = Duration::from_millis(250);
+/// Interval at which the wall clock is checked while an override has an expiry, since the clock may be set.
+const CLOCK_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Workers out of service that a line of the log names at most.
-const NAMES_LOGGED: usize = 8;
+/// Maximum number of workers out of service that one log line names.
+const MAX_LOGGED_WORKERS: usize = 8;
 
-/// The wall clock.
+/// The wall-clock time.
 pub fn now() -> Millis {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as Millis
 }
@@ -31,22 +31,22 @@
     flows: Flows,
     classes: Vec<String>,
     tenants: Vec<String>,
-    /// What the core was last told.
+    /// The overrides last passed to the decision module.
     applied: RefCell<ActiveOverrides>,
-    /// Set here and not yet told to peers; kept only while somebody takes it.
-    fresh: RefCell<Vec<Arc<Record>>>,
-    talks: Cell<bool>,
-    told: Notify,
+    /// Records set here that have not been sent to peers; filled only while gossip is enabled.
+    unsent: RefCell<Vec<Arc<Record>>>,
+    gossip_enabled: Cell<bool>,
+    unsent_added: Notify,
     changed: Notify,
     revision: watch::Sender<u64>,
 }
 
-/// Shared by all who read or write overrides, on one thread.
+/// Handle to the overrides, shared by all their readers and writers on one thread.
 #[derive(Clone)]
 pub struct Overrides(Rc<Inner>);
 
 impl Overrides {
-    /// An owner of the table. `classes` and `tenants` are the settings' names, by position.
+    /// Takes ownership of the table. `classes` and `tenants` are the names in the settings, by position.
     pub fn new(table: Table, flows: Flows, classes: Vec<String>, tenants: Vec<String>) -> Self {
         let revision = watch::Sender::new(table.revision());
         let overrides = Overrides(Rc::new(Inner {
@@ -55,9 +55,9 @@
             classes,
             tenants,
             applied: RefCell::default(),
-            fresh: RefCell::default(),
-            talks: Cell::new(false),
-            told: Notify::new(),
+            unsent: RefCell::default(),
+            gossip_enabled: Cell::new(false),
+            unsent_added: Notify::new(),
             changed: Notify::new(),
             revision,
         }));
@@ -65,27 +65,27 @@
         overrides
     }
 
-    /// Sets an override here.
+    /// Sets an override at this dispatcher.
     ///
     /// # Errors
     /// Names the field that can't be used; nothing has changed then.
-    pub fn set(&self, order: OverrideRequest) -> Result<Arc<Record>, InvalidRequest> {
-        let record = self.0.table.borrow_mut().set(order, now())?;
-        self.wrote(&record, "override set");
+    pub fn set(&self, request: OverrideRequest) -> Result<Arc<Record>, InvalidRequest> {
+        let record = self.0.table.borrow_mut().set(request, now())?;
+        self.record_written(&record, "override set");
         Ok(record)
     }
 
-    /// Ends an override, wherever it was set.
+    /// Clears an override, whichever dispatcher set it.
     ///
     /// # Errors
-    /// No such override is in force here.
+    /// Returns an error if no such override is in force here.
     pub fn clear(&self, id: &str, by: &str, why: &str) -> Result<Arc<Record>, InvalidRequest> {
         let record = self.0.table.borrow_mut().clear(id, by, why, now())?;
-        self.wrote(&record, "override cleared");
+        self.record_written(&record, "override cleared");
         Ok(record)
     }
 
-    /// Ends whatever is in force in a slot; nothing where nothing is.
+    /// Clears the override in force in a slot; returns `None` if there is none.
     ///
     /// # Errors
     /// Names the field that can't be used; nothing has changed then.
@@ -97,32 +97,32 @@
     ) -> Result<Option<Arc<Record>>, InvalidRequest> {
         let record = self.0.table.borrow_mut().clear_slot(slot, by, why, now())?;
         if let Some(record) = &record {
-            self.wrote(record, "override cleared");
+            self.record_written(record, "override cleared");
         }
         Ok(record)
     }
 
-    fn wrote(&self, record: &Arc<Record>, words: &'static str) {
+    fn record_written(&self, record: &Arc<Record>, message: &'static str) {
         let Record { stamp, slot, until, by, why, .. } = &**record;
-        info!(id = %stamp, target = %slot.worker, what = %record, until, by = %by, why = %why, "{words}");
-        if self.0.talks.get() {
-            self.0.fresh.borrow_mut().push(record.clone());
-            self.0.told.notify_one();
+        info!(id = %stamp, target = %slot.worker, what = %record, until, by = %by, why = %why, "{message}");
+        if self.0.gossip_enabled.get() {
+            self.0.unsent.borrow_mut().push(record.clone());
+            self.0.unsent_added.notify_one();
         }
-        self.settle();
+        self.apply_and_announce();
     }
 
-    /// Lets another subsystem at the table, and follows up on what it changed.
-    pub fn with<R>(&self, act: impl FnOnce(&mut Table) -> R) -> R {
+    /// Gives `update` access to the table, and applies and announces what it changed.
+    pub fn with<R>(&self, update: impl FnOnce(&mut Table) -> R) -> R {
         let before = self.0.table.borrow().revision();
-        let result = act(&mut self.0.table.borrow_mut());
+        let result = update(&mut self.0.table.borrow_mut());
         if self.0.table.borrow().revision() != before {
-            self.settle();
+            self.apply_and_announce();
         }
         result
     }
 
-    /// Takes in records of this dispatcher's own, from before its start or from another process of it; how many were new.
+    /// Merges this dispatcher's own records, from before a restart or from a sibling; returns how many were new.
     pub fn restore(&self, records: Vec<Record>) -> usize {
         self.with(|table| {
             let merged = records.into_iter().map(|record| table.restore(record, now()));
@@ -130,21 +130,21 @@
         })
     }
 
-    fn settle(&self) {
+    fn apply_and_announce(&self) {
         self.apply();
         self.0.revision.send_replace(self.0.table.borrow().revision());
         self.0.changed.notify_one();
     }
 
-    /// Tells the core what is in force, where that has changed.
+    /// Passes the overrides in force to the decision module if they have changed.
     fn apply(&self) {
-        let forces = self.0.table.borrow().active(now());
-        if *self.0.applied.borrow() == forces {
+        let active = self.0.table.borrow().active(now());
+        if *self.0.applied.borrow() == active {
             return;
         }
-        let ActiveOverrides { weights, out_of_service: out, pins } = &forces;
+        let ActiveOverrides { weights, out_of_service: out, pins } = &active;
         let revision = self.0.table.borrow().revision();
-        let workers: Vec<&str> = out.iter().take(NAMES_LOGGED).map(|worker| &**worker).collect();
+        let workers: Vec<&str> = out.iter().take(MAX_LOGGED_WORKERS).map(|worker| &**worker).collect();
         info!(
             weights = weights.len(),
             out_of_service = out.len(),
@@ -167,17 +167,17 @@
                     let target = flows.target_id(&pin.worker);
                     overrides.pins.push(Pinned { class, tenant: tenant.flatten(), target });
                 }
-                // Set at a dispatcher whose settings differ.
+                // The pin was set at a dispatcher with other settings.
                 _ => {
-                    warn!(class = %pin.class, target = %pin.worker, "a pin names a class or tenant that the settings lack")
+                    warn!(class = %pin.class, target = %pin.worker, "ignoring pin: its class or tenant is not in the settings")
                 }
             }
         }
-        *self.0.applied.borrow_mut() = forces;
+        *self.0.applied.borrow_mut() = active;
         self.0.flows.apply_overrides(overrides);
     }
 
-    /// Ends overrides at their time. Never ends itself.
+    /// Expires overrides at their time. Never completes.
     pub async fn run(self) {
         loop {
             let next = self.0.table.borrow().next_expiry(now());
@@ -185,7 +185,7 @@
                 Some(at) => {
                     let left = Duration::from_millis(at.saturating_sub(now()));
                     tokio::select! {
-                        () = tokio::time::sleep(left.min(LOOK)) => self.apply(),
+                        () = tokio::time::sleep(left.min(CLOCK_CHECK_INTERVAL)) => self.apply(),
                         () = self.0.changed.notified() => {}
                     }
                 }
@@ -194,20 +194,20 @@
         }
     }
 
-    /// All that has not ended, and how it stands.
+    /// All overrides that have not ended, with their status.
     pub fn entries(&self) -> Vec<OverrideEntry> {
         self.0.table.borrow().entries(now(), |worker| self.0.flows.is_listed(worker))
     }
 
-    /// What the core was last told.
+    /// The overrides last passed to the decision module.
     pub fn in_force(&self) -> ActiveOverrides {
         self.0.applied.borrow().clone()
     }
 
-    /// The settings' class and tenant of a pin written `CLASS` or `CLASS/TENANT`.
+    /// Parses a pin written `CLASS` or `CLASS/TENANT` and checks it against the settings.
     ///
     /// # Errors
-    /// Says which of the two the settings lack, and what they have.
+    /// Names the class or tenant that the settings lack, and the valid ones.
     pub fn parse_pin(&self, pin: &str) -> Result<(String, Option<String>), String> {
         let Inner { classes, tenants, .. } = &*self.0;
         if classes.iter().any(|c| c == pin) {
@@ -225,24 +225,24 @@
         }
     }
 
-    /// Follows the table's revision, for whoever writes it down.
+    /// Subscribes to the table's revision, for saving changes.
     pub fn revisions(&self) -> watch::Receiver<u64> {
         self.0.revision.subscribe()
     }
 
-    /// From here on what is set here is kept for [`Overrides::take_unsent`].
+    /// Queues records set here for [`Overrides::take_unsent`] from now on.
     pub fn enable_gossip(&self) {
-        self.0.talks.set(true);
+        self.0.gossip_enabled.set(true);
     }
 
-    /// What was set here since it was last asked; resolves when there is something.
+    /// Waits until there are records that were set here since the last call, and returns them.
     pub async fn take_unsent(&self) -> Vec<Arc<Record>> {
         loop {
-            let fresh = std::mem::take(&mut *self.0.fresh.borrow_mut());
-            if !fresh.is_empty() {
-                return fresh;
+            let unsent = std::mem::take(&mut *self.0.unsent.borrow_mut());
+            if !unsent.is_empty() {
+                return unsent;
             }
-            self.0.told.notified().await;
+            self.0.unsent_added.notified().await;
         }
     }
 }
