--- a/dispatcher/src/main.rs
+++ b/dispatcher/src/main.rs
@@ -1,4 +1,4 @@
-//! lineroute: takes jobs from clients and pushes them to workers. One thread runs it all.
+//! lineroute: accepts jobs from clients and pushes them to workers. The whole process runs on one thread.
 #![forbid(unsafe_code)]
 
 mod accept;
@@ -60,12 +60,12 @@
 use tokio::sync::watch;
 use tracing::{info, info_span, warn};
 
-/// Part of the memory that bodies may take.
-const BODY_PART: usize = 4;
-/// Part of the memory that bodies in passage may take; what each may always hold, and at most.
-const STREAM_PART: usize = 4;
-const STREAM_FLOOR: usize = 16 << 10;
-const STREAM_CEILING: usize = 256 << 10;
+/// Divisor of the memory limit that yields the memory for buffered bodies.
+const BODY_MEMORY_DIVISOR: usize = 4;
+/// Divisor of the memory limit that yields the memory for streamed bodies, and the least and most bytes that one stream may hold.
+const STREAM_MEMORY_DIVISOR: usize = 4;
+const STREAM_MIN_BYTES: usize = 16 << 10;
+const STREAM_MAX_BYTES: usize = 256 << 10;
 
 fn main() -> ExitCode {
     cli::main(start)
@@ -73,10 +73,11 @@
 
 fn start(args: RunArgs) -> Result<(), String> {
     let sources: Sources = args.sources.into();
-    let config = read(&sources, Occasion::Start).map_err(|faults| faults.to_string())?;
+    let config = read_config(&sources, Occasion::Start).map_err(|faults| faults.to_string())?;
     let limit = log::start(args.log_format, args.log);
     actix_rt::System::new().block_on(async {
-        // This thread does all of it: whatever is logged is this dispatcher's, and this process's: two may run at a time.
+        // Everything runs on this thread, so the span covers all log lines. It names the process, since two processes of a
+        // dispatcher may run at a time.
         let process = std::process::id();
         let _dispatcher = info_span!("lineroute", dispatcher = %config.name, process).entered();
         actix_rt::spawn(log::report_dropped_lines(limit));
@@ -88,34 +89,34 @@
     })
 }
 
-fn read(sources: &Sources, occasion: Occasion) -> Result<Config, Faults> {
+fn read_config(sources: &Sources, occasion: Occasion) -> Result<Config, Faults> {
     config::read(|key| std::env::var(key).ok(), sources, occasion)
 }
 
-/// What a reload hands new settings to.
+/// Handles of the subsystems that receive new settings on a reload.
 #[derive(Default)]
-struct Reloaded {
+struct ReloadHandles {
     peers: Option<peers::Handle>,
     admin: Option<admin::Handle>,
     fleet: Option<fleet::Handle>,
 }
 
-/// On each SIGHUP reads the configuration again, goes over to its discovery and to the keys in its key files.
-/// What can't be used changes nothing. Never ends.
+/// Reads the configuration again on each SIGHUP and switches to its discovery address and to the keys in its key files.
+/// An invalid configuration changes nothing. Never completes.
 async fn reload(
     mut hangup: Signal,
     sources: Sources,
     discovery: watch::Sender<Option<SocketAddr>>,
-    reloaded: Rc<OnceCell<Reloaded>>,
+    reload_handles: Rc<OnceCell<ReloadHandles>>,
 ) {
     while hangup.recv().await.is_some() {
-        let config = read(&sources, Occasion::Reload);
+        let config = read_config(&sources, Occasion::Reload);
         stops::at("reload.read");
         match config {
             Ok(config) => {
-                info!("SIGHUP: the configuration was read again");
+                info!("SIGHUP: configuration reloaded");
                 discovery.send_if_modified(|at| std::mem::replace(at, config.discovery) != config.discovery);
-                let Some(Reloaded { peers, admin, fleet }) = reloaded.get() else { continue };
+                let Some(ReloadHandles { peers, admin, fleet }) = reload_handles.get() else { continue };
                 if let (Some(handle), Some(fleet)) = (fleet, config.fleet) {
                     handle.rekey(fleet.keys);
                 }
@@ -126,14 +127,16 @@
                     handle.rekey(admin.keys);
                 }
             }
-            Err(faults) => faults.iter().for_each(|fault| warn!(fault, "SIGHUP: the old settings stay")),
+            Err(faults) => faults.iter().for_each(|fault| {
+                warn!(fault, "SIGHUP: invalid configuration; the old settings stay in force")
+            }),
         }
     }
 }
 
-/// Starts what overrides need, as far as the configuration asks for it. The admin console waits until clients are
-/// served: its `health` is the process's yes.
-async fn control(
+/// Starts the subsystems around overrides that the configuration enables. The admin console is started later, once clients
+/// are served, since its `health` command reports that the process is ready.
+async fn start_control(
     config: &mut Config,
     flows: &Flows,
     targets: &HttpTargets,
@@ -148,7 +151,10 @@
     };
     let wanted = config.admin.is_some() || config.peers.is_some() || config.state_dir.is_some();
     if !wanted && config.admin_console.is_none() {
-        return Ok(Started { reloaded: Reloaded { fleet, ..Reloaded::default() }, calls: None });
+        return Ok(Started {
+            reload_handles: ReloadHandles { fleet, ..ReloadHandles::default() },
+            calls: None,
+        });
     }
     let mut table = Table::new(&config.name, config.longest);
     let store = match &config.state_dir {
@@ -195,23 +201,23 @@
         Some(admin) => Some(admin::start(admin, calls.clone()).await?),
         None => None,
     };
-    Ok(Started { reloaded: Reloaded { peers, admin, fleet }, calls: Some(calls) })
+    Ok(Started { reload_handles: ReloadHandles { peers, admin, fleet }, calls: Some(calls) })
 }
 
-/// What [`control`] has started.
+/// The subsystems that [`start_control`] has started.
 #[derive(Default)]
 struct Started {
-    reloaded: Reloaded,
+    reload_handles: ReloadHandles,
     calls: Option<Rc<admin::Calls>>,
 }
 
 async fn run(mut config: Config, sources: Sources) -> Result<(), String> {
-    // First of all: a signal that nobody waits for ends the program.
+    // Signal handlers come first: without them a signal would terminate the process.
     let mut term = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
     let hangup = signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))?;
     let (discovery, discovery_at) = watch::channel(config.discovery);
-    let reloaded = Rc::new(OnceCell::new());
-    actix_rt::spawn(reload(hangup, sources, discovery, reloaded.clone()));
+    let reload_handles = Rc::new(OnceCell::new());
+    actix_rt::spawn(reload(hangup, sources, discovery, reload_handles.clone()));
     let site = config.site.clone();
     let deadlines = site.settings.classes.iter().map(|c| Duration::from_micros(c.deadline));
     let longest_deadline = deadlines.clone().max().unwrap_or_default();
@@ -219,23 +225,23 @@
         classes: site.classes.iter().cloned().zip(deadlines).collect(),
         tenants: site.tenants.clone(),
     };
-    let drains = Duration::from_micros(site.drain_grace);
+    let drain_grace = Duration::from_micros(site.drain_grace);
     let bounds = Bounds {
         flows: site.settings.allowed.most_held,
-        bytes: config.memory / BODY_PART,
-        drain_grace: (!site.settings.rules.dropped_stay_open).then_some(drains),
+        bytes: config.memory / BODY_MEMORY_DIVISOR,
+        drain_grace: (!site.settings.rules.dropped_stay_open).then_some(drain_grace),
     };
-    let connect_within = Duration::from_micros(site.connect_timeout);
+    let connect_timeout = Duration::from_micros(site.connect_timeout);
     let keepalive = Duration::from_micros(site.settings.allowed.keepalive);
     let schedule = WatchSchedule::new(site.settings.instances, config.seed);
     let reports = site.settings.report_source != ReportSource::None;
-    let source_kind = ListSourceKind::of(&config);
-    let status = match source_kind {
-        ListSourceKind::Pushed => ListStatus::pushed(drains.as_millis() as u64),
-        ListSourceKind::Asked => ListStatus::polled_by_tier(site.settings.instances),
-        ListSourceKind::Fixed => ListStatus::fixed(),
+    let list_delivery = ListDelivery::of(&config);
+    let status = match list_delivery {
+        ListDelivery::Pushed => ListStatus::pushed(drain_grace.as_millis() as u64),
+        ListDelivery::Polled => ListStatus::polled_by_tier(site.settings.instances),
+        ListDelivery::Fixed => ListStatus::fixed(),
     };
-    // Before any socket is opened: what stands in one has come since.
+    // Created before any socket is opened, so that data in a socket cannot be older than the clock.
     let arrivals = Rc::new(ArrivalClock::new(Instant::now()));
     actix_rt::spawn(arrivals.clone().run());
     let monitor = Rc::new(ListMonitor::new(status, arrivals.clone()));
@@ -244,17 +250,18 @@
     flows.update_list_validity();
     let discovery_reports = Rc::new(DiscoveryReports::new(monitor.clone()));
     actix_rt::spawn(monitor.clone().run(flows.clone()));
-    let budgets = StreamBudget::new(config.memory / STREAM_PART, STREAM_FLOOR, STREAM_CEILING);
-    let client = HttpClient::new(connect_within, keepalive, config.outbound, config.connections);
-    let targets = HttpTargets::new(flows.clone(), client.clone(), connect_within, reports);
+    let budgets =
+        StreamBudget::new(config.memory / STREAM_MEMORY_DIVISOR, STREAM_MIN_BYTES, STREAM_MAX_BYTES);
+    let client = HttpClient::new(connect_timeout, keepalive, config.outbound, config.connections);
+    let targets = HttpTargets::new(flows.clone(), client.clone(), connect_timeout, reports);
     flows.add_target(Rc::new(targets.clone()));
     let mut transports = FxHashMap::default();
     for workers in &config.workers {
-        let transport = BeanstalkdTargets::new(flows.clone(), workers, &config.name, connect_within);
+        let transport = BeanstalkdTargets::new(flows.clone(), workers, &config.name, connect_timeout);
         transports.insert(workers.kind.clone(), flows.add_target(Rc::new(transport)));
     }
     for workers in &config.upstreams {
-        let transport = Upstreams::new(flows.clone(), workers, connect_within, keepalive, config.outbound);
+        let transport = Upstreams::new(flows.clone(), workers, connect_timeout, keepalive, config.outbound);
         transports.insert(workers.kind.clone(), flows.add_target(Rc::new(transport)));
     }
     let mut names = NameTable { zones: site.zones, kinds: site.kinds, transports };
@@ -268,10 +275,10 @@
     }
     let shared = config.inherited.is_some();
     let phase = Rc::new(Phase::new(monitor.clone(), shared));
-    let Started { reloaded: control, calls } =
-        control(&mut config, &flows, &targets, &budgets, &discovery_reports, &phase).await?;
-    let fleet = control.fleet.clone();
-    let _ = reloaded.set(control);
+    let Started { reload_handles: handles, calls } =
+        start_control(&mut config, &flows, &targets, &budgets, &discovery_reports, &phase).await?;
+    let fleet = handles.fleet.clone();
+    let _ = reload_handles.set(handles);
     let Config { routes, known, .. } = config;
     let origin = match config.inherited {
         Some(fd) => Origin::Inherited(fd),
@@ -283,15 +290,15 @@
     let prefix = format!("{}-{:x}", config.name, config.seed);
     let mut beanstalkd = None;
     if let Some(settings) = config.beanstalkd {
-        let socket = listen_to_beanstalkd(settings.listen).await?;
+        let socket = bind_beanstalkd(settings.listen).await?;
         let listener = BeanstalkdListener::new(flows.clone(), settings, prefix.clone(), arrivals);
         actix_rt::spawn(listener.clone().serve(socket));
         beanstalkd = Some(listener);
     }
     let listen = socket.local_addr().map_err(|e| e.to_string())?;
     info!(addr = %listen, "listens");
-    let clock = flows.clone();
-    actix_rt::spawn(async move { clock.run_timers().await });
+    let timer_flows = flows.clone();
+    actix_rt::spawn(async move { timer_flows.run_timers().await });
     let version = known.map(|k| k.version);
     let source = ListSource {
         flows: flows.clone(),
@@ -302,12 +309,13 @@
         monitor: monitor.clone(),
         reports: discovery_reports,
     };
-    match source_kind {
-        ListSourceKind::Pushed => drop(actix_rt::spawn(list::follow(source, drains))),
-        ListSourceKind::Asked => drop(actix_rt::spawn(list::watch(source, schedule))),
-        ListSourceKind::Fixed => drop(actix_rt::spawn(list::serve_fixed_list(flows.clone()))),
+    match list_delivery {
+        ListDelivery::Pushed => drop(actix_rt::spawn(list::follow(source, drain_grace))),
+        ListDelivery::Polled => drop(actix_rt::spawn(list::watch(source, schedule))),
+        ListDelivery::Fixed => drop(actix_rt::spawn(list::serve_fixed_list(flows.clone()))),
     }
-    // Before clients are served: what concerns them may come to a sibling.
+    // The admin console and the siblings come before clients are served, since an operator's command that concerns those clients
+    // may reach a sibling.
     let siblings = calls.as_ref().and_then(|calls| calls.siblings.clone());
     let console = match config.admin_console {
         Some(at) => Some(admin::console::bind(at).await?),
@@ -340,28 +348,28 @@
     Ok(())
 }
 
-/// Where the worker list comes from.
+/// The source of the worker list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum ListSourceKind {
-    /// An agent on this machine is sent it.
+enum ListDelivery {
+    /// Discovery pushes the list to an agent on this host.
     Pushed,
-    /// Discovery is asked for it.
-    Asked,
-    /// The operator's file has it.
+    /// The dispatcher polls discovery.
+    Polled,
+    /// The list is in the operator's file.
     Fixed,
 }
 
-impl ListSourceKind {
+impl ListDelivery {
     fn of(config: &Config) -> Self {
         match config.discovery {
-            Some(_) if config.site.settings.discovery == Discovery::Push => ListSourceKind::Pushed,
-            Some(_) => ListSourceKind::Asked,
-            None => ListSourceKind::Fixed,
+            Some(_) if config.site.settings.discovery == Discovery::Push => ListDelivery::Pushed,
+            Some(_) => ListDelivery::Polled,
+            None => ListDelivery::Fixed,
         }
     }
 }
 
-async fn listen_to_beanstalkd(at: SocketAddr) -> Result<TcpListener, String> {
+async fn bind_beanstalkd(at: SocketAddr) -> Result<TcpListener, String> {
     let bound = open_with_retry(|| TcpListener::bind(at)).await;
     let socket = bound.map_err(|e| format!("beanstalkd.listen: {e}"))?;
     let listen = socket.local_addr().map_err(|e| e.to_string())?;
