--- a/dispatcher/src/stop.rs
+++ b/dispatcher/src/stop.rs
@@ -1,4 +1,4 @@
-//! The end of the process behind SIGTERM: its stages, and what it owes in each.
+//! Graceful shutdown after SIGTERM: its stages, and what remains to be done in each.
 
 use crate::fleet;
 use crate::flow::Flows;
@@ -12,125 +12,131 @@
 use tokio::task::JoinHandle;
 use tracing::{info, warn};
 
-/// After SIGTERM clients keep coming for a while: so long they are served.
+/// How long new requests are still accepted after SIGTERM, since clients keep sending for a while.
 const ACCEPT_GRACE: Duration = Duration::from_millis(700);
-/// How long answers may take to reach their clients once the last flow has ended.
+/// How long answers may take to reach their clients after the last flow has ended.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long answers that pass may go on once everything else is done; then they are cut short.
-const PASS_ON: Duration = Duration::from_secs(10);
-/// Between two lines of the log on what a stop waits for.
-const REPORT_STOP_EVERY: Duration = Duration::from_millis(500);
-/// The platform counts the longest deadline as this at most; so long and [`ACCEPT_GRACE`] behind SIGTERM it may kill.
-const LONGEST_COUNTED: Duration = Duration::from_secs(3);
-/// Answers go out so long before that: the signal was sent before it was heeded, and many clients are answered at once.
-const LAST_MOMENT_MARGIN: Duration = Duration::from_millis(200);
-/// How long workers may take then to be told that their jobs are given up.
-const GIVE_UP_WITHIN: Duration = Duration::from_millis(100);
-/// When clients that are refused then may come again: another process serves by now.
-const RETRY_ELSEWHERE: Duration = Duration::from_millis(100);
-/// Between two looks at whether a sibling takes new connections.
-const ASK_SIBLINGS_EVERY: Duration = Duration::from_millis(100);
-/// Between two looks at what a stop waits for.
-const LOOK_AGAIN: Duration = Duration::from_millis(5);
-/// How long answers that beanstalkd clients have not fetched are kept once everything else is done.
-const KEEP_ANSWERS: Duration = Duration::from_secs(5);
+/// How long streamed answers may continue once everything else is done; then they are truncated.
+const STREAM_GRACE: Duration = Duration::from_secs(10);
+/// Interval between log lines on the progress of a shutdown.
+const PROGRESS_LOG_INTERVAL: Duration = Duration::from_millis(500);
+/// The platform caps the longest deadline at this value when it computes the grace period: it may send SIGKILL this long plus
+/// [`ACCEPT_GRACE`] after SIGTERM.
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// How long before a possible SIGKILL the remaining answers are sent: SIGTERM was sent earlier than it was handled, and many
+/// clients are answered at once.
+const ANSWER_DEADLINE_MARGIN: Duration = Duration::from_millis(200);
+/// How long cancelling the forwards in flight may take after that.
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(100);
+/// `Retry-After` of the answers sent then: another process is serving by now.
+const RETRY_AFTER: Duration = Duration::from_millis(100);
+/// Interval at which siblings are asked whether they take new connections.
+const SIBLING_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Polling interval while the shutdown waits for a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// How long answers that beanstalkd clients have not reserved yet are kept after every request has been answered.
+const UNRESERVED_ANSWER_GRACE: Duration = Duration::from_secs(5);
 
-/// What a stop has to end, in its order.
+/// The parts of the running process that a shutdown ends.
 pub struct RunningProcess {
     pub flows: Flows,
     pub phase: Rc<Phase>,
     pub beanstalkd: Option<Rc<BeanstalkdListener>>,
     pub fleet: Option<fleet::Handle>,
-    /// The other processes of this dispatcher, where there may be some.
+    /// Other processes of this dispatcher, if there can be any.
     pub siblings: Option<Rc<Siblings>>,
-    /// Lets clients of the platform in until it is told to end.
+    /// The task that accepts HTTP connections until the phase ends.
     pub serving: JoinHandle<()>,
     pub slots: Rc<ConnectionSlots>,
-    /// The longest time that a client waits for an answer.
+    /// The longest deadline of any class.
     pub longest_deadline: Duration,
 }
 
-/// How long behind SIGTERM everybody has to have an answer: SIGKILL may follow so soon.
-fn last_moment(longest_deadline: Duration) -> Duration {
-    (longest_deadline.min(LONGEST_COUNTED) + ACCEPT_GRACE).saturating_sub(LAST_MOMENT_MARGIN)
+/// The time after SIGTERM by which every client must have an answer, since SIGKILL may follow.
+fn answer_deadline(longest_deadline: Duration) -> Duration {
+    (longest_deadline.min(MAX_COUNTED_DEADLINE) + ACCEPT_GRACE).saturating_sub(ANSWER_DEADLINE_MARGIN)
 }
 
 impl RunningProcess {
-    /// Takes nothing new, answers what was taken before the platform may kill the process, and ends its connections. Dropped, it leaves
-    /// off where it was.
+    /// Stops accepting requests, answers the accepted ones before the platform may send SIGKILL, and closes the connections. When
+    /// dropped, it stops at its current stage.
     pub async fn stop(self) {
         let RunningProcess { flows, phase, beanstalkd, fleet, siblings, serving, slots, longest_deadline } =
             self;
         info!(flows = flows.unanswered_flows(), "SIGTERM: stopping");
-        let since = Instant::now();
-        let report = actix_rt::spawn(report_stop(flows.clone(), since));
+        let started = Instant::now();
+        let report = actix_rt::spawn(log_progress(flows.clone(), started));
         phase.close();
         siblings.iter().for_each(|siblings| siblings.stop());
-        let queue = siblings.clone().filter(|_| phase.is_shared());
-        let queue = queue.map(|siblings| actix_rt::spawn(leave_queue(siblings, phase.clone())));
+        let leaving_queue = siblings.clone().filter(|_| phase.is_shared());
+        let leaving_queue =
+            leaving_queue.map(|siblings| actix_rt::spawn(leave_queue(siblings, phase.clone())));
         beanstalkd.iter().for_each(|f| f.stop());
-        let last_moment = last_moment(longest_deadline);
-        tokio::time::sleep(ACCEPT_GRACE.min(last_moment)).await;
+        let answer_deadline = answer_deadline(longest_deadline);
+        tokio::time::sleep(ACCEPT_GRACE.min(answer_deadline)).await;
         phase.shut();
         info!(flows = flows.unanswered_flows(), "SIGTERM: new requests are refused from here on");
-        let settled = async {
+        let all_answered = async {
             while flows.unanswered_flows() > 0 {
                 flows.unanswered_changed().await;
             }
         };
-        // Dropped, it only waited.
-        if tokio::time::timeout_at((since + last_moment).into(), settled).await.is_err() {
-            let (attempts, owed) = (flows.forwards_in_flight(), flows.answer_all_pending(RETRY_ELSEWHERE));
-            warn!(owed, attempts, "SIGTERM: answered unserved, since SIGKILL may come now");
-            while_within(GIVE_UP_WITHIN, || flows.forwards_in_flight() > 0).await;
+        // The future only waits, so that dropping it at the timeout loses nothing.
+        if tokio::time::timeout_at((started + answer_deadline).into(), all_answered).await.is_err() {
+            let (attempts, owed) = (flows.forwards_in_flight(), flows.answer_all_pending(RETRY_AFTER));
+            warn!(
+                owed,
+                attempts, "SIGTERM: remaining requests answered without a result, since SIGKILL may follow"
+            );
+            wait_while(CANCEL_TIMEOUT, || flows.forwards_in_flight() > 0).await;
         }
         info!("SIGTERM: every request has its answer");
-        while_within(KEEP_ANSWERS, || beanstalkd.as_ref().is_some_and(|f| f.left() > 0)).await;
-        while_within(PASS_ON, || flows.streaming_answers() > 0).await;
+        wait_while(UNRESERVED_ANSWER_GRACE, || beanstalkd.as_ref().is_some_and(|f| f.left() > 0)).await;
+        wait_while(STREAM_GRACE, || flows.streaming_answers() > 0).await;
         if flows.streaming_answers() > 0 {
-            warn!(flows = flows.streaming_answers(), "SIGTERM: answers that were passing are cut short");
+            warn!(flows = flows.streaming_answers(), "SIGTERM: streamed answers truncated");
         }
         if let Some(fleet) = fleet {
             fleet.leave().await;
         }
-        let ledger = flows.permit_stats();
-        info!(sent = ledger.sent, refused = ?ledger.refused, violations = ?ledger.violations, "SIGTERM: permits since the start");
-        // Whoever still waits in the listener's queue is let in and refused; then there is none.
+        let permit_stats = flows.permit_stats();
+        info!(sent = permit_stats.sent, refused = ?permit_stats.refused, violations = ?permit_stats.violations, "SIGTERM: permits since the start");
+        // Connections still in the accept queue are accepted and refused; then the listening socket is closed.
         phase.end();
         let _ = serving.await;
-        while_within(FLUSH_TIMEOUT, || slots.count() > 0).await;
+        wait_while(FLUSH_TIMEOUT, || slots.count() > 0).await;
         siblings.iter().for_each(|siblings| siblings.leave());
-        queue.iter().for_each(JoinHandle::abort);
+        leaving_queue.iter().for_each(JoinHandle::abort);
         report.abort();
     }
 }
 
-/// Leaves new connections to a sibling that serves them, for as long as there is one. Aborted, it leaves things as they are.
+/// Leaves new connections to a sibling while there is one that serves them. Aborting the task keeps the current state.
 async fn leave_queue(siblings: Rc<Siblings>, phase: Rc<Phase>) {
     loop {
         let states = siblings.states().await;
-        // Until new requests are refused here, a sibling that has no list yet would serve them later than this process.
+        // While this process still accepts requests, a sibling without a worker list would serve them later than this one.
         let is_served =
             states.contains(&State::Serving) || phase.is_shut() && states.contains(&State::Starting);
         phase.leave_queue(is_served);
-        tokio::time::sleep(ASK_SIBLINGS_EVERY).await;
+        tokio::time::sleep(SIBLING_POLL_INTERVAL).await;
     }
 }
 
-/// Logs what a stopping process still owes, until it is aborted. Nothing is lost then: it only reads.
-async fn report_stop(flows: Flows, since: Instant) {
+/// Logs the progress of the shutdown until aborted, which is safe at any time: the task only reads.
+async fn log_progress(flows: Flows, started: Instant) {
     loop {
-        tokio::time::sleep(REPORT_STOP_EVERY).await;
+        tokio::time::sleep(PROGRESS_LOG_INTERVAL).await;
         let (owed, attempts, after_ms) =
-            (flows.unanswered_flows(), flows.forwards_in_flight(), since.elapsed().as_millis() as u64);
+            (flows.unanswered_flows(), flows.forwards_in_flight(), started.elapsed().as_millis() as u64);
         info!(owed, attempts, after_ms, "SIGTERM: still stopping");
     }
 }
 
-/// Waits while something is so, for a span at most.
-async fn while_within(span: Duration, is_so: impl Fn() -> bool) {
-    let last = tokio::time::Instant::now() + span;
-    while is_so() && tokio::time::Instant::now() < last {
-        tokio::time::sleep(LOOK_AGAIN).await;
+/// Waits while `condition` holds, for at most `timeout`.
+async fn wait_while(timeout: Duration, condition: impl Fn() -> bool) {
+    let last = tokio::time::Instant::now() + timeout;
+    while condition() && tokio::time::Instant::now() < last {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
