--- a/dispatcher/src/stops.rs
+++ b/dispatcher/src/stops.rs
@@ -1,57 +1,57 @@
-//! Named points at which tests stop or kill the process: between any two steps whose order matters. In release
-//! builds there are none: the calls come to nothing.
+//! Fail points: named places, between steps whose order matters, at which tests stop or kill the process. Release
+//! builds compile the calls to nothing.
 //!
-//! `LINEROUTE_TEST_STOPS` holds `POINT:NTH:ACT`, separated by commas; `ACT` is `stop` (SIGSTOP), `kill` (SIGKILL) or
-//! milliseconds for which only the thread stands still. That comes when a thread passes the point for the `NTH` time.
+//! `LINEROUTE_TEST_STOPS` holds `POINT:NTH:ACTION` entries, separated by commas. `ACTION` is `stop` (SIGSTOP), `kill` (SIGKILL)
+//! or a number of milliseconds for which only the thread sleeps. It runs when the thread passes the point for the `NTH` time.
 
 #[cfg(debug_assertions)]
-mod armed {
+mod enabled {
     use rustix::process::{getpid, kill_process, Signal};
     use std::cell::RefCell;
     use std::time::Duration;
 
     #[derive(Clone, Copy)]
-    enum Act {
+    enum Action {
         Signal(Signal),
         Pause(Duration),
     }
 
-    struct Point {
+    struct FailPoint {
         name: String,
-        left: u32,
-        act: Act,
+        remaining: u32,
+        action: Action,
     }
 
     thread_local! {
-        static POINTS: RefCell<Option<Vec<Point>>> = const { RefCell::new(None) };
+        static FAIL_POINTS: RefCell<Option<Vec<FailPoint>>> = const { RefCell::new(None) };
     }
 
-    fn read() -> Vec<Point> {
+    fn read() -> Vec<FailPoint> {
         let text = std::env::var("LINEROUTE_TEST_STOPS").unwrap_or_default();
         let point = |words: &str| {
             let mut parts = words.trim().split(':');
-            let (name, nth, act) = (parts.next()?, parts.next()?.parse().ok()?, parts.next()?);
-            let act = match act {
-                "stop" => Act::Signal(Signal::STOP),
-                "kill" => Act::Signal(Signal::KILL),
-                pause => Act::Pause(Duration::from_millis(pause.parse().ok()?)),
+            let (name, nth, action) = (parts.next()?, parts.next()?.parse().ok()?, parts.next()?);
+            let action = match action {
+                "stop" => Action::Signal(Signal::STOP),
+                "kill" => Action::Signal(Signal::KILL),
+                pause => Action::Pause(Duration::from_millis(pause.parse().ok()?)),
             };
-            Some(Point { name: name.into(), left: nth, act })
+            Some(FailPoint { name: name.into(), remaining: nth, action })
         };
         text.split(',').filter_map(point).collect()
     }
 
-    /// The process passes a point.
+    /// Runs the action of the fail point `name` if it is due.
     pub fn at(name: &str) {
-        POINTS.with(|points| {
+        FAIL_POINTS.with(|points| {
             let mut points = points.borrow_mut();
             for point in points.get_or_insert_with(read).iter_mut().filter(|p| p.name == name) {
-                // Once it has fired, none are left to count.
-                point.left = point.left.wrapping_sub(1);
-                match point.act {
-                    _ if point.left > 0 => {}
-                    Act::Signal(signal) => drop(kill_process(getpid(), signal)),
-                    Act::Pause(span) => std::thread::sleep(span),
+                // The counter wraps after the point has fired, so that it does not fire again.
+                point.remaining = point.remaining.wrapping_sub(1);
+                match point.action {
+                    _ if point.remaining > 0 => {}
+                    Action::Signal(signal) => drop(kill_process(getpid(), signal)),
+                    Action::Pause(duration) => std::thread::sleep(duration),
                 }
             }
         });
@@ -59,9 +59,9 @@
 }
 
 #[cfg(debug_assertions)]
-pub use armed::at;
+pub use enabled::at;
 
-/// The process passes a point.
+/// Does nothing in release builds.
 #[cfg(not(debug_assertions))]
 #[inline(always)]
 pub fn at(_name: &str) {}
