--- a/lab/fault-plan/src/lib.rs
+++ b/lab/fault-plan/src/lib.rs
@@ -1,26 +1,26 @@
-//! Which system calls of a process fail at present, and how far its wall clock is off.
+//! Fault plan of a process: which system calls fail, and by how much the wall clock is offset.
 //!
-//! The lab writes a [`FaultPlan`] into a file, and the shim that is loaded into the process maps that file and looks at it at each
-//! call. The file holds [`WORDS`] words of 64 bits in the machine's byte order, so that each value is read and written whole.
+//! The lab writes a [`FaultPlan`] to a file. The shim loaded into the process maps that file and reads it at each call. The file
+//! holds [`WORDS`] 64-bit words in native byte order, so that each value is read and written atomically.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-/// The environment variable that names the file of a process.
+/// The environment variable that holds the path of the plan's file.
 pub const PLAN_VARIABLE: &str = "LINEROUTE_FAULT_PLAN";
 
-/// The words of a plan: the offset of the wall clock, the broken-connection switch, and a rate for each call.
+/// The number of words of a plan: the clock offset, the switch for disguised resets, and a rate for each call.
 pub const WORDS: usize = 2 + CALLS.len();
 
-/// The bytes of a plan's file.
+/// The size of a plan's file in bytes.
 pub const BYTES: usize = WORDS * size_of::<u64>();
 
-/// The word of the wall clock's offset, in milliseconds.
+/// The index of the word with the wall clock's offset in milliseconds.
 pub const CLOCK_WORD: usize = 0;
 
-/// The word that says whether resets show as other errors.
+/// The index of the word that says whether resets are reported as other errors.
 pub const RESETS_WORD: usize = 1;
 
-/// A system call that fails, or does only a part of its work.
+/// A system call into which a failure or a partial transfer can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
     /// `accept4` fails with ECONNABORTED, ENFILE, EMFILE or ENOBUFS.
@@ -31,15 +31,15 @@
     Connect,
     /// `epoll_wait` returns EINTR before it waits.
     Wait,
-    /// A read from a connection brings a part of what there is.
+    /// A read from a connection returns only a part of the available bytes.
     ShortRead,
-    /// A write to a connection takes a part of what is offered.
+    /// A write to a connection accepts only a part of the bytes.
     ShortWrite,
-    /// `write` to a regular file takes a part of what is offered, or fails with ENOSPC or EIO.
+    /// `write` to a regular file fails with ENOSPC or EIO, possibly after writing a part of the bytes.
     FileWrite,
 }
 
-/// Every call, in the order of their words.
+/// All calls, in the order of their words.
 pub const CALLS: [Call; 7] = [
     Call::Accept,
     Call::Socket,
@@ -51,25 +51,25 @@
 ];
 
 impl Call {
-    /// The word of this call's rate.
+    /// The index of the word with this call's rate.
     pub fn word(self) -> usize {
         2 + self as usize
     }
 }
 
-/// What the shim of one process does at present.
+/// The faults that the shim of one process injects.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FaultPlan {
-    /// How far the wall clock is off, in milliseconds.
+    /// Offset of the wall clock in milliseconds.
     pub clock_offset_ms: i64,
-    /// A connection that was reset shows as ETIMEDOUT or EHOSTUNREACH.
+    /// Report a reset connection as ETIMEDOUT or EHOSTUNREACH.
     pub disguise_resets: bool,
-    /// How many of a thousand calls fail, in the order of [`CALLS`].
+    /// Failures per thousand calls, in the order of [`CALLS`].
     pub rates: [u64; CALLS.len()],
 }
 
 impl FaultPlan {
-    /// The bytes of the file.
+    /// Encodes the plan as the contents of its file.
     pub fn to_bytes(&self) -> [u8; BYTES] {
         let mut words = [0u64; WORDS];
         words[CLOCK_WORD] = self.clock_offset_ms.cast_unsigned();
--- a/lab/fault-shim/src/lib.rs
+++ b/lab/fault-shim/src/lib.rs
@@ -1,9 +1,9 @@
-//! A library that tests load into a process (`LD_PRELOAD`): it stands in front of the C library's functions for sockets, waits
-//! and the wall clock, and lets some of their calls fail in ways that Linux documents, as a plan says
+//! A library that tests load into a process with `LD_PRELOAD`. It interposes the C library's functions for sockets, polling,
+//! file writes and the wall clock, and makes some of their calls fail in documented ways, according to a plan
 //! ([`lineroute_fault_plan`]).
 //!
-//! It is for tests alone: nothing of the program links it, and without a plan each function does what it always did. This is
-//! the one crate of the repository that may be unsafe: it replaces C functions and calls them.
+//! It is for tests only: no program links it, and without a plan every function behaves as usual. It is the only crate of the
+//! repository that may use unsafe code, since it replaces and calls C functions.
 #![warn(missing_docs)]
 
 mod next;
@@ -17,17 +17,17 @@
 const SOCKET_ERRORS: [c_int; 3] = [libc::ENFILE, libc::EMFILE, libc::ENOBUFS];
 const CONNECT_ERRORS: [c_int; 2] = [libc::EADDRNOTAVAIL, libc::ENETUNREACH];
 const FILE_ERRORS: [c_int; 2] = [libc::ENOSPC, libc::EIO];
-/// What a reset may show as instead.
+/// Errors as which a reset may be reported.
 const RESET_ERRORS: [c_int; 2] = [libc::ETIMEDOUT, libc::EHOSTUNREACH];
 const MILLISECONDS: i64 = 1000;
 const NANOSECONDS: i64 = 1_000_000_000;
-/// Descriptors whose registration with `epoll` is remembered.
-const DESCRIPTORS: usize = 4096;
+/// Number of descriptors whose `epoll` registration is tracked.
+const MAX_DESCRIPTORS: usize = 4096;
 
-/// By descriptor: the `epoll` descriptor that watches it, and for what.
-static WATCHED: [AtomicU64; DESCRIPTORS] = [const { AtomicU64::new(0) }; DESCRIPTORS];
-/// By descriptor: what the watcher is told with an event.
-static WATCHED_DATA: [AtomicU64; DESCRIPTORS] = [const { AtomicU64::new(0) }; DESCRIPTORS];
+/// By descriptor: the `epoll` descriptor plus one in the upper half, the registered events in the lower one; 0 if there is none.
+static REGISTRATIONS: [AtomicU64; MAX_DESCRIPTORS] = [const { AtomicU64::new(0) }; MAX_DESCRIPTORS];
+/// By descriptor: the user data of its `epoll` registration.
+static REGISTRATION_DATA: [AtomicU64; MAX_DESCRIPTORS] = [const { AtomicU64::new(0) }; MAX_DESCRIPTORS];
 
 fn fail(error: c_int) -> c_int {
     // SAFETY: the C library gives each thread its own `errno`.
@@ -35,17 +35,17 @@
     -1
 }
 
-fn error() -> c_int {
+fn errno() -> c_int {
     // SAFETY: as in `fail`.
     unsafe { *libc::__errno_location() }
 }
 
-/// An error that this call is to end with now.
+/// The error with which this call is to fail, if any.
 fn injected_error(call: Call, errors: &[c_int]) -> Option<c_int> {
     plan::should_fail(call).then(|| errors[plan::random_below(errors.len() as u64) as usize])
 }
 
-/// How many bytes a call may move: all, or fewer where it is to be cut short.
+/// The number of bytes that a call may transfer: all, or fewer if a partial transfer is injected.
 fn shortened_len(call: Call, bytes: size_t) -> size_t {
     if bytes > 1 && plan::should_fail(call) {
         1 + plan::random_below(bytes as u64 - 1) as size_t
@@ -54,49 +54,50 @@
     }
 }
 
-/// Has `epoll` tell anew of a descriptor of which less was moved than could be: an edge-triggered watcher takes a short read or
-/// write for the end of what there is, as epoll(7) permits.
+/// Re-arms the `epoll` registration of a descriptor after an injected partial transfer. An edge-triggered reader or writer takes
+/// a partial transfer to mean that the descriptor is exhausted, as epoll(7) permits, and would wait for an event that never comes.
 fn rearm_edge_trigger(descriptor: c_int) {
-    let Some(slot) = usize::try_from(descriptor).ok().filter(|slot| *slot < DESCRIPTORS) else { return };
-    let watched = WATCHED[slot].load(Ordering::Relaxed);
-    if watched == 0 {
+    let Some(slot) = usize::try_from(descriptor).ok().filter(|slot| *slot < MAX_DESCRIPTORS) else { return };
+    let registration = REGISTRATIONS[slot].load(Ordering::Relaxed);
+    if registration == 0 {
         return;
     }
-    let (watcher, events) = ((watched >> 32) as c_int - 1, watched as u32);
-    let mut event = epoll_event { events, u64: WATCHED_DATA[slot].load(Ordering::Relaxed) };
-    let before = error();
-    // SAFETY: the event lives through the call. A watcher that was closed meanwhile makes the call fail, which is passed over.
-    unsafe { (next::epoll_ctl())(watcher, libc::EPOLL_CTL_MOD, descriptor, &mut event) };
-    fail(before);
+    let (epoll_fd, events) = ((registration >> 32) as c_int - 1, registration as u32);
+    let mut event = epoll_event { events, u64: REGISTRATION_DATA[slot].load(Ordering::Relaxed) };
+    let saved_errno = errno();
+    // SAFETY: the event outlives the call. If the `epoll` descriptor was closed meanwhile, the call fails, which is ignored.
+    unsafe { (next::epoll_ctl())(epoll_fd, libc::EPOLL_CTL_MOD, descriptor, &mut event) };
+    fail(saved_errno);
 }
 
-/// The result of a read or write: a reset may show as another error.
+/// Replaces a reset in the result of a read or write by another error, if the plan says so.
 fn disguise_reset(result: ssize_t) -> ssize_t {
-    if result == -1 && matches!(error(), libc::ECONNRESET | libc::EPIPE) && plan::disguise_resets() {
+    if result == -1 && matches!(errno(), libc::ECONNRESET | libc::EPIPE) && plan::disguise_resets() {
         return fail(RESET_ERRORS[plan::random_below(2) as usize]) as ssize_t;
     }
     result
 }
 
-/// Remembers what `epoll` watches of a descriptor.
+/// Tracks the `epoll` registrations of descriptors.
 ///
 /// # Safety
 /// As epoll_ctl(2).
 #[no_mangle]
 pub unsafe extern "C" fn epoll_ctl(
-    watcher: c_int,
-    act: c_int,
+    epoll_fd: c_int,
+    operation: c_int,
     descriptor: c_int,
     event: *mut epoll_event,
 ) -> c_int {
-    let result = (next::epoll_ctl())(watcher, act, descriptor, event);
-    if let Some(slot) = usize::try_from(descriptor).ok().filter(|slot| *slot < DESCRIPTORS && result == 0) {
-        if act == libc::EPOLL_CTL_DEL || event.is_null() {
-            WATCHED[slot].store(0, Ordering::Relaxed);
+    let result = (next::epoll_ctl())(epoll_fd, operation, descriptor, event);
+    if let Some(slot) = usize::try_from(descriptor).ok().filter(|slot| *slot < MAX_DESCRIPTORS && result == 0)
+    {
+        if operation == libc::EPOLL_CTL_DEL || event.is_null() {
+            REGISTRATIONS[slot].store(0, Ordering::Relaxed);
         } else {
-            WATCHED_DATA[slot].store((*event).u64, Ordering::Relaxed);
-            let watched = ((watcher as u64 + 1) << 32) | u64::from((*event).events);
-            WATCHED[slot].store(watched, Ordering::Relaxed);
+            REGISTRATION_DATA[slot].store((*event).u64, Ordering::Relaxed);
+            let registration = ((epoll_fd as u64 + 1) << 32) | u64::from((*event).events);
+            REGISTRATIONS[slot].store(registration, Ordering::Relaxed);
         }
     }
     result
@@ -106,15 +107,15 @@
 /// As epoll_wait(2).
 #[no_mangle]
 pub unsafe extern "C" fn epoll_wait(
-    watcher: c_int,
+    epoll_fd: c_int,
     events: *mut epoll_event,
-    most: c_int,
+    max_events: c_int,
     timeout: c_int,
 ) -> c_int {
     if timeout != 0 && plan::should_fail(Call::Wait) {
         return fail(libc::EINTR);
     }
-    (next::epoll_wait())(watcher, events, most, timeout)
+    (next::epoll_wait())(epoll_fd, events, max_events, timeout)
 }
 
 /// # Safety
@@ -184,15 +185,15 @@
     disguise_reset(result)
 }
 
-/// Whether a descriptor is that of a regular file.
+/// Whether a descriptor refers to a regular file.
 fn is_file(descriptor: c_int) -> bool {
-    let before = error();
-    // SAFETY: all bytes of the structure may be zero, and the call fills it.
+    let saved_errno = errno();
+    // SAFETY: `stat` is valid when zeroed, and the call fills it in.
     let is_file = unsafe {
         let mut state: libc::stat = std::mem::zeroed();
         libc::fstat(descriptor, &mut state) == 0 && state.st_mode & libc::S_IFMT == libc::S_IFREG
     };
-    fail(before);
+    fail(saved_errno);
     is_file
 }
 
@@ -201,7 +202,7 @@
 #[no_mangle]
 pub unsafe extern "C" fn write(descriptor: c_int, from: *const c_void, size: size_t) -> ssize_t {
     if size > 1 && is_file(descriptor) && plan::should_fail(Call::FileWrite) {
-        // A part may be there when the disk is full.
+        // A part of the data may be written before the disk is full.
         if plan::random_below(2) == 0 {
             (next::write())(descriptor, from, 1 + plan::random_below(size as u64 - 1) as size_t);
         }
--- a/lab/fault-shim/src/next.rs
+++ b/lab/fault-shim/src/next.rs
@@ -1,4 +1,4 @@
-//! The C library's own functions, which those of this library stand in front of.
+//! The C library's own functions, which this library interposes.
 
 use libc::{c_char, c_int, c_void, epoll_event, iovec, size_t, sockaddr, socklen_t, ssize_t, timespec};
 use std::sync::atomic::{AtomicPtr, Ordering};
@@ -7,17 +7,17 @@
     ($($name:ident: $type:ty;)*) => {$(
         /// The C library's own function of this name.
         pub fn $name() -> $type {
-            static FOUND: AtomicPtr<c_void> = AtomicPtr::new(std::ptr::null_mut());
-            let mut found = FOUND.load(Ordering::Relaxed);
-            if found.is_null() {
+            static ADDRESS: AtomicPtr<c_void> = AtomicPtr::new(std::ptr::null_mut());
+            let mut address = ADDRESS.load(Ordering::Relaxed);
+            if address.is_null() {
                 const NAME: &[u8] = concat!(stringify!($name), "\0").as_bytes();
-                // SAFETY: the name ends with a zero byte.
-                found = unsafe { libc::dlsym(libc::RTLD_NEXT, NAME.as_ptr().cast::<c_char>()) };
-                assert!(!found.is_null(), "the C library lacks {}", stringify!($name));
-                FOUND.store(found, Ordering::Relaxed);
+                // SAFETY: the name is NUL-terminated.
+                address = unsafe { libc::dlsym(libc::RTLD_NEXT, NAME.as_ptr().cast::<c_char>()) };
+                assert!(!address.is_null(), "the C library lacks {}", stringify!($name));
+                ADDRESS.store(address, Ordering::Relaxed);
             }
-            // SAFETY: the function that bears this name has this type.
-            unsafe { std::mem::transmute::<*mut c_void, $type>(found) }
+            // SAFETY: the C function of this name has this type.
+            unsafe { std::mem::transmute::<*mut c_void, $type>(address) }
         }
     )*};
 }
