--- a/examples/relay.rs
+++ b/examples/relay.rs
@@ -1,4 +1,4 @@
-//! A bare relay of bytes on the runtime that the dispatcher uses: what streaming is measured against.
+//! A minimal TCP relay on the dispatcher's runtime, used as the baseline for streaming measurements.
 //! `relay TARGET` listens on a free port and prints it.
 
 use tokio::net::{TcpListener, TcpStream};
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,6 +1,6 @@
-//! Toy peers to try lineroute with: a discovery at 127.0.0.1:8500, two workers at 9101 and 9102 that take a job,
-//! work a while and tell the dispatcher at 127.0.0.1:9000, and two plain HTTP servers at 9201 and 9202 that count
-//! what is sent to them. Run it by `cargo run --example toy`.
+//! Minimal services for trying out lineroute: discovery at 127.0.0.1:8500, two workers at ports 9101 and 9102 that accept
+//! a job, work for a while and report to the dispatcher at 127.0.0.1:9000, and two plain HTTP servers at ports 9201 and
+//! 9202 that discard_body the bytes of each request. Run with `cargo run --example toy`.
 
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -12,7 +12,7 @@
 const WORKERS: [(&str, u16, u64); 2] = [("toy-fast", 9101, 200), ("toy-slow", 9102, 400)];
 
 struct Request {
-    first: String,
+    request_line: String,
     headers: HashMap<String, String>,
     body: String,
 }
@@ -22,23 +22,23 @@
         let mut line = String::new();
         (stream.read_line(&mut line).ok()? > 0).then(|| line.trim_end().to_owned())
     };
-    let first = line()?;
+    let request_line = line()?;
     let mut headers = HashMap::new();
     while let Some((name, value)) = line()?.split_once(':') {
         headers.insert(name.to_lowercase(), value.trim().to_owned());
     }
-    Some((first, headers))
+    Some((request_line, headers))
 }
 
 fn read(stream: &mut impl BufRead) -> Option<Request> {
-    let (first, headers) = read_head(stream)?;
+    let (request_line, headers) = read_head(stream)?;
     let length = headers.get("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
     let mut body = vec![0; length];
     stream.read_exact(&mut body).ok()?;
-    Some(Request { first, headers, body: String::from_utf8_lossy(&body).into_owned() })
+    Some(Request { request_line, headers, body: String::from_utf8_lossy(&body).into_owned() })
 }
 
-/// Serves every connection on a thread of its own; `answer` gives the status and the body.
+/// Serves every connection on its own thread; `answer` returns the status and the body.
 fn serve(
     port: u16,
     answer: impl Fn(Request) -> (&'static str, String) + Clone + Send + 'static,
@@ -60,8 +60,8 @@
     Ok(())
 }
 
-/// Reads a body away, whatever its size; how many bytes it had.
-fn count(reader: &mut impl BufRead, headers: &HashMap<String, String>) -> io::Result<u64> {
+/// Reads and discards a body of any size; returns its length in bytes.
+fn discard_body(reader: &mut impl BufRead, headers: &HashMap<String, String>) -> io::Result<u64> {
     if headers.get("transfer-encoding").is_none() {
         let length = headers.get("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
         return io::copy(&mut Read::take(&mut *reader, length), &mut io::sink());
@@ -71,7 +71,7 @@
         let mut line = String::new();
         reader.read_line(&mut line)?;
         let size = u64::from_str_radix(line.trim(), 16).map_err(io::Error::other)?;
-        // The data, and the end of its line.
+        // The chunk's data, followed by a line end.
         total += io::copy(&mut Read::take(&mut *reader, size), &mut io::sink())?;
         reader.read_line(&mut line)?;
         if size == 0 {
@@ -80,17 +80,17 @@
     }
 }
 
-/// A plain HTTP server.
+/// Starts a plain HTTP server that reports the length of each request's body.
 fn serve_web(name: &'static str, port: u16) -> io::Result<()> {
     let socket = TcpListener::bind(("127.0.0.1", port))?;
     thread::spawn(move || {
         for stream in socket.incoming().flatten() {
             thread::spawn(move || -> io::Result<()> {
                 let (mut reader, mut stream) = (BufReader::new(stream.try_clone()?), stream);
-                while let Some((first, headers)) = read_head(&mut reader) {
-                    let bytes = count(&mut reader, &headers)?;
-                    println!("{name}: {first}, {bytes} bytes");
-                    let body = format!("{name} got {bytes} bytes with {first}\n");
+                while let Some((request_line, headers)) = read_head(&mut reader) {
+                    let bytes = discard_body(&mut reader, &headers)?;
+                    println!("{name}: {request_line}, {bytes} bytes");
+                    let body = format!("{name} got {bytes} bytes with {request_line}\n");
                     let fields = format!("X-Served-By: {name}\r\nContent-Length: {}", body.len());
                     write!(stream, "HTTP/1.1 200 OK\r\n{fields}\r\n\r\n{body}")?;
                 }
@@ -101,7 +101,7 @@
     Ok(())
 }
 
-fn tell(id: &str, worker: &str, state: &str, result: &str) -> io::Result<()> {
+fn report_state(id: &str, worker: &str, state: &str, result: &str) -> io::Result<()> {
     let mut stream = TcpStream::connect(DISPATCHER)?;
     let body = format!(r#"{{"id":"{id}","from":"{worker}","state":"{state}","result":"{result}"}}"#);
     let length = body.len();
@@ -115,15 +115,15 @@
 fn main() -> io::Result<()> {
     for (name, port, ms) in WORKERS {
         serve(port, move |request| {
-            println!("{name}: {}", request.first);
-            if !request.first.starts_with("POST ") {
+            println!("{name}: {}", request.request_line);
+            if !request.request_line.starts_with("POST ") {
                 return ("200 OK", String::new());
             }
             let id = request.headers.get("x-call-id").cloned().unwrap_or_default();
             thread::spawn(move || -> io::Result<()> {
-                tell(&id, name, "started", "")?;
+                report_state(&id, name, "started", "")?;
                 thread::sleep(Duration::from_millis(ms));
-                tell(&id, name, "done", &format!("{name} did {} bytes", request.body.len()))
+                report_state(&id, name, "done", &format!("{name} did {} bytes", request.body.len()))
             });
             ("202 Accepted", String::new())
         })?;
@@ -135,9 +135,10 @@
     });
     let list = format!(r#"{{"version":1,"full":true,"servers":[{}]}}"#, servers.join(","));
     serve(8500, move |request| {
-        // Nothing ever changes here: a watch waits out its time.
-        if request.first.contains("after=1") {
-            let wait = request.first.split("wait_ms=").nth(1).and_then(|w| w.split(' ').next()?.parse().ok());
+        // The list never changes, so a watch waits until its time-out.
+        if request.request_line.contains("after=1") {
+            let wait =
+                request.request_line.split("wait_ms=").nth(1).and_then(|w| w.split(' ').next()?.parse().ok());
             thread::sleep(Duration::from_millis(wait.unwrap_or(0)));
             return ("200 OK", r#"{"version":1,"full":false,"servers":[]}"#.into());
         }
