--- a/fuzz/fuzz_targets/distribution.rs
+++ b/fuzz/fuzz_targets/distribution.rs
@@ -1,5 +1,5 @@
-//! Any bytes at both ends of the list's distribution: what is a message is the same again when it is written; a source
-//! that answers and a subscriber that is answered stay within their bounds, and never panic.
+//! Feeds arbitrary bytes to both ends of the worker list distribution. Decoded messages must survive a round trip; the
+//! publisher and the subscriber must stay within their limits and never panic.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
@@ -12,11 +12,11 @@
 use lineroute_distribution::worker::Worker;
 use std::time::Duration;
 
-const MOST_RECORDS: usize = 40;
+const MAX_RECORDS: usize = 40;
 const TOKEN: u64 = 3;
 
 fn limits() -> Limits {
-    Limits { records: MOST_RECORDS, partitions: 8, history_changes: 16, ..Limits::default() }
+    Limits { records: MAX_RECORDS, partitions: 8, history_changes: 16, ..Limits::default() }
 }
 
 fn source() -> Publisher {
@@ -49,11 +49,11 @@
     let upstream = Upstream { peer: PeerId(1), role: Role::Source, token: TOKEN };
     subscriber.set_upstreams(&[upstream]);
     let (mut now, mut rest) = (Duration::from_secs(1), data);
-    // A length, then as many bytes; the first of them says how much later they come, and whether the true answer is
-    // put before them.
-    while let Some((size, behind)) = rest.split_first() {
-        let (piece, behind) = behind.split_at(usize::from(*size).min(behind.len()));
-        rest = behind;
+    // Each piece is a length byte and that many bytes. The first of them holds the delay, and whether the genuine response
+    // precedes the remaining ones.
+    while let Some((size, after)) = rest.split_first() {
+        let (piece, after) = after.split_at(usize::from(*size).min(after.len()));
+        rest = after;
         let Some((first, payload)) = piece.split_first() else { continue };
         now += Duration::from_millis(u64::from(*first >> 1) * 8);
         let Some(transmit) = subscriber.poll(now) else { continue };
@@ -64,12 +64,12 @@
         bytes.truncate(6.max(bytes.len().saturating_sub(payload.len())));
         bytes.resize(bytes.len().max(6), 1);
         bytes.extend(payload);
-        // Whoever sends knows the number of the question.
+        // A sender knows the number of the request.
         bytes[2..6].copy_from_slice(&transmit.bytes[2..6]);
         let _ = subscriber.receive(now, PeerId(1), &bytes);
         let _ = source.serve(now, Some(TOKEN), &bytes);
         let replica = subscriber.replica();
-        assert!(replica.len() <= MOST_RECORDS && replica.history_len() <= 16);
+        assert!(replica.len() <= MAX_RECORDS && replica.history_len() <= 16);
         assert!(subscriber.wake_at(now) <= now + Duration::from_secs(3600));
     }
 });
--- a/fuzz/fuzz_targets/frames.rs
+++ b/fuzz/fuzz_targets/frames.rs
@@ -1,5 +1,5 @@
-//! Any bytes as frames of a member that holds the key: nothing panics, and what is a frame is the same again when it
-//! is written. Each piece goes to a voter of a standing fleet of three.
+//! Feeds arbitrary bytes as frames from an authenticated member to a voter of an established fleet of three. Nothing may
+//! panic, and decoded frames must survive a round trip.
 #![no_main]
 
 #[path = "../../fleet/tests/common/mod.rs"]
@@ -13,22 +13,22 @@
 use std::time::Duration;
 
 fuzz_target!(|data: &[u8]| {
-    // The engine's panics are caught and cost the vote; any other still ends the run.
-    static QUIET: Once = Once::new();
-    QUIET.call_once(|| std::panic::set_hook(Box::new(|_| {})));
+    // Panics of the consensus engine are caught and cost the node its vote; any other panic still ends the run.
+    static SILENCE_PANICS: Once = Once::new();
+    SILENCE_PANICS.call_once(|| std::panic::set_hook(Box::new(|_| {})));
     let mut node = voter();
     let (mut now, mut rest) = (Duration::from_millis(2), data);
-    // A length, then as many bytes; the first of them says who sends, and how much later.
-    while let Some((size, behind)) = rest.split_first() {
-        let (piece, behind) = behind.split_at(usize::from(*size).min(behind.len()));
-        rest = behind;
+    // Each piece is a length byte and that many bytes. The first of them holds the sender and the delay.
+    while let Some((size, after)) = rest.split_first() {
+        let (piece, after) = after.split_at(usize::from(*size).min(after.len()));
+        rest = after;
         let Some((first, frame)) = piece.split_first() else { continue };
         now += Duration::from_millis(u64::from(*first >> 2));
         if let Some(mut frame) = Frame::decode(frame) {
             assert_eq!(Frame::decode(&frame.encode()).as_ref(), Some(&frame));
             let from = u16::from(*first & 3);
             if let Frame::Raft(message) = &mut frame {
-                // Replica ids are not to be guessed: most messages would get no further than that.
+                // Replica ids cannot be guessed, and messages with a wrong one would be rejected right away.
                 (message.from, message.to) = (replica_of(from), replica_of(0));
             }
             node.receive(now, Member(from), frame);
--- a/fuzz/fuzz_targets/links.rs
+++ b/fuzz/fuzz_targets/links.rs
@@ -1,5 +1,5 @@
-//! Any bytes at a link, from both ends and behind the handshake, cut anywhere: refused or waited for, never a panic,
-//! and never taken for a member's.
+//! Feeds arbitrary bytes, split anywhere, to a link: to both ends during the handshake, and after it. They must be rejected or
+//! treated as incomplete, never cause a panic, and never be accepted as a member's.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
@@ -21,7 +21,7 @@
     for piece in [a, b] {
         match server.receive(piece, |_| None, |_| false) {
             Ok(HandshakeStep::Incomplete | HandshakeStep::Send(_)) => {}
-            Ok(HandshakeStep::Established(..)) => panic!("a stranger was let in"),
+            Ok(HandshakeStep::Established(..)) => panic!("server accepted an unauthenticated client"),
             Err(_) => break,
         }
     }
@@ -29,21 +29,21 @@
     for piece in [a, b] {
         match client.receive(piece) {
             Ok(None) => {}
-            Ok(Some(_)) => panic!("a stranger was believed"),
+            Ok(Some(_)) => panic!("client accepted an unauthenticated server"),
             Err(_) => break,
         }
     }
-    // A link that stands, and then bytes that its other end never sealed.
+    // An established link that then receives bytes not sealed by the other end.
     let (mut client, hello) = ClientHandshake::new(identity(1), Member(0), [3; 16]);
     let mut server = ServerHandshake::new(identity(0), [4; 16]);
-    let Ok(HandshakeStep::Send(welcome)) = server.receive(&hello, |_| None, |_| false) else { panic!("no welcome") };
-    let Ok(Some((proof, _, _))) = client.receive(&welcome) else { panic!("no proof") };
-    let Ok(HandshakeStep::Established(_, mut opener)) = server.receive(&proof, |_| None, |_| false) else { panic!("not opened") };
+    let Ok(HandshakeStep::Send(welcome)) = server.receive(&hello, |_| None, |_| false) else { panic!("server sent no welcome") };
+    let Ok(Some((proof, _, _))) = client.receive(&welcome) else { panic!("client sent no proof") };
+    let Ok(HandshakeStep::Established(_, mut opener)) = server.receive(&proof, |_| None, |_| false) else { panic!("handshake was not established") };
     for piece in [a, b] {
         opener.push(piece);
         match opener.next_frame() {
             Ok(None) => {}
-            Ok(Some(_)) => panic!("an unsealed frame was opened"),
+            Ok(Some(_)) => panic!("accepted an unauthenticated frame"),
             Err(_) => break,
         }
     }
