--- a/fuzz/fuzz_targets/links.rs
+++ b/fuzz/fuzz_targets/links.rs
@@ -4,7 +4,9 @@
 
 use libfuzzer_sys::fuzz_target;
 use lineroute_control::peers::KeyRing;
-use lineroute_fleet::link::{member_list_digest, ClientHandshake, HandshakeStep, LocalIdentity, ServerHandshake};
+use lineroute_fleet::link::{
+    member_list_digest, ClientHandshake, HandshakeStep, LocalIdentity, ServerHandshake,
+};
 use lineroute_fleet::{Incarnation, Member};
 
 fn identity(member: u16) -> LocalIdentity {
@@ -36,9 +38,13 @@
     // An established link that then receives bytes not sealed by the other end.
     let (mut client, hello) = ClientHandshake::new(identity(1), Member(0), [3; 16]);
     let mut server = ServerHandshake::new(identity(0), [4; 16]);
-    let Ok(HandshakeStep::Send(welcome)) = server.receive(&hello, |_| None, |_| false) else { panic!("server sent no welcome") };
+    let Ok(HandshakeStep::Send(welcome)) = server.receive(&hello, |_| None, |_| false) else {
+        panic!("server sent no welcome")
+    };
     let Ok(Some((proof, _, _))) = client.receive(&welcome) else { panic!("client sent no proof") };
-    let Ok(HandshakeStep::Established(_, mut opener)) = server.receive(&proof, |_| None, |_| false) else { panic!("handshake was not established") };
+    let Ok(HandshakeStep::Established(_, mut opener)) = server.receive(&proof, |_| None, |_| false) else {
+        panic!("handshake was not established")
+    };
     for piece in [a, b] {
         opener.push(piece);
         match opener.next_frame() {
