--- a/dispatcher/src/admin/calls.rs
+++ b/dispatcher/src/admin/calls.rs
@@ -4,7 +4,7 @@
     ClearOrder, Done, Fault, FlowCounts, OverrideList, OverrideStatus, PeerCounts, PermitCounts, SetOrder,
     WorkerListStatus, WorkerStatus, Workers,
 };
-use crate::body::Budgets;
+use crate::body::StreamBudget;
 use crate::facade::Stage;
 use crate::fleet::api::ReplaceVoterRequest;
 use crate::flow::{Flows, PermitStatsReport};
@@ -38,7 +38,7 @@
     pub classes: Vec<String>,
     pub flows: Flows,
     pub targets: HttpTargets,
-    pub budgets: Budgets,
+    pub budgets: StreamBudget,
     pub overrides: Overrides,
     pub peers: Option<peers::Handle>,
     pub store: Option<store::Handle>,
@@ -142,7 +142,7 @@
 
     fn override_list(&self) -> OverrideList {
         let now = now();
-        let lines = self.overrides.lines();
+        let lines = self.overrides.entries();
         let overrides = lines.iter().map(|line| OverrideStatus::from_entry(line, now)).collect();
         OverrideList { dispatcher: self.dispatcher.clone(), overrides }
     }
@@ -198,7 +198,7 @@
         }
         let scope = match pin {
             Some(pin) => {
-                let (class, tenant) = self.overrides.flows_of(&pin).map_err(|message| {
+                let (class, tenant) = self.overrides.parse_pin(&pin).map_err(|message| {
                     error_reply(StatusCode::BAD_REQUEST, Some("pin"), format!("pin: {message}"))
                 })?;
                 Scope::Pinned { class: class.into(), tenant: tenant.map(Into::into) }
@@ -210,7 +210,7 @@
         let order = OverrideRequest { slot, weight, until: until_ms, by, why };
         let record = self.overrides.set(order).map_err(invalid_request)?;
         let saved = self.wait_until_synced().await;
-        let lines = self.overrides.lines();
+        let lines = self.overrides.entries();
         let set = lines.iter().find(|l| l.record == record).map(|l| OverrideStatus::from_entry(l, now()));
         Ok(json(StatusCode::CREATED, &Done { id: record.stamp.to_string(), saved, set }))
     }
@@ -281,7 +281,7 @@
     }
 
     fn is_cordoned(&self, slot: &Slot) -> bool {
-        let lines = self.overrides.lines();
+        let lines = self.overrides.entries();
         lines.iter().any(|line| line.record.slot == *slot && line.record.effect == Effect::Set(None))
     }
 
--- a/dispatcher/src/config/mod.rs
+++ b/dispatcher/src/config/mod.rs
@@ -15,7 +15,7 @@
 };
 
 use crate::admin::auth::AdminKeys;
-use crate::beanstalkd::is_name;
+use crate::beanstalkd::is_valid_name;
 use crate::list::HostList;
 use lineroute::{Class, KindId};
 use lineroute_control::overrides::MAX_OVERRIDE_DURATION;
@@ -200,7 +200,7 @@
     let memory_bytes = (memory_mb as usize) << 20;
     check_routes(&operator, faults);
     let name = variable("GW_NAME").or(raw.name.take()).unwrap_or_else(|| "lineroute".into());
-    if !is_name(&name) || name.len() > 64 {
+    if !is_valid_name(&name) || name.len() > 64 {
         faults.add(
             "GW_NAME",
             format!("{name:?} is not a name of 1 to 64 characters of A-Z, a-z, 0-9 and -+/;.$_()"),
@@ -585,7 +585,7 @@
 
 fn check_tube(key: &str, name: &str) -> Result<(), String> {
     // Leaves room for the dispatcher's name, which may be appended.
-    match is_name(name) && name.len() <= 128 {
+    match is_valid_name(name) && name.len() <= 128 {
         true => Ok(()),
         false => Err(format!("{key}: {name:?} is not a valid tube name of 1 to 128 characters")),
     }
--- a/dispatcher/src/fleet/prober.rs
+++ b/dispatcher/src/fleet/prober.rs
@@ -150,7 +150,7 @@
             return;
         }
         let Some(waiting) = self.waiting.borrow_mut().remove(&probe.name) else { return };
-        let load = probe.load.map(|[free, waiting, held]| Load { free, waiting, held });
+        let load = probe.load.map(|[free_slots, queued, in_flight]| Load { free_slots, queued, in_flight });
         self.flows.shared_probe_ended(waiting.target, outcome, load);
     }
 
@@ -210,7 +210,7 @@
         self.last_probes.borrow_mut().insert(name.into(), Instant::now());
         let Some(resource) = self.zone_resource(zone) else { return };
         let Some(outcome) = OUTCOMES.iter().position(|o| *o == outcome) else { return };
-        let load = load.map(|l| [l.free, l.waiting, l.held]);
+        let load = load.map(|l| [l.free_slots, l.queued, l.in_flight]);
         let report = ProbeReport { name: name.into(), outcome: outcome as u8, load };
         if let Ok(payload) = postcard::to_stdvec(&report) {
             // Not sent if this process has lost the zone meanwhile; the result is then used here only.
--- a/dispatcher/src/listeners/beanstalkd/command.rs
+++ b/dispatcher/src/listeners/beanstalkd/command.rs
@@ -1,6 +1,6 @@
 //! Strict parser for command lines of the beanstalkd protocol: exactly one space between tokens, no trailing text.
 
-use crate::beanstalkd::is_name;
+use crate::beanstalkd::is_valid_name;
 use std::time::Duration;
 
 #[derive(Debug, PartialEq)]
@@ -46,7 +46,7 @@
     }
 
     fn name(&mut self) -> Result<String, &'static str> {
-        self.0.next().filter(|w| is_name(w)).map(str::to_owned).ok_or(BAD_FORMAT)
+        self.0.next().filter(|w| is_valid_name(w)).map(str::to_owned).ok_or(BAD_FORMAT)
     }
 }
 
--- a/dispatcher/src/listeners/beanstalkd/mod.rs
+++ b/dispatcher/src/listeners/beanstalkd/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::accept::AcceptRetry;
 use crate::arrival::ArrivalClock;
-use crate::beanstalkd::{read_body, read_line, skip, write_answer, Line, MAX_JOB};
+use crate::beanstalkd::{encode_answer, read_body, read_line, skip, Line, MAX_JOB_BYTES};
 use crate::body::Body;
 use crate::config::BeanstalkdListenerConfig;
 use crate::facade::FlowId;
@@ -161,7 +161,7 @@
             expected_run_time: None,
             path: self.settings.path.clone(),
             protocol_data: None,
-            body: Body::Whole(body),
+            body: Body::Buffered(body),
         };
         let (budget, answers) = (mapped.budget, mapped.answers.clone());
         if delay.is_zero() {
@@ -203,7 +203,7 @@
             if !tubes.close(id) {
                 return;
             }
-            let body = write_answer(id, answer);
+            let body = encode_answer(id, answer);
             tubes.put(answers, ANSWER_PRIORITY, ANSWER_TTR, body, Instant::now());
         }
         self.changed.notify_waiters();
@@ -262,7 +262,7 @@
         while self.wait_for_command().await? {
             let line = match read_line(&mut self.input).await? {
                 Line::Text(line) => line,
-                Line::Bad => {
+                Line::Invalid => {
                     self.write_line("BAD_FORMAT").await?;
                     continue;
                 }
@@ -272,7 +272,7 @@
                 Err(word) => word.into(),
                 Ok(Command::Quit) => return Ok(()),
                 Ok(Command::Put { pri, delay, ttr, bytes }) => {
-                    if bytes > MAX_JOB as u64 {
+                    if bytes > MAX_JOB_BYTES as u64 {
                         // Clients send the body before they read the reply.
                         skip(&mut self.input, bytes + 2).await?;
                         "JOB_TOO_BIG".into()
@@ -404,7 +404,7 @@
                 text(tubes.stats_tube(&tube, mapped, now))
             }
             Command::Stats => {
-                Reply::Text(tubes.stats(MAX_JOB, listener.slots.count(), listener.stopping.get()))
+                Reply::Text(tubes.stats(MAX_JOB_BYTES, listener.slots.count(), listener.stopping.get()))
             }
             Command::ListTubes => {
                 let mapped = listener.settings.tubes.iter().flat_map(|t| [t.tube.as_str(), &t.answers]);
--- a/dispatcher/src/listeners/connection_slots.rs
+++ b/dispatcher/src/listeners/connection_slots.rs
@@ -97,7 +97,7 @@
 
     /// Records that the event loop has reported unread bytes.
     pub fn mark_unread_now(&self) {
-        self.mark_unread_since(self.arrivals.earliest(Instant::now()));
+        self.mark_unread_since(self.arrivals.earliest_arrival(Instant::now()));
     }
 
     /// Whether there may be unread bytes.
@@ -117,7 +117,7 @@
 
     /// Records that bytes were read: sets their arrival time, and starts a request if none was in progress.
     pub fn bytes_received(&self) {
-        let earliest = self.arrivals.earliest(Instant::now());
+        let earliest = self.arrivals.earliest_arrival(Instant::now());
         self.arrived.set(self.unread_since.get().map_or(earliest, |since| since.min(earliest)));
         if matches!(self.stage.get(), Stage::Silent | Stage::Idle) {
             self.set_stage(Stage::Head);
--- a/dispatcher/src/listeners/http.rs
+++ b/dispatcher/src/listeners/http.rs
@@ -5,7 +5,7 @@
 use super::guard::{write_without_waiting, GuardedStream};
 use super::socket::queued;
 use crate::accept::AcceptRetry;
-use crate::body::{Body, Budgets};
+use crate::body::{Body, StreamBudget};
 use crate::config::Route;
 use crate::facade::FlowId;
 use crate::flow::{Answer, Flows, Job, Listener, OpenError};
@@ -194,7 +194,7 @@
     pub lifecycle: Rc<ListenerLifecycle>,
     pub slots: Rc<ConnectionSlots>,
     /// Memory shared by all bodies that are being streamed.
-    pub budgets: Budgets,
+    pub budgets: StreamBudget,
     /// The other processes of this dispatcher; `None` if there can't be any.
     pub siblings: Option<Rc<Siblings>>,
     /// Prefix of the ids generated for jobs that came without one, and how many were generated.
@@ -268,7 +268,7 @@
             let accepted = match immediate {
                 Some(accepted) => accepted,
                 None => {
-                    arrivals.queue_is_empty(checked_at);
+                    arrivals.record_queue_empty(checked_at);
                     // Cancel-safe: a connection that is not accepted stays in the queue.
                     let accepted = tokio::select! {
                         accepted = socket.accept() => accepted,
@@ -276,7 +276,7 @@
                         () = self.lifecycle.accepting_changed.notified() => continue,
                     };
                     // The queue was empty until this connection came, so connections behind it came no earlier.
-                    arrivals.queue_is_empty(arrivals.earliest(Instant::now()));
+                    arrivals.record_queue_empty(arrivals.earliest_arrival(Instant::now()));
                     accepted
                 }
             };
@@ -285,7 +285,11 @@
                     retry.succeeded();
                     stops::at("http.accepted");
                     let now = Instant::now();
-                    let since = if queued { arrivals.earliest_in_queue(now) } else { arrivals.earliest(now) };
+                    let since = if queued {
+                        arrivals.earliest_queued_arrival(now)
+                    } else {
+                        arrivals.earliest_arrival(now)
+                    };
                     self.admit(service.clone(), stream, peer, since);
                 }
                 Err(e) => retry.failed(&e).await,
@@ -300,7 +304,7 @@
             return;
         }
         for (stream, peer) in queued(&socket) {
-            let since = arrivals.earliest_in_queue(Instant::now());
+            let since = arrivals.earliest_queued_arrival(Instant::now());
             self.admit(service.clone(), stream, peer, since);
         }
     }
@@ -461,7 +465,7 @@
         };
         let arrived = slot.map_or_else(Instant::now, ConnectionSlot::arrived);
         job.body = match read_body(&mut request, slot).await {
-            Ok(body) => Body::Whole(body),
+            Ok(body) => Body::Buffered(body),
             Err(status) => return text_response(status, "no body could be read\n"),
         };
         let Ok(permit) = self.start_permit(&job.reference, slot) else {
@@ -553,7 +557,7 @@
             expected_run_time: work.map(|us| Duration::from_micros(us as u64)),
             path: request.uri().path_and_query().map_or("/".into(), |p| p.as_str().to_owned()),
             protocol_data: None,
-            body: Body::Whole(Bytes::new()),
+            body: Body::Buffered(Bytes::new()),
         };
         Ok((job, Duration::from_millis(budget).min(longest.max(Duration::from_secs(3600)))))
     }
--- a/dispatcher/src/listeners/socket.rs
+++ b/dispatcher/src/listeners/socket.rs
@@ -2,7 +2,7 @@
 //! while the process is replaced. The address of an inherited socket is never bound again: it belongs to the platform, and a
 //! second bind would fail while the other process still serves it.
 
-use crate::local_faults::open_patiently;
+use crate::local_faults::open_with_retry;
 use socket2::SockRef;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
 pub async fn open(origin: SocketSource) -> Result<TcpListener, String> {
     match origin {
         SocketSource::Bind(addr) => {
-            open_patiently(|| TcpListener::bind(addr)).await.map_err(|e| format!("{addr}: {e}"))
+            open_with_retry(|| TcpListener::bind(addr)).await.map_err(|e| format!("{addr}: {e}"))
         }
         SocketSource::Inherited(fd) => inherit(fd),
     }
