--- a/dispatcher/src/facade.rs
+++ b/dispatcher/src/facade.rs
@@ -150,7 +150,7 @@
     clock: Clock,
     actions: Vec<Action>,
     next_wake: Option<Micros>,
-    /// Number of forwards of each open flow. The decision module target_ids them in the order of its sends.
+    /// Number of forwards of each open flow. The decision module numbers them in the order of its sends.
     forwards: FxHashMap<FlowId, u32>,
     target_ids: FxHashMap<Arc<str>, TargetId>,
     target_names: Vec<Arc<str>>,
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,6 +1,6 @@
 //! Minimal services for trying out lineroute: discovery at 127.0.0.1:8500, two workers at ports 9101 and 9102 that accept
 //! a job, work for a while and report to the dispatcher at 127.0.0.1:9000, and two plain HTTP servers at ports 9201 and
-//! 9202 that discard_body the bytes of each request. Run with `cargo run --example toy`.
+//! 9202 that count the bytes of each request. Run with `cargo run --example toy`.
 
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
