--- a/lab/src/scale/memory.rs
+++ b/lab/src/scale/memory.rs
@@ -77,7 +77,7 @@
             what: Measured::DecisionModule,
             instances,
             workers,
-            requests_each: requests_each,
+            requests_each,
             seed: options.seed,
         })?;
         let growth = report.bytes_after.saturating_sub(report.bytes_before);
