--- a/dispatcher/src/cli/fleet.rs
+++ b/dispatcher/src/cli/fleet.rs
@@ -69,7 +69,7 @@
         text += &render(&owners);
     }
     if !view.orphaned_work.is_empty() {
-        text += &format!("unfinished orphaned work: {}\n", view.orphaned_work.join(", "));
+        text += &format!("orphaned work that waits: {}\n", view.orphaned_work.join(", "));
     }
     print(&text)
 }
