--- a/dispatcher/tests/admin.rs
+++ b/dispatcher/tests/admin.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::admin::{call, call_as, operator, rig, set, unix_ms, wait_for, KEY};
-use common::{folder, Client, Rig, Setup, SETTINGS};
+use common::{create_temp_dir, Client, Rig, Setup, SETTINGS};
 use rstest::rstest;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -101,12 +101,12 @@
     let rig = rig(1, SETTINGS, "");
     let mut client = Client::new(rig.admin.expect("an admin listener"));
     client.write(bytes.as_bytes());
-    let answer = client.answer();
+    let answer = client.read_response();
     assert_eq!(answer.status(), status, "{answer:?}");
     let words: Value = serde_json::from_str(&answer.body).expect("JSON");
     assert!(words["error"].as_str().is_some_and(|words| !words.is_empty()), "{words}");
     assert_eq!(words["field"].as_str(), field, "{words}");
-    assert!(client.is_ended());
+    assert!(client.is_closed_by_peer());
 }
 
 /// The admin listener takes so many callers.
@@ -134,7 +134,7 @@
         let admin = rig.admin.expect("an admin listener");
         let began = Instant::now();
         let callers = slow_callers(admin);
-        let status = Client::new(admin).answer().status();
+        let status = Client::new(admin).read_response().status();
         let took = began.elapsed();
         if status == 503 && callers.iter().all(Client::is_unanswered) {
             return (rig, callers);
@@ -156,12 +156,12 @@
     // All eight are taken: the next one is told so, and a client of the platform's front is served.
     let (rig, mut silent) = callers_who_hold_all_places();
     let mut client = rig.post("c1", "quote", "");
-    assert_eq!(rig.workers[0].take(), "c1");
-    rig.news(0, "c1", "done", r#","result":"a chart""#);
-    assert_eq!(client.answer().status(), 200);
+    assert_eq!(rig.workers[0].accept_job(), "c1");
+    rig.send_job_update(0, "c1", "done", r#","result":"a chart""#);
+    assert_eq!(client.read_response().status(), 200);
     // They end by themselves.
     for client in &mut silent {
-        wait_for("it ends", || client.is_ended());
+        wait_for("it ends", || client.is_closed_by_peer());
     }
     assert_eq!(call(&rig, "GET /overrides", "").0, 200);
 }
@@ -171,17 +171,17 @@
 fn callers_in_the_queue_of_a_process_that_stood_still_are_bounded_too() {
     let rig = rig(1, SETTINGS, "");
     let admin = rig.admin.expect("an admin listener");
-    rig.freeze();
+    rig.pause();
     let callers = slow_callers(admin);
     let mut ninth = Client::new(admin);
-    rig.thaw();
-    assert_eq!(ninth.answer().status(), 503);
+    rig.resume();
+    assert_eq!(ninth.read_response().status(), 503);
     assert!(callers.iter().all(Client::is_unanswered));
 }
 
 #[test]
 fn a_unix_socket_needs_no_key_and_one_left_behind_is_replaced() {
-    let path = folder().join("admin.sock");
+    let path = create_temp_dir().join("admin.sock");
     let operator = format!(r#"{{"admin": {{"listen": {path:?}}}}}"#);
     let start = || Rig::set_up(Vec::new(), SETTINGS, Setup { operator: Some(&operator), ..Setup::default() });
     // Killed, it leaves its socket behind.
@@ -206,11 +206,11 @@
     let status = |key: &str| call_as(admin, key, "GET /flows", "").status();
     let other = "another-key-of-the-tests";
     assert_eq!((status(KEY), status(other)), (200, 401));
-    rig.rekeyed(file.as_ref(), &format!("{KEY}\n{other}\n"));
+    rig.reload_file(file.as_ref(), &format!("{KEY}\n{other}\n"));
     assert_eq!((status(KEY), status(other)), (200, 200));
-    rig.rekeyed(file.as_ref(), other);
+    rig.reload_file(file.as_ref(), other);
     assert_eq!((status(KEY), status(other)), (401, 200));
-    rig.rekeyed(file.as_ref(), "short");
+    rig.reload_file(file.as_ref(), "short");
     assert_eq!((status(KEY), status(other)), (401, 200), "what can't be used changes nothing");
 }
 
@@ -222,7 +222,7 @@
     let args = vec!["--log-format".into(), "text".into()];
     if form == "json" {
         // The rig reads addresses from text: this one is looked at from outside.
-        let dir = folder();
+        let dir = create_temp_dir();
         let config =
             format!(r#"{{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": {SETTINGS}}}"#);
         std::fs::write(dir.join("config.json"), config).expect("a file");
@@ -245,6 +245,6 @@
     let rig =
         Rig::set_up(Vec::new(), SETTINGS, Setup { operator: Some(&operator), args, ..Setup::default() });
     set(&rig, "w9", json!({"weight": 2}), Duration::from_secs(60));
-    let line = rig.logged("override set");
+    let line = rig.wait_for_log("override set");
     assert!(words.iter().all(|w| line.contains(w)), "{line}");
 }
--- a/dispatcher/tests/admin_console.rs
+++ b/dispatcher/tests/admin_console.rs
@@ -48,7 +48,7 @@
 }
 
 fn served(rig: &Rig, id: &str) -> usize {
-    rig.served(id, "quote")
+    rig.serve_job(id, "quote")
 }
 
 #[test]
@@ -74,13 +74,13 @@
     for _ in 0..2 {
         let (worker, seen) = rig.next();
         taken.push((worker, seen.reference().to_owned()));
-        seen.answer("202 Accepted");
+        seen.respond("202 Accepted");
     }
     assert!(taken.iter().any(|(worker, _)| *worker == first), "the uncordoned worker got nothing: {taken:?}");
     for (worker, reference) in &taken {
-        rig.news(*worker, reference, "done", r#","result":"a chart""#);
+        rig.send_job_update(*worker, reference, "done", r#","result":"a chart""#);
     }
-    assert_eq!((one.answer().status(), two.answer().status()), (200, 200));
+    assert_eq!((one.read_response().status(), two.read_response().status()), (200, 200));
 }
 
 #[test]
--- a/dispatcher/tests/arrival.rs
+++ b/dispatcher/tests/arrival.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::faults::{Faults, ALWAYS};
-use common::{Rig, Seen, Setup, Worker, SETTINGS};
+use common::{Rig, Setup, Worker, WorkerRequest, SETTINGS};
 use lineroute_fault_plan::Call;
 use std::thread;
 use std::time::Duration;
@@ -34,13 +34,13 @@
 }
 
 /// The next job that comes to the worker; calls that give one up are answered on the way.
-fn next_job(rig: &Rig) -> Seen {
+fn next_job(rig: &Rig) -> WorkerRequest {
     loop {
         let seen = rig.workers[0].next();
-        if seen.message.first.starts_with("POST ") {
+        if seen.message.start_line.starts_with("POST ") {
             return seen;
         }
-        seen.answer("200 OK");
+        seen.respond("200 OK");
     }
 }
 
@@ -49,7 +49,7 @@
     let seen = next_job(rig);
     assert_eq!(seen.reference(), reference);
     let told = seen.message.headers["x-budget-ms"].parse().expect("a number");
-    seen.answer("202 Accepted");
+    seen.respond("202 Accepted");
     Duration::from_millis(told)
 }
 
@@ -63,7 +63,7 @@
     client.post("c2", "quote", &budget());
     taken(&rig, "c1");
     thread::sleep(UNREAD);
-    rig.news(0, "c1", "done", DONE);
+    rig.send_job_update(0, "c1", "done", DONE);
     is_told_what_is_left(taken(&rig, "c2"), "behind another request");
 }
 
@@ -71,19 +71,19 @@
     let rig = rig(&Faults::none());
     let mut client = rig.post("c1", "quote", "");
     taken(&rig, "c1");
-    rig.news(0, "c1", "done", DONE);
-    assert_eq!(client.answer().status(), 200);
-    rig.freeze();
+    rig.send_job_update(0, "c1", "done", DONE);
+    assert_eq!(client.read_response().status(), 200);
+    rig.pause();
     client.post("c2", "quote", &budget());
     thread::sleep(UNREAD);
-    rig.thaw();
+    rig.resume();
     is_told_what_is_left(taken(&rig, "c2"), "while the process stands still");
 }
 
 fn while_accepting_fails() {
     let mut faults = Faults::none();
     let rig = rig(&faults);
-    rig.connect().is_up();
+    rig.connect().wait_until_up();
     faults.fail(Call::Accept, ALWAYS);
     let _client = rig.post("c1", "quote", &budget());
     thread::sleep(UNREAD);
@@ -105,7 +105,7 @@
 fn time_in_which_the_process_was_held_up_is_not_promised_to_workers() {
     let stops = format!("post.look:1:{}", UNREAD.as_millis());
     let rig = set_up(Setup { stops: &stops, ..Setup::default() });
-    rig.connect().is_up();
+    rig.connect().wait_until_up();
     let _client = rig.post("c1", "quote", &budget());
     is_told_what_is_left(taken(&rig, "c1"), "held up before the first byte");
 }
@@ -115,16 +115,16 @@
 fn clients_that_connect_together_behind_a_quiet_time_have_all_their_time() {
     // The second connection, behind the one that asks whether it is up, is held while the others queue behind it.
     let rig = set_up(Setup { stops: "http.accepted:2:100", ..Setup::default() });
-    rig.connect().is_up();
+    rig.connect().wait_until_up();
     thread::sleep(BUDGET + UNREAD);
     let mut clients: Vec<_> = (0..5).map(|i| rig.post(&format!("c{i}"), "quote", &budget())).collect();
     for _ in 0..clients.len() {
         let seen = next_job(&rig);
         let reference = seen.reference().to_owned();
         let told = seen.message.headers["x-budget-ms"].parse().expect("a number");
-        seen.answer("202 Accepted");
+        seen.respond("202 Accepted");
         assert!(Duration::from_millis(told) > BUDGET - UNREAD, "{reference}: {told}");
-        rig.news(0, &reference, "done", DONE);
+        rig.send_job_update(0, &reference, "done", DONE);
     }
-    assert!(clients.iter_mut().all(|client| client.answer().status() == 200));
+    assert!(clients.iter_mut().all(|client| client.read_response().status() == 200));
 }
--- a/dispatcher/tests/beanstalkd.rs
+++ b/dispatcher/tests/beanstalkd.rs
@@ -23,38 +23,41 @@
 }
 
 fn client(rig: &Rig) -> Client {
-    Client::new(rig.front.expect("the front is on"))
+    Client::new(rig.beanstalkd_addr.expect("the front is on"))
 }
 
 /// Puts a job and gives its id.
 fn put(client: &mut Client, tube: &str, delay: u32) -> u64 {
-    assert_eq!(client.say(&format!("use {tube}")), format!("USING {tube}"));
-    let reply = client.say(&format!("put 0 {delay} 60 7\r\npayload"));
+    assert_eq!(client.command(&format!("use {tube}")), format!("USING {tube}"));
+    let reply = client.command(&format!("put 0 {delay} 60 7\r\npayload"));
     reply.strip_prefix("INSERTED ").and_then(|id| id.parse().ok()).unwrap_or_else(|| panic!("{reply}"))
 }
 
 fn fetch(client: &mut Client) -> String {
-    client.say("watch done");
+    client.command("watch done");
     let (id, body) = client.reserve();
-    assert_eq!(client.say(&format!("delete {id}")), "DELETED");
+    assert_eq!(client.command(&format!("delete {id}")), "DELETED");
     body
 }
 
 #[test]
 fn a_stock_client_puts_a_job_and_fetches_its_answer() {
     let rig = start(1);
-    let mut client =
-        Beanstalkc::new().host("127.0.0.1").port(rig.front.expect("on").port()).connect().expect("up");
+    let mut client = Beanstalkc::new()
+        .host("127.0.0.1")
+        .port(rig.beanstalkd_addr.expect("on").port())
+        .connect()
+        .expect("up");
     client.use_tube("statements").expect("a tube");
     let id = client.put(b"payload", 0, Duration::ZERO, Duration::from_secs(60)).expect("room");
     assert_eq!(client.stats_job(id).expect("known")["state"], "reserved");
     assert_eq!(client.peek(id).expect("known").body(), b"payload");
     let seen = rig.workers[0].next();
-    assert_eq!((&*seen.message.first, &*seen.message.body), ("POST /api HTTP/1.1", "payload"));
+    assert_eq!((&*seen.message.start_line, &*seen.message.body), ("POST /api HTTP/1.1", "payload"));
     assert!(seen.message.headers.contains_key("idempotency-key"), "a keyed class carries a key");
     let reference = seen.reference().to_owned();
-    seen.answer("202 Accepted");
-    rig.news(0, &reference, "done", DONE);
+    seen.respond("202 Accepted");
+    rig.send_job_update(0, &reference, "done", DONE);
     client.watch("done").expect("a tube");
     client.ignore("default").expect("a tube");
     let mut answer = client.reserve().expect("an answer");
@@ -91,18 +94,18 @@
 fn every_command_gets_the_protocols_own_word(#[case] line: &str, #[case] reply: &str) {
     let rig = start(0);
     let mut client = client(&rig);
-    assert_eq!(client.say(line), reply);
+    assert_eq!(client.command(line), reply);
 }
 
 #[test]
 fn what_is_too_long_is_passed_over_and_the_connection_goes_on() {
     let rig = start(1);
     let mut client = client(&rig);
-    assert_eq!(client.say(&"x".repeat(5000)), "BAD_FORMAT");
+    assert_eq!(client.command(&"x".repeat(5000)), "BAD_FORMAT");
     let body = "x".repeat(70_000);
-    assert_eq!(client.say(&format!("put 0 0 1 {}\r\n{body}", body.len())), "JOB_TOO_BIG");
+    assert_eq!(client.command(&format!("put 0 0 1 {}\r\n{body}", body.len())), "JOB_TOO_BIG");
     client.write(b"use statements\n");
-    assert_eq!(client.say(""), "BAD_FORMAT", "a line feed alone ends no line");
+    assert_eq!(client.command(""), "BAD_FORMAT", "a line feed alone ends no line");
     put(&mut client, "statements", 0);
 }
 
@@ -112,7 +115,7 @@
     let mut client = client(&rig);
     let start = Instant::now();
     let id = put(&mut client, "orders", 0);
-    rig.workers[0].take();
+    rig.workers[0].accept_job();
     let answer = fetch(&mut client);
     assert_eq!(answer, format!("{id} failed 0.000\n"));
     assert!(start.elapsed() < Duration::from_secs(4), "not held back");
@@ -126,7 +129,7 @@
     let mut client = client(&rig);
     let start = Instant::now();
     let id = put(&mut client, "statements", 0);
-    rig.workers[0].next().answer("503 No\r\nX-Rejected: 1");
+    rig.workers[0].next().respond("503 No\r\nX-Rejected: 1");
     let answer = fetch(&mut client);
     let after = answer.trim_end().strip_prefix(&format!("{id} refused ")).and_then(|s| s.parse::<f64>().ok());
     assert!(after.is_some_and(|s| s > 0.0 && s <= 2.0), "{answer}");
@@ -139,16 +142,16 @@
     let rig = start(1);
     let mut client = client(&rig);
     let id = put(&mut client, "statements", 0);
-    let reference = rig.workers[0].take();
-    assert_eq!(client.say(&format!("delete {id}")), "DELETED");
-    assert_eq!(client.say(&format!("delete {id}")), "NOT_FOUND");
+    let reference = rig.workers[0].accept_job();
+    assert_eq!(client.command(&format!("delete {id}")), "DELETED");
+    assert_eq!(client.command(&format!("delete {id}")), "NOT_FOUND");
     let seen = rig.workers[0].next();
-    assert_eq!(seen.message.first, format!("DELETE /jobs/{reference} HTTP/1.1"));
-    seen.answer("200 OK");
-    rig.news(0, &reference, "done", DONE);
-    client.say("watch done");
-    assert_eq!(client.say("reserve-with-timeout 0"), "TIMED_OUT");
-    assert!(rig.workers[0].has_none());
+    assert_eq!(seen.message.start_line, format!("DELETE /jobs/{reference} HTTP/1.1"));
+    seen.respond("200 OK");
+    rig.send_job_update(0, &reference, "done", DONE);
+    client.command("watch done");
+    assert_eq!(client.command("reserve-with-timeout 0"), "TIMED_OUT");
+    assert!(rig.workers[0].has_no_request());
 }
 
 #[test]
@@ -157,24 +160,24 @@
     let mut first = client(&rig);
     let id = put(&mut first, "statements", 0);
     drop(first);
-    let reference = rig.workers[0].take();
-    rig.news(0, &reference, "done", DONE);
+    let reference = rig.workers[0].accept_job();
+    rig.send_job_update(0, &reference, "done", DONE);
     let mut second = client(&rig);
-    second.say("watch done");
+    second.command("watch done");
     let answer = second.reserve();
     assert_eq!(answer.1, format!("{id} served 0.000\na page"));
     let mut third = client(&rig);
-    assert_eq!(third.say(&format!("delete {}", answer.0)), "NOT_FOUND", "another holds it");
+    assert_eq!(third.command(&format!("delete {}", answer.0)), "NOT_FOUND", "another holds it");
     drop(second);
     assert_eq!(fetch(&mut third), answer.1);
     // A put that breaks off is none.
     let mut fourth = client(&rig);
-    assert_eq!(fourth.say("use statements"), "USING statements");
+    assert_eq!(fourth.command("use statements"), "USING statements");
     fourth.write(b"put 0 0 60 7\r\npay");
     drop(fourth);
     put(&mut third, "statements", 0);
-    rig.workers[0].take();
-    assert!(rig.workers[0].has_none());
+    rig.workers[0].accept_job();
+    assert!(rig.workers[0].has_no_request());
 }
 
 #[test]
@@ -184,8 +187,8 @@
     let start = Instant::now();
     let never = put(&mut client, "statements", 1);
     put(&mut client, "statements", 1);
-    assert_eq!(client.say(&format!("delete {never}")), "DELETED");
-    rig.workers[0].take();
+    assert_eq!(client.command(&format!("delete {never}")), "DELETED");
+    rig.workers[0].accept_job();
     assert!(start.elapsed() > Duration::from_millis(900));
 }
 
@@ -194,10 +197,10 @@
     let rig = start(1);
     let mut client = client(&rig);
     put(&mut client, "statements", 0);
-    let reference = rig.workers[0].take();
-    rig.news(0, &reference, "done", DONE);
-    client.say("watch done");
-    client.say("use done");
+    let reference = rig.workers[0].accept_job();
+    rig.send_job_update(0, &reference, "done", DONE);
+    client.command("watch done");
+    client.command("use done");
     let (id, body) = client.reserve();
     for (line, reply) in [
         (format!("touch {id}"), "TOUCHED".to_string()),
@@ -208,20 +211,20 @@
     ] {
         // The body of the job reserved comes as two lines.
         if line != body {
-            assert_eq!(client.say(&line), reply);
+            assert_eq!(client.command(&line), reply);
             continue;
         }
-        assert_eq!(client.bytes(body.len() + 2), format!("{body}\r\n"));
+        assert_eq!(client.read_text(body.len() + 2), format!("{body}\r\n"));
     }
-    assert_eq!(client.say(&format!("bury {id} 5")), "BURIED");
-    assert_eq!(client.say("peek-buried"), format!("FOUND {id} {}", body.len()));
-    assert_eq!(client.bytes(body.len() + 2), format!("{body}\r\n"));
-    assert_eq!(client.say("kick 5"), "KICKED 1");
-    assert_eq!(client.say("pause-tube done 60"), "PAUSED");
-    assert_eq!(client.say("reserve-with-timeout 0"), "TIMED_OUT");
-    assert_eq!(client.say("pause-tube done 0"), "PAUSED");
+    assert_eq!(client.command(&format!("bury {id} 5")), "BURIED");
+    assert_eq!(client.command("peek-buried"), format!("FOUND {id} {}", body.len()));
+    assert_eq!(client.read_text(body.len() + 2), format!("{body}\r\n"));
+    assert_eq!(client.command("kick 5"), "KICKED 1");
+    assert_eq!(client.command("pause-tube done 60"), "PAUSED");
+    assert_eq!(client.command("reserve-with-timeout 0"), "TIMED_OUT");
+    assert_eq!(client.command("pause-tube done 0"), "PAUSED");
     assert_eq!(fetch(&mut client), body);
-    assert_eq!(client.say("put 0 0 60 1\r\nx"), "NOT_FOUND", "nobody puts answers but the dispatcher");
+    assert_eq!(client.command("put 0 0 60 1\r\nx"), "NOT_FOUND", "nobody puts answers but the dispatcher");
 }
 
 #[test]
@@ -229,16 +232,19 @@
     let rig = Rig::with(1, SETTINGS, Some(&front(r#""max_jobs": 2, "max_connections": 2,"#)));
     let (mut first, mut second) = (client(&rig), client(&rig));
     let _ids = [put(&mut first, "statements", 0), put(&mut first, "statements", 0)];
-    assert_eq!(second.say("use statements"), "USING statements");
-    assert_eq!(second.say("put 0 0 60 1\r\nx"), "OUT_OF_MEMORY");
-    (0..2).for_each(|_| rig.news(0, &rig.workers[0].take(), "done", DONE));
+    assert_eq!(second.command("use statements"), "USING statements");
+    assert_eq!(second.command("put 0 0 60 1\r\nx"), "OUT_OF_MEMORY");
+    (0..2).for_each(|_| rig.send_job_update(0, &rig.workers[0].accept_job(), "done", DONE));
     for client in [&mut first, &mut second] {
-        assert_eq!(client.say("watch done"), "WATCHING 2");
+        assert_eq!(client.command("watch done"), "WATCHING 2");
         let (id, _) = client.reserve();
         assert!(id > 0);
     }
-    assert!(client(&rig).is_ended(), "a third connection is closed: nobody gives way who holds a job");
-    assert_eq!(second.say("list-tube-used"), "USING statements");
+    assert!(
+        client(&rig).is_closed_by_peer(),
+        "a third connection is closed: nobody gives way who holds a job"
+    );
+    assert_eq!(second.command("list-tube-used"), "USING statements");
 }
 
 /// A crowd that stays and says nothing, or half a command, must not keep usual clients out.
@@ -251,10 +257,10 @@
     let mut crowd = [client(&rig), client(&rig)];
     crowd.iter_mut().for_each(|c| c.write(part.as_bytes()));
     if !part.is_empty() {
-        assert!(crowd.iter_mut().all(|c| c.is_ended()));
+        assert!(crowd.iter_mut().all(|c| c.is_closed_by_peer()));
     }
     put(&mut client(&rig), "statements", 0);
-    assert!(crowd[0].is_ended());
+    assert!(crowd[0].is_closed_by_peer());
 }
 
 #[test]
@@ -262,13 +268,13 @@
     let mut rig = start(1);
     let mut client = client(&rig);
     let id = put(&mut client, "statements", 0);
-    let reference = rig.workers[0].take();
+    let reference = rig.workers[0].accept_job();
     rig.terminate();
-    rig.logged("SIGTERM");
-    assert_eq!(client.say("put 0 0 60 1\r\nx"), "DRAINING");
-    rig.news(0, &reference, "done", DONE);
+    rig.wait_for_log("SIGTERM");
+    assert_eq!(client.command("put 0 0 60 1\r\nx"), "DRAINING");
+    rig.send_job_update(0, &reference, "done", DONE);
     assert_eq!(fetch(&mut client), format!("{id} served 0.000\na page"));
-    assert!(rig.ends().success());
+    assert!(rig.wait_for_exit().success());
 }
 
 #[rstest]
@@ -279,7 +285,7 @@
 #[case(r#"{"classes": [{"name": "x", "kind": 7}]}"#, "classes[0].kind")]
 #[case(r#"{"hots": []}"#, "hots")]
 fn an_unusable_operators_file_names_its_key(#[case] operator: &str, #[case] key: &str) {
-    let dir = common::folder();
+    let dir = common::create_temp_dir();
     let config = format!(r#"{{"listen":"127.0.0.1:0","discovery":"127.0.0.1:9","settings":{SETTINGS}}}"#);
     std::fs::write(dir.join("config.json"), config).expect("a file");
     std::fs::write(dir.join("operator.json"), operator).expect("a file");
@@ -306,14 +312,14 @@
 fn a_job_goes_through_a_worker_that_speaks_beanstalkd(#[case] early: bool) {
     let (servers, rig) = queues(1, QUEUES);
     if early {
-        servers[0].slow_puts();
+        servers[0].delay_put_replies();
     }
     let mut client = rig.post("c1", "statement", "Idempotency-Key: k1\r\n");
-    let job = servers[0].take();
+    let job = servers[0].reserve_job();
     assert_eq!((&*job.reference, &*job.key, &*job.body), ("c1", "k1", "payload"));
-    servers[0].say(&job, "started", "");
-    servers[0].say(&job, "served", "a page");
-    let answer = client.answer();
+    servers[0].report(&job, "started", "");
+    servers[0].report(&job, "served", "a page");
+    let answer = client.read_response();
     assert_eq!((answer.status(), &*answer.body), (200, "a page"));
 }
 
@@ -328,11 +334,11 @@
 ) {
     let (servers, rig) = queues(1, QUEUES);
     let mut client = rig.post("c1", class, "");
-    servers[0].say(&servers[0].take(), word, "");
+    servers[0].report(&servers[0].reserve_job(), word, "");
     if again {
-        servers[0].say(&servers[0].take(), "served", "a page");
+        servers[0].report(&servers[0].reserve_job(), "served", "a page");
     }
-    assert_eq!(client.answer().status(), if again { 200 } else { 504 });
+    assert_eq!(client.read_response().status(), if again { 200 } else { 504 });
 }
 
 /// Failed once in CI, by an answer 15 ms behind the client's deadline. The program answers 25 ms before it, and reads the request
@@ -344,10 +350,10 @@
     let (servers, rig) = queues(1, QUEUES);
     let start = Instant::now();
     let mut client = rig.post("c1", "order", "X-Budget-Ms: 400\r\n");
-    servers[0].holds(1);
-    assert_eq!(client.answer().status(), 504);
+    servers[0].wait_for_job_count(1);
+    assert_eq!(client.read_response().status(), 504);
     assert!(start.elapsed() < Duration::from_millis(400), "{:?}", start.elapsed());
-    servers[0].holds(0);
+    servers[0].wait_for_job_count(0);
 }
 
 /// A class that must never run twice shows what is proved: a job that was taken back unbegun goes elsewhere.
@@ -355,18 +361,18 @@
 fn a_ready_job_on_a_worker_that_drains_is_taken_back_and_sent_elsewhere() {
     let (servers, rig) = queues(2, QUEUES);
     let mut clients: Vec<_> = (0..2).map(|i| rig.post(&format!("c{i}"), "order", "")).collect();
-    servers[0].holds(1);
-    let begun = servers[1].take();
-    servers[1].say(&begun, "started", "");
+    servers[0].wait_for_job_count(1);
+    let begun = servers[1].reserve_job();
+    servers[1].report(&begun, "started", "");
     let told = Instant::now();
     rig.list(&["draining", "up"]);
-    servers[0].holds(0);
-    servers[1].holds(2);
+    servers[0].wait_for_job_count(0);
+    servers[1].wait_for_job_count(2);
     assert!(told.elapsed() < Duration::from_millis(750), "{:?}", told.elapsed());
-    for job in [begun, servers[1].take()] {
-        servers[1].say(&job, "served", "a page");
+    for job in [begun, servers[1].reserve_job()] {
+        servers[1].report(&job, "served", "a page");
     }
-    assert!(clients.iter_mut().all(|c| c.answer().status() == 200));
+    assert!(clients.iter_mut().all(|c| c.read_response().status() == 200));
 }
 
 /// The brief's hard case: a job is reserved on a worker that then drains. It is awaited and not doubled.
@@ -376,16 +382,16 @@
     let (servers, rig) = queues(2, &operator);
     let mut client = client(&rig);
     let mut puts = [put(&mut client, "statements", 0), put(&mut client, "statements", 0)];
-    let (first, second) = (servers[0].take(), servers[1].take());
+    let (first, second) = (servers[0].reserve_job(), servers[1].reserve_job());
     rig.list(&["draining", "up"]);
     // The second one is answered, a third goes through: by then the drain has been worked off.
-    servers[1].say(&second, "served", "second");
+    servers[1].report(&second, "served", "second");
     let third = put(&mut client, "statements", 0);
-    servers[1].say(&servers[1].take(), "served", "third");
+    servers[1].report(&servers[1].reserve_job(), "served", "third");
     let mut answers = vec![fetch(&mut client), fetch(&mut client)];
-    servers[1].holds(0);
-    servers[0].holds(1);
-    servers[0].say(&first, "served", "first");
+    servers[1].wait_for_job_count(0);
+    servers[0].wait_for_job_count(1);
+    servers[0].report(&first, "served", "first");
     answers.push(fetch(&mut client));
     puts.sort_unstable();
     let served = |id: u64| answers.iter().filter(|a| a.starts_with(&format!("{id} served "))).count();
@@ -399,38 +405,38 @@
     let (servers, rig) = queues(1, &operator);
     let mut client = client(&rig);
     let id = put(&mut client, "statements", 0);
-    servers[0].holds(1);
-    assert_eq!(client.say(&format!("delete {id}")), "DELETED");
-    assert_eq!(client.say(&format!("delete {id}")), "NOT_FOUND");
-    servers[0].holds(0);
-    client.say("watch done");
-    assert_eq!(client.say("reserve-with-timeout 0"), "TIMED_OUT");
+    servers[0].wait_for_job_count(1);
+    assert_eq!(client.command(&format!("delete {id}")), "DELETED");
+    assert_eq!(client.command(&format!("delete {id}")), "NOT_FOUND");
+    servers[0].wait_for_job_count(0);
+    client.command("watch done");
+    assert_eq!(client.command("reserve-with-timeout 0"), "TIMED_OUT");
 }
 
 #[test]
 fn jobs_on_a_server_that_dies_go_elsewhere_where_that_is_harmless() {
     let (servers, rig) = queues(2, QUEUES);
     let mut safe: Vec<_> = (0..2).map(|i| rig.post(&format!("c{i}"), "quote", "")).collect();
-    let (lost, kept) = (servers[0].take(), servers[1].take());
-    servers[1].say(&kept, "started", "");
-    servers[0].die();
-    let again = servers[1].take();
+    let (lost, kept) = (servers[0].reserve_job(), servers[1].reserve_job());
+    servers[1].report(&kept, "started", "");
+    servers[0].shut_down();
+    let again = servers[1].reserve_job();
     assert_eq!(again.reference, lost.reference);
-    servers[1].say(&again, "served", "again");
-    servers[1].say(&kept, "served", "kept");
-    assert!(safe.iter_mut().all(|c| c.answer().status() == 200));
+    servers[1].report(&again, "served", "again");
+    servers[1].report(&kept, "served", "kept");
+    assert!(safe.iter_mut().all(|c| c.read_response().status() == 200));
 }
 
 #[test]
 fn a_cut_connection_to_a_server_loses_no_answer() {
     let (servers, rig) = queues(1, QUEUES);
     let mut client = rig.post("c1", "order", "");
-    let job = servers[0].take();
-    servers[0].say(&job, "started", "");
+    let job = servers[0].reserve_job();
+    servers[0].report(&job, "started", "");
     // Puts go out one after the other: once the second has come, the first is known to be there.
     let _second = rig.post("c2", "quote", "");
-    assert_eq!(servers[0].take().reference, "c2");
-    servers[0].cut();
-    servers[0].say(&job, "served", "a page");
-    assert_eq!(client.answer().body, "a page");
+    assert_eq!(servers[0].reserve_job().reference, "c2");
+    servers[0].close_connections();
+    servers[0].report(&job, "served", "a page");
+    assert_eq!(client.read_response().body, "a page");
 }
--- a/dispatcher/tests/command_line.rs
+++ b/dispatcher/tests/command_line.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::admin::{file, rig, KEY};
-use common::{folder, program, SETTINGS};
+use common::{create_temp_dir, program, SETTINGS};
 use rstest::rstest;
 use serde_json::Value;
 use std::path::Path;
@@ -16,7 +16,7 @@
 }
 
 fn check(operator: &str, config: &str) -> (Option<i32>, String, String) {
-    let dir = folder();
+    let dir = create_temp_dir();
     std::fs::write(dir.join("config.json"), config).expect("a file");
     std::fs::write(dir.join("operator.json"), operator).expect("a file");
     let operator = dir.join("operator.json");
@@ -198,7 +198,7 @@
 
 #[test]
 fn a_unix_socket_serves_the_commands_too() {
-    let path = folder().join("admin.sock");
+    let path = create_temp_dir().join("admin.sock");
     let operator = format!(r#"{{"admin": {{"listen": {path:?}}}}}"#);
     let setup = common::Setup { operator: Some(&operator), ..common::Setup::default() };
     let _rig = common::Rig::set_up(Vec::new(), SETTINGS, setup);
--- a/dispatcher/tests/common/admin.rs
+++ b/dispatcher/tests/common/admin.rs
@@ -1,6 +1,6 @@
 //! The admin listener as tests call it.
 
-use super::{folder, Client, Message, Rig, Setup, Worker, PATIENCE};
+use super::{create_temp_dir, Client, Message, Rig, Setup, Worker, WAIT_TIMEOUT};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -14,7 +14,7 @@
 
 /// A file of a folder of its own.
 pub fn file(name: &str, text: &str) -> PathBuf {
-    let path = folder().join(name);
+    let path = create_temp_dir().join(name);
     std::fs::write(&path, text).expect("a file");
     path
 }
@@ -40,7 +40,7 @@
     let mut client = Client::new(addr);
     let key = if key.is_empty() { String::new() } else { format!("Authorization: Bearer {key}\r\n") };
     client.send(first, &key, body);
-    client.answer()
+    client.read_response()
 }
 
 pub fn call(rig: &Rig, first: &str, body: &str) -> (u16, Value) {
@@ -50,11 +50,11 @@
 
 /// Sets an override for so long; its id and the moment of its end.
 pub fn set(rig: &Rig, worker: &str, what: Value, span: Duration) -> (String, u64) {
-    try_to_set(rig, worker, what, span).expect("an override that is taken")
+    try_set(rig, worker, what, span).expect("an override that is taken")
 }
 
 /// The same, where it may be turned down; the answer to that.
-pub fn try_to_set(rig: &Rig, worker: &str, what: Value, span: Duration) -> Result<(String, u64), Value> {
+pub fn try_set(rig: &Rig, worker: &str, what: Value, span: Duration) -> Result<(String, u64), Value> {
     let until = unix_ms() + span.as_millis() as u64;
     let mut order = json!({"worker": worker, "until_ms": until, "by": "ama", "why": "test"});
     order.as_object_mut().expect("an object").extend(what.as_object().expect("an object").clone());
@@ -70,7 +70,7 @@
 }
 
 /// The overrides that a dispatcher shows, without what differs from moment to moment.
-pub fn shown(rig: &Rig) -> Vec<Value> {
+pub fn list_overrides(rig: &Rig) -> Vec<Value> {
     let (status, mut answer) = call(rig, "GET /overrides", "");
     assert_eq!(status, 200);
     let lines = answer["overrides"].as_array_mut().expect("a list");
@@ -80,7 +80,7 @@
 
 /// How an override stands at a dispatcher; `None`: it is not shown.
 pub fn standing(rig: &Rig, id: &str) -> Option<String> {
-    let lines = shown(rig);
+    let lines = list_overrides(rig);
     lines.iter().find(|l| l["id"] == id).map(|l| l["standing"].as_str().expect("a word").into())
 }
 
@@ -88,7 +88,7 @@
 pub fn wait_for(what: &str, mut met: impl FnMut() -> bool) -> Duration {
     let start = Instant::now();
     while !met() {
-        assert!(start.elapsed() < PATIENCE, "in vain: {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "in vain: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
     start.elapsed()
--- a/dispatcher/tests/common/beanstalkd.rs
+++ b/dispatcher/tests/common/beanstalkd.rs
@@ -1,7 +1,7 @@
 //! A beanstalkd server as far as a worker's needs to be one. The worker itself is the test: it reserves and
 //! answers in the server's memory.
 
-use super::PATIENCE;
+use super::WAIT_TIMEOUT;
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -22,9 +22,9 @@
     jobs: BTreeMap<u64, Job>,
     last: u64,
     /// Puts are answered only when their job has gone.
-    slow_puts: bool,
+    delays_puts: bool,
     /// How often all connections have been cut: one from before gets nothing more.
-    cuts: u32,
+    disconnects: u32,
     connections: Vec<TcpStream>,
 }
 
@@ -36,7 +36,7 @@
 }
 
 /// A job as a worker got it.
-pub struct Taken {
+pub struct ReservedJob {
     pub id: u64,
     pub answers: String,
     pub reference: String,
@@ -63,26 +63,32 @@
                 let shared = copy.clone();
                 let mut state = shared.lock();
                 state.connections.push(stream.try_clone().expect("a socket"));
-                let born = state.cuts;
+                let disconnects_at_accept = state.disconnects;
                 drop(state);
-                thread::spawn(move || serve(&shared, stream, born));
+                thread::spawn(move || serve(&shared, stream, disconnects_at_accept));
             }
         });
         Server { addr, shared }
     }
 
     /// Takes the next ready job as a worker would.
-    pub fn take(&self) -> Taken {
-        let (id, body) = self.shared.reserve(&["work".into()], PATIENCE, None).expect("a job comes");
+    pub fn reserve_job(&self) -> ReservedJob {
+        let (id, body) = self.shared.reserve(&["work".into()], WAIT_TIMEOUT, None).expect("a job comes");
         let (head, body) = body.split_once('\n').expect("a first line");
         let words: Vec<&str> = head.split(' ').collect();
         let [answers, reference, key] = words[..] else { panic!("{head}") };
         let owned = str::to_owned;
-        Taken { id, answers: owned(answers), reference: owned(reference), key: owned(key), body: body.into() }
+        ReservedJob {
+            id,
+            answers: owned(answers),
+            reference: owned(reference),
+            key: owned(key),
+            body: body.into(),
+        }
     }
 
     /// Says what became of a job, and deletes it if that is the end of it.
-    pub fn say(&self, job: &Taken, word: &str, result: &str) {
+    pub fn report(&self, job: &ReservedJob, word: &str, result: &str) {
         let mut state = self.shared.lock();
         if word != "started" {
             state.jobs.remove(&job.id);
@@ -93,34 +99,34 @@
     }
 
     /// Waits until jobs of the work tube are so many.
-    pub fn holds(&self, count: usize) {
+    pub fn wait_for_job_count(&self, count: usize) {
         let differs = |s: &mut State| s.jobs.values().filter(|j| j.tube == "work").count() != count;
         let state = self.shared.lock();
         let (_state, waited) =
-            self.shared.changed.wait_timeout_while(state, PATIENCE, differs).expect("a lock");
+            self.shared.changed.wait_timeout_while(state, WAIT_TIMEOUT, differs).expect("a lock");
         assert!(!waited.timed_out(), "it does not come to hold {count} jobs");
     }
 
-    pub fn slow_puts(&self) {
-        self.shared.lock().slow_puts = true;
+    pub fn delay_put_replies(&self) {
+        self.shared.lock().delays_puts = true;
     }
 
     /// The process dies: connections break, and new ones are refused.
-    pub fn die(&self) {
+    pub fn shut_down(&self) {
         self.shared.stop.store(true, Ordering::SeqCst);
         // Wakes the one that accepts, so that it lets go of the port.
         let _ = TcpStream::connect(self.addr);
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         while TcpStream::connect(self.addr).is_ok() && Instant::now() < until {
             thread::sleep(Duration::from_millis(1));
         }
-        self.cut();
+        self.close_connections();
     }
 
     /// All connections break.
-    pub fn cut(&self) {
+    pub fn close_connections(&self) {
         let mut state = self.shared.lock();
-        state.cuts += 1;
+        state.disconnects += 1;
         self.shared.changed.notify_all();
         for connection in state.connections.drain(..) {
             let _ = connection.shutdown(Shutdown::Both);
@@ -141,8 +147,13 @@
         self.state.lock().expect("a lock")
     }
 
-    fn reserve(&self, tubes: &[String], within: Duration, born: Option<u32>) -> Option<(u64, String)> {
-        let lives = |s: &State| born.is_none_or(|b| b == s.cuts);
+    fn reserve(
+        &self,
+        tubes: &[String],
+        within: Duration,
+        disconnects_at_accept: Option<u32>,
+    ) -> Option<(u64, String)> {
+        let lives = |s: &State| disconnects_at_accept.is_none_or(|b| b == s.disconnects);
         let none =
             |s: &mut State| lives(s) && !s.jobs.values().any(|j| !j.reserved && tubes.contains(&j.tube));
         let (mut state, _) = self.changed.wait_timeout_while(self.lock(), within, none).expect("a lock");
@@ -155,7 +166,7 @@
     }
 }
 
-fn serve(shared: &Shared, stream: TcpStream, born: u32) {
+fn serve(shared: &Shared, stream: TcpStream, disconnects_at_accept: u32) {
     let mut reader = BufReader::new(stream.try_clone().expect("a socket"));
     let (mut stream, mut used, mut watched) =
         (stream, String::from("default"), vec![String::from("default")]);
@@ -184,12 +195,12 @@
                 let mut state = shared.lock();
                 let id = state.insert(&used, body.strip_suffix("\r\n").expect("CRLF").into());
                 shared.changed.notify_all();
-                let held = |s: &mut State| s.slow_puts && s.jobs.contains_key(&id);
-                drop(shared.changed.wait_timeout_while(state, PATIENCE, held));
+                let held = |s: &mut State| s.delays_puts && s.jobs.contains_key(&id);
+                drop(shared.changed.wait_timeout_while(state, WAIT_TIMEOUT, held));
                 format!("INSERTED {id}")
             }
             "reserve-with-timeout" => {
-                match shared.reserve(&watched, Duration::from_secs(number(1)), Some(born)) {
+                match shared.reserve(&watched, Duration::from_secs(number(1)), Some(disconnects_at_accept)) {
                     Some((id, body)) => format!("RESERVED {id} {}\r\n{body}", body.len()),
                     None => "TIMED_OUT".into(),
                 }
--- a/dispatcher/tests/common/discovery.rs
+++ b/dispatcher/tests/common/discovery.rs
@@ -1,6 +1,6 @@
 //! A discovery whose failures a test chooses: down, silent, slow, or cut off in the middle of an answer.
 
-use super::{read_message, PATIENCE};
+use super::{read_message, WAIT_TIMEOUT};
 use std::io::{BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, Weak};
@@ -17,7 +17,7 @@
     /// Not at all: the call is read, and the connection stays open.
     Silent,
     /// Calls that were left without an answer stay so; those that come are answered.
-    SilentBefore,
+    UpForNewCalls,
     /// As in `Up`, but only so long after the call came.
     Slow(Duration),
     /// With 503, so long after the call came.
@@ -39,7 +39,7 @@
 
 impl Call {
     /// Whether the whole list is asked for.
-    pub fn wants_all(&self) -> bool {
+    pub fn requests_full_list(&self) -> bool {
         !self.path.contains("after=")
     }
 }
@@ -101,10 +101,10 @@
     }
 
     /// Goes over to another behaviour. Calls that wait are ended, unless it only falls silent.
-    pub fn behave(&self, behaviour: Behaviour) {
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
         let mut state = self.shared.lock();
         state.behaviour = behaviour;
-        if ![Behaviour::Silent, Behaviour::SilentBefore].contains(&behaviour) {
+        if ![Behaviour::Silent, Behaviour::UpForNewCalls].contains(&behaviour) {
             let open = state.connections.drain(..).filter_map(|connection| connection.upgrade());
             open.for_each(|connection| drop(connection.shutdown(Shutdown::Both)));
         }
@@ -125,17 +125,17 @@
     }
 
     /// Waits for a call that fits, among those that came after the first `skip`.
-    pub fn called(&self, skip: usize, fits: impl Fn(&Call) -> bool) -> Call {
+    pub fn wait_for_call(&self, skip: usize, fits: impl Fn(&Call) -> bool) -> Call {
         let none = |s: &mut State| !s.calls.iter().skip(skip).any(&fits);
         let (state, _) =
-            self.shared.changed.wait_timeout_while(self.shared.lock(), PATIENCE, none).expect("a lock");
+            self.shared.changed.wait_timeout_while(self.shared.lock(), WAIT_TIMEOUT, none).expect("a lock");
         let found = state.calls.iter().skip(skip).find(|call| fits(call)).cloned();
         found.unwrap_or_else(|| panic!("not called so: {:?}", state.calls))
     }
 
     /// Waits until the program says that it knows this version.
-    pub fn is_known(&self, version: u64) {
-        self.called(0, |call| number(&call.path, "after=") == Some(version));
+    pub fn wait_until_known(&self, version: u64) {
+        self.wait_for_call(0, |call| number(&call.path, "after=") == Some(version));
     }
 }
 
@@ -147,7 +147,7 @@
 fn serve(shared: &Shared, stream: &TcpStream) {
     let mut reader = BufReader::new(stream);
     while let Some(message) = read_message(&mut reader) {
-        let path = message.first.split(' ').nth(1).unwrap_or_default().to_owned();
+        let path = message.start_line.split(' ').nth(1).unwrap_or_default().to_owned();
         let (after, wait) = (number(&path, "after="), number(&path, "wait_ms=").unwrap_or(0));
         let mut state = shared.lock();
         state.calls.push(Call { path, at: Instant::now() });
--- a/dispatcher/tests/common/faults.rs
+++ b/dispatcher/tests/common/faults.rs
@@ -1,6 +1,6 @@
 //! System calls of the program that fail, by the shim that is loaded into it.
 
-use super::folder;
+use super::create_temp_dir;
 use lineroute_fault_plan::{Call, FaultPlan, PLAN_VARIABLE};
 use std::fs::File;
 use std::os::unix::fs::FileExt;
@@ -36,7 +36,7 @@
 impl Faults {
     /// Nothing fails at first.
     pub fn none() -> Faults {
-        let path = folder().join("faults");
+        let path = create_temp_dir().join("faults");
         let file = File::create(&path).expect("a file");
         let faults = Faults { file, path, plan: FaultPlan::default() };
         faults.write();
--- a/dispatcher/tests/common/mod.rs
+++ b/dispatcher/tests/common/mod.rs
@@ -20,7 +20,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub const SETTINGS: &str = r#"{"instances": 1, "discovery": "ask", "azs": ["a"], "skus": ["m"], "zone": 0,
  "classes": [
@@ -36,14 +36,14 @@
 #[derive(Debug)]
 pub struct Message {
     /// The first line.
-    pub first: String,
+    pub start_line: String,
     pub headers: HashMap<String, String>,
     pub body: String,
 }
 
 impl Message {
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status")
+        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status")
     }
 }
 
@@ -63,7 +63,7 @@
     let length = headers.get("content-length").map_or(0, |l| l.parse().expect("a length"));
     let mut body = vec![0; length];
     stream.read_exact(&mut body).ok()?;
-    Some(Message { first, headers, body: String::from_utf8(body).expect("text") })
+    Some(Message { start_line: first, headers, body: String::from_utf8(body).expect("text") })
 }
 
 pub fn write_message(stream: &mut TcpStream, first: &str, headers: &str, body: &str) {
@@ -72,13 +72,13 @@
 }
 
 /// What came to a worker, and the say in what it answers. Dropped, it ends the connection.
-pub struct Seen {
+pub struct WorkerRequest {
     pub message: Message,
     answer: Sender<String>,
 }
 
-impl Seen {
-    pub fn answer(self, status: &str) {
+impl WorkerRequest {
+    pub fn respond(self, status: &str) {
         let _ = self.answer.send(format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n"));
     }
 
@@ -90,10 +90,10 @@
 pub struct Worker {
     pub id: String,
     pub addr: SocketAddr,
-    seen: Receiver<Seen>,
+    seen: Receiver<WorkerRequest>,
     /// Connections that are open to it, and how many ever were.
-    pub open: Arc<AtomicU32>,
-    pub began: Arc<AtomicU32>,
+    pub open_connections: Arc<AtomicU32>,
+    pub connections_accepted: Arc<AtomicU32>,
 }
 
 impl Worker {
@@ -114,7 +114,7 @@
                     let mut stream = stream;
                     while let Some(message) = read_message(&mut reader) {
                         let (answer, answers) = channel();
-                        if sender.send(Seen { message, answer }).is_err() {
+                        if sender.send(WorkerRequest { message, answer }).is_err() {
                             return;
                         }
                         let Ok(answer) = answers.recv() else { return };
@@ -124,69 +124,69 @@
                 });
             }
         });
-        Worker { id: id.into(), addr, seen, open, began }
+        Worker { id: id.into(), addr, seen, open_connections: open, connections_accepted: began }
     }
 
     /// The next request that comes here.
-    pub fn next(&self) -> Seen {
-        self.seen.recv_timeout(PATIENCE).expect("the worker is asked for something")
+    pub fn next(&self) -> WorkerRequest {
+        self.seen.recv_timeout(WAIT_TIMEOUT).expect("the worker is asked for something")
     }
 
     /// The same; nothing once nobody can come any more.
-    pub fn next_if_any(&self) -> Option<Seen> {
+    pub fn next_unless_closed(&self) -> Option<WorkerRequest> {
         self.seen.recv().ok()
     }
 
-    pub fn has_none(&self) -> bool {
+    pub fn has_no_request(&self) -> bool {
         self.seen.try_recv().is_err()
     }
 
     /// The first lines of all that has come.
-    pub fn asked(&self) -> Vec<String> {
-        self.seen.try_iter().map(|seen| seen.message.first).collect()
+    pub fn request_lines(&self) -> Vec<String> {
+        self.seen.try_iter().map(|seen| seen.message.start_line).collect()
     }
 
     /// Whether that job is among what has come and was not taken up yet.
-    pub fn was_sent(&self, reference: &str) -> bool {
-        let is_it = |seen: &Seen| {
-            let Message { first, headers, .. } = &seen.message;
-            first.starts_with("POST ") && headers.get("x-call-id").is_some_and(|id| id == reference)
+    pub fn has_received_job(&self, reference: &str) -> bool {
+        let is_it = |seen: &WorkerRequest| {
+            let Message { start_line, headers, .. } = &seen.message;
+            start_line.starts_with("POST ") && headers.get("x-call-id").is_some_and(|id| id == reference)
         };
         self.seen.try_iter().filter(is_it).count() > 0
     }
 
     /// Takes what has come, if anything has; true unless it is that job, which is then taken with 202.
-    pub fn has_none_for(&self, reference: &str) -> bool {
+    pub fn has_no_request_for(&self, reference: &str) -> bool {
         let Ok(seen) = self.seen.try_recv() else { return true };
         let is_it = seen.reference() == reference;
-        seen.answer("202 Accepted");
+        seen.respond("202 Accepted");
         !is_it
     }
 
     /// The next request of a job: probes are answered meanwhile.
-    pub fn next_of_job(&self) -> Seen {
+    pub fn next_job_request(&self) -> WorkerRequest {
         loop {
             let seen = self.next();
-            if !seen.message.first.starts_with("GET ") {
+            if !seen.message.start_line.starts_with("GET ") {
                 return seen;
             }
-            seen.answer("200 OK");
+            seen.respond("200 OK");
         }
     }
 
     /// Takes a job with 202 and gives its reference.
-    pub fn take(&self) -> String {
+    pub fn accept_job(&self) -> String {
         let seen = self.next();
-        assert!(seen.message.first.starts_with("POST "), "{:?}", seen.message);
+        assert!(seen.message.start_line.starts_with("POST "), "{:?}", seen.message);
         let reference = seen.reference().to_owned();
-        seen.answer("202 Accepted");
+        seen.respond("202 Accepted");
         reference
     }
 }
 
 /// The version of the list, its servers, the version that the program has last said it knows, and whether the
 /// call that waits is never answered.
-type Listing = Arc<(Mutex<(u64, String, u64, bool)>, Condvar)>;
+type DiscoveryState = Arc<(Mutex<(u64, String, u64, bool)>, Condvar)>;
 
 /// A running program with its peers.
 pub struct Rig {
@@ -196,12 +196,12 @@
     /// Names and addresses of all that is listed.
     listed: Vec<(String, SocketAddr)>,
     kind: &'static str,
-    list: Listing,
-    streams: Streams,
+    list: DiscoveryState,
+    streams: DiscoveryStreams,
     dir: PathBuf,
     /// What it wrote to the log after its addresses.
     log: Receiver<String>,
-    pub front: Option<SocketAddr>,
+    pub beanstalkd_addr: Option<SocketAddr>,
     /// The admin listener and the socket of the talk with peers, where they are on.
     pub admin: Option<SocketAddr>,
     pub peer: Option<SocketAddr>,
@@ -224,7 +224,7 @@
     /// Where discovery is, if not the usual stand-in.
     pub discovery: Option<SocketAddr>,
     /// The program is told no list at its start.
-    pub knows_nothing: bool,
+    pub without_known_list: bool,
     /// Where the clients' socket is bound, if not at a port that the system chooses.
     pub listen: Option<SocketAddr>,
     /// Called with the number of the process as soon as it runs.
@@ -233,7 +233,7 @@
     pub environment: Vec<(String, String)>,
 }
 
-pub fn folder() -> PathBuf {
+pub fn create_temp_dir() -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let name = format!("lineroute-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
     let dir = std::env::temp_dir().join(name);
@@ -248,9 +248,9 @@
 }
 
 /// Streams of discovery, to be ended from outside.
-type Streams = Arc<Mutex<Vec<TcpStream>>>;
+type DiscoveryStreams = Arc<Mutex<Vec<TcpStream>>>;
 
-fn discovery(list: Listing, streams: Streams) -> SocketAddr {
+fn discovery(list: DiscoveryState, streams: DiscoveryStreams) -> SocketAddr {
     let socket = TcpListener::bind("127.0.0.1:0").expect("a port");
     let addr = socket.local_addr().expect("an address");
     thread::spawn(move || {
@@ -262,7 +262,10 @@
                 let mut stream = stream;
                 while let Some(asked) = read_message(&mut reader) {
                     let number = |name: &str| -> u64 {
-                        let at = asked.first.find(name).map_or("0", |at| &asked.first[at + name.len()..]);
+                        let at = asked
+                            .start_line
+                            .find(name)
+                            .map_or("0", |at| &asked.start_line[at + name.len()..]);
                         at.split(['&', ' ']).next().and_then(|n| n.parse().ok()).unwrap_or(0)
                     };
                     let (after, wait) = (number("after="), Duration::from_millis(number("wait_ms=")));
@@ -319,22 +322,22 @@
     }
 
     pub fn set_up(listed: Vec<(String, SocketAddr)>, settings: &str, setup: Setup) -> Rig {
-        let list: Listing = Arc::new((Mutex::new((1, String::new(), 0, false)), Condvar::new()));
-        let streams = Streams::default();
+        let list: DiscoveryState = Arc::new((Mutex::new((1, String::new(), 0, false)), Condvar::new()));
+        let streams = DiscoveryStreams::default();
         let discovery = setup.discovery.unwrap_or_else(|| discovery(list.clone(), streams.clone()));
-        let (dir, kind, on_start) = (folder(), setup.kind.unwrap_or("m"), setup.on_start);
+        let (dir, kind, on_start) = (create_temp_dir(), setup.kind.unwrap_or("m"), setup.on_start);
         let setup = Setup { discovery: Some(discovery), ..setup };
         let mut child = command(&dir, &listed, settings, setup).spawn().expect("the program starts");
         on_start.iter().for_each(|told| told(child.id()));
         let mut lines = BufReader::new(child.stderr.take().expect("piped")).lines();
-        let (mut front, mut admin, mut peer, mut said) = (None, None, None, String::new());
+        let (mut beanstalkd_addr, mut admin, mut peer, mut said) = (None, None, None, String::new());
         // Each listener tells its address; the platform's is the last.
         let addr = loop {
             let line = lines.next().unwrap_or_else(|| panic!("it does not start: {said}")).expect("text");
             said += &line;
             let addr = line.rsplit_once("addr=").and_then(|(_, a)| a.parse().ok());
             if line.contains("listens to beanstalkd clients") {
-                front = addr;
+                beanstalkd_addr = addr;
             } else if line.contains("admin listens") {
                 admin = addr;
             } else if line.contains("talks with peers") {
@@ -346,7 +349,20 @@
         };
         let (sender, log) = channel();
         thread::spawn(move || lines.map_while(Result::ok).all(|line| sender.send(line).is_ok()));
-        Rig { child, addr, workers: Vec::new(), listed, kind, list, streams, dir, log, front, admin, peer }
+        Rig {
+            child,
+            addr,
+            workers: Vec::new(),
+            listed,
+            kind,
+            list,
+            streams,
+            dir,
+            log,
+            beanstalkd_addr,
+            admin,
+            peer,
+        }
     }
 
     /// Lists the workers anew, each in the state given, and waits until the program knows.
@@ -357,12 +373,12 @@
         *state = (state.0 + 1, servers.join(","), state.2, state.3);
         self.list.1.notify_all();
         let unknown = |s: &mut (u64, String, u64, bool)| s.2 < s.0;
-        let (_state, waited) = self.list.1.wait_timeout_while(state, PATIENCE, unknown).expect("a lock");
+        let (_state, waited) = self.list.1.wait_timeout_while(state, WAIT_TIMEOUT, unknown).expect("a lock");
         assert!(!waited.timed_out(), "the list is not asked for");
     }
 
     /// Lists the workers anew, and waits for nobody: for a program that stands still.
-    pub fn list_unheard(&self, states: &[&str]) {
+    pub fn list_without_waiting(&self, states: &[&str]) {
         let servers: Vec<String> =
             self.listed.iter().zip(states).map(|(w, s)| entry(w, self.kind, s)).collect();
         let mut state = self.list.0.lock().expect("a lock");
@@ -371,10 +387,10 @@
     }
 
     /// Waits until the program has said that it knows this version.
-    pub fn asks_after(&self, version: u64) {
+    pub fn wait_until_known(&self, version: u64) {
         let state = self.list.0.lock().expect("a lock");
         let unknown = |s: &mut (u64, String, u64, bool)| s.2 < version;
-        let (_state, waited) = self.list.1.wait_timeout_while(state, PATIENCE, unknown).expect("a lock");
+        let (_state, waited) = self.list.1.wait_timeout_while(state, WAIT_TIMEOUT, unknown).expect("a lock");
         assert!(!waited.timed_out(), "the list is not asked for");
     }
 
@@ -387,21 +403,21 @@
     }
 
     /// Moves a worker to another address, for the lists that follow.
-    pub fn moved(&mut self, worker: usize, to: Worker) {
+    pub fn move_worker(&mut self, worker: usize, to: Worker) {
         self.listed[worker].1 = to.addr;
         self.workers[worker] = to;
     }
 
     /// Replaces a file of the operator's and has it read.
-    pub fn rekeyed(&self, file: &std::path::Path, text: &str) {
+    pub fn reload_file(&self, file: &std::path::Path, text: &str) {
         std::fs::write(file, text).expect("a file");
         self.signal("-HUP");
-        self.logged("SIGHUP");
+        self.wait_for_log("SIGHUP");
     }
 
     /// The next request that comes to any worker, and to which.
-    pub fn next(&self) -> (usize, Seen) {
-        let until = Instant::now() + PATIENCE;
+    pub fn next(&self) -> (usize, WorkerRequest) {
+        let until = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < until {
             let seen = self.workers.iter().enumerate().find_map(|(i, w)| Some((i, w.seen.try_recv().ok()?)));
             match seen {
@@ -424,7 +440,7 @@
     }
 
     /// A job, served by whoever gets it: who that was.
-    pub fn served(&self, reference: &str, class: &str) -> usize {
+    pub fn serve_job(&self, reference: &str, class: &str) -> usize {
         let mut client = self.post(reference, class, "");
         let (worker, seen) = self.next();
         assert_eq!(
@@ -433,23 +449,23 @@
             "{:?}",
             seen.message
         );
-        seen.answer("202 Accepted");
-        self.news(worker, reference, "done", r#","result":"a chart""#);
-        assert_eq!(client.answer().status(), 200);
+        seen.respond("202 Accepted");
+        self.send_job_update(worker, reference, "done", r#","result":"a chart""#);
+        assert_eq!(client.read_response().status(), 200);
         worker
     }
 
     /// A worker's call.
-    pub fn news(&self, worker: usize, reference: &str, state: &str, more: &str) {
-        self.tell(&self.workers[worker].id, reference, state, more);
+    pub fn send_job_update(&self, worker: usize, reference: &str, state: &str, more: &str) {
+        self.send_job_update_from(&self.workers[worker].id, reference, state, more);
     }
 
     /// The same by the worker's name.
-    pub fn tell(&self, id: &str, reference: &str, state: &str, more: &str) {
+    pub fn send_job_update_from(&self, id: &str, reference: &str, state: &str, more: &str) {
         let body = format!(r#"{{"id":"{reference}","from":"{id}","state":"{state}"{more}}}"#);
         let mut client = self.connect();
         client.send("POST /_jobs/news", "", &body);
-        assert_eq!(client.answer().status(), 200);
+        assert_eq!(client.read_response().status(), 200);
     }
 
     pub fn pid(&self) -> u32 {
@@ -465,15 +481,15 @@
     }
 
     /// Stops the program where it stands; what comes meanwhile, it finds all at once.
-    pub fn freeze(&self) {
+    pub fn pause(&self) {
         self.signal("-STOP");
-        self.is_frozen();
+        self.wait_until_paused();
     }
 
     /// Waits until it stands still.
-    pub fn is_frozen(&self) {
+    pub fn wait_until_paused(&self) {
         let state = || process_state(self.child.id());
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + WAIT_TIMEOUT;
         while state() != Some('T') {
             // Z: it has ended; what it said last tells why.
             let said = || self.log.try_iter().collect::<Vec<_>>().join("\n");
@@ -482,17 +498,17 @@
         }
     }
 
-    pub fn thaw(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
     /// Has the program take a turn: whatever had come to it before is heeded when this returns.
-    pub fn turn(&self) {
+    pub fn process_pending_events(&self) {
         let mut client = self.connect();
         // The first may be read as soon as it is accepted; the second takes a look at all that has come.
         for _ in 0..2 {
             client.send("GET /up", "", "");
-            if client.heard().is_none_or(|answer| answer.headers.contains_key("connection")) {
+            if client.try_read_response().is_none_or(|answer| answer.headers.contains_key("connection")) {
                 break;
             }
         }
@@ -501,7 +517,7 @@
     }
 
     /// Replaces the configuration by one with another discovery, and says so; nothing is waited for.
-    pub fn hang_up(&self, discovery: SocketAddr) {
+    pub fn reload_with_discovery(&self, discovery: SocketAddr) {
         let config = config(&self.listed, self.kind, discovery, SETTINGS, true);
         std::fs::write(self.dir.join("config.json"), config).expect("a file");
         self.signal("-HUP");
@@ -511,11 +527,11 @@
     pub fn reload(&self, config: &str) -> String {
         std::fs::write(self.dir.join("config.json"), config).expect("a file");
         self.signal("-HUP");
-        self.logged("SIGHUP")
+        self.wait_for_log("SIGHUP")
     }
 
     /// Ends all connections to discovery.
-    pub fn end_watches(&self) {
+    pub fn close_discovery_connections(&self) {
         for stream in self.streams.lock().expect("a lock").drain(..) {
             let _ = stream.shutdown(std::net::Shutdown::Both);
         }
@@ -540,8 +556,8 @@
     }
 
     /// Waits for the program to end by itself.
-    pub fn ends(&mut self) -> ExitStatus {
-        let until = Instant::now() + PATIENCE;
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        let until = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < until {
             if let Some(status) = self.child.try_wait().expect("a child") {
                 return status;
@@ -552,9 +568,9 @@
     }
 
     /// The next line of the log that holds these words.
-    pub fn logged(&self, words: &str) -> String {
+    pub fn wait_for_log(&self, words: &str) -> String {
         loop {
-            let line = self.log.recv_timeout(PATIENCE).expect("a line of the log");
+            let line = self.log.recv_timeout(WAIT_TIMEOUT).expect("a line of the log");
             if line.contains(words) {
                 return line;
             }
@@ -562,7 +578,7 @@
     }
 
     /// All lines of the log that have come and were not read yet.
-    pub fn said(&self) -> Vec<String> {
+    pub fn take_log_lines(&self) -> Vec<String> {
         self.log.try_iter().collect()
     }
 
@@ -594,7 +610,7 @@
         inherit,
         stops,
         discovery,
-        knows_nothing,
+        without_known_list,
         listen,
         environment,
         ..
@@ -605,7 +621,7 @@
         &format!("{{{more}"),
         1,
     );
-    if knows_nothing {
+    if without_known_list {
         config = config.replacen("\"known\"", "\"known_before\"", 1);
     }
     std::fs::write(dir.join("config.json"), config).expect("a file");
@@ -653,7 +669,7 @@
 
 /// Tries until the stand-ins of a test were in time for what workers have a time for: on a machine with too much to do one
 /// may be told that a job is given up before it has so much as read it. `None`: it was late.
-pub fn in_time(scenario: impl Fn() -> Option<()>) {
+pub fn retry_if_late(scenario: impl Fn() -> Option<()>) {
     assert!((0..5).any(|_| scenario().is_some()), "late each time");
 }
 
@@ -669,7 +685,7 @@
 
 /// Waits for what must come.
 pub fn wait_until(what: &str, mut is_so: impl FnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     while !is_so() {
         assert!(Instant::now() < until, "in vain: {what}");
         thread::sleep(Duration::from_millis(1));
@@ -683,31 +699,31 @@
 }
 
 /// An address where connections don't come up until they are let in.
-pub struct Closed {
+pub struct BlockedListener {
     socket: socket2::Socket,
     pub addr: SocketAddr,
-    fillers: Vec<TcpStream>,
+    queue_fillers: Vec<TcpStream>,
 }
 
-impl Closed {
+impl BlockedListener {
     /// Its queue of connections is short, and full: further ones are not answered.
-    pub fn start() -> Closed {
+    pub fn start() -> BlockedListener {
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
         let any: SocketAddr = ([127, 0, 0, 1], 0).into();
         socket.bind(&any.into()).expect("a port");
         socket.listen(0).expect("it listens");
-        socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        socket.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time-out");
         let addr = socket.local_addr().ok().and_then(|a| a.as_socket()).expect("an address");
         let mut fillers = Vec::new();
         while let Ok(filler) = TcpStream::connect_timeout(&addr, Duration::from_millis(200)) {
             fillers.push(filler);
         }
-        Closed { socket, addr, fillers }
+        BlockedListener { socket, addr, queue_fillers: fillers }
     }
 
     /// How many connections wait to come up.
-    pub fn coming(&self) -> usize {
+    pub fn pending_connections(&self) -> usize {
         let port = format!(":{:04X} 02 ", self.addr.port());
         std::fs::read_to_string("/proc/net/tcp")
             .expect("a table")
@@ -717,10 +733,10 @@
     }
 
     /// Lets the next one in, behind those that filled the queue.
-    pub fn let_in(&mut self) -> TcpStream {
+    pub fn accept_next(&mut self) -> TcpStream {
         // A filler of which only its own side knows that it is connected may come up behind the one that is waited for.
         let fillers: Vec<SocketAddr> =
-            self.fillers.iter().map(|filler| filler.local_addr().expect("an address")).collect();
+            self.queue_fillers.iter().map(|filler| filler.local_addr().expect("an address")).collect();
         let stream = loop {
             match self.socket.accept() {
                 Ok((_, peer)) if peer.as_socket().is_some_and(|peer| fillers.contains(&peer)) => {}
@@ -729,8 +745,8 @@
                 Err(e) => assert_eq!(e.kind(), std::io::ErrorKind::Interrupted, "a connection: {e}"),
             }
         };
-        self.fillers.clear();
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        self.queue_fillers.clear();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time-out");
         stream
     }
 }
@@ -747,7 +763,7 @@
     }
 
     pub fn of(stream: TcpStream) -> Client {
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time-out");
         Client { reader: BufReader::new(stream.try_clone().expect("a socket")), stream }
     }
 
@@ -762,10 +778,10 @@
 
     /// Asks on this connection until the program says that it is up: it has a worker list that was confirmed, or has waited
     /// for one long enough.
-    pub fn is_up(&mut self) {
+    pub fn wait_until_up(&mut self) {
         wait_until("the program says that it is up", || {
             self.send("GET /up", "", "");
-            self.answer().status() == 200
+            self.read_response().status() == 200
         });
     }
 
@@ -794,17 +810,17 @@
         bytes.chunks(size).for_each(|piece| self.write(piece));
     }
 
-    pub fn answer(&mut self) -> Message {
+    pub fn read_response(&mut self) -> Message {
         read_message(&mut self.reader).expect("an answer")
     }
 
     /// An answer, unless the connection ends before.
-    pub fn heard(&mut self) -> Option<Message> {
+    pub fn try_read_response(&mut self) -> Option<Message> {
         read_message(&mut self.reader)
     }
 
     /// Its own address and the program's.
-    pub fn ends(&self) -> (SocketAddr, SocketAddr) {
+    pub fn addresses(&self) -> (SocketAddr, SocketAddr) {
         (self.addr(), self.stream.peer_addr().expect("a connection"))
     }
 
@@ -813,7 +829,7 @@
     }
 
     /// Bytes that the program has not read; nothing where its connection is no more.
-    pub fn unread(&self) -> Option<usize> {
+    pub fn unread_bytes(&self) -> Option<usize> {
         let (own, peer) = (self.addr(), self.stream.peer_addr().ok()?);
         let words = format!("0100007F:{:04X} 0100007F:{:04X} ", peer.port(), own.port());
         let table = std::fs::read_to_string("/proc/net/tcp").expect("a table");
@@ -831,12 +847,12 @@
     }
 
     /// Whether the other side has ended the connection.
-    pub fn is_ended(&mut self) -> bool {
+    pub fn is_closed_by_peer(&mut self) -> bool {
         read_message(&mut self.reader).is_none()
     }
 
     /// A line, without its end.
-    pub fn line(&mut self) -> String {
+    pub fn read_line(&mut self) -> String {
         let mut line = String::new();
         self.reader.read_line(&mut line).expect("a line in time");
         assert!(line.ends_with("\r\n"), "{line:?}");
@@ -845,22 +861,22 @@
     }
 
     /// Says a line, and gives the one that comes back.
-    pub fn say(&mut self, line: &str) -> String {
+    pub fn command(&mut self, line: &str) -> String {
         self.write(format!("{line}\r\n").as_bytes());
-        self.line()
+        self.read_line()
     }
 
     /// Reserves a job: its id and body.
     pub fn reserve(&mut self) -> (u64, String) {
-        let reply = self.say("reserve-with-timeout 20");
+        let reply = self.command("reserve-with-timeout 20");
         let mut words = reply.split(' ').skip(1).map(|w| w.parse::<u64>());
         let (Some(Ok(id)), Some(Ok(size))) = (words.next(), words.next()) else { panic!("{reply}") };
-        let body = self.bytes(size as usize);
-        assert_eq!(self.line(), "");
+        let body = self.read_text(size as usize);
+        assert_eq!(self.read_line(), "");
         (id, body)
     }
 
-    pub fn bytes(&mut self, count: usize) -> String {
+    pub fn read_text(&mut self, count: usize) -> String {
         let mut bytes = vec![0; count];
         self.reader.read_exact(&mut bytes).expect("so many bytes");
         String::from_utf8(bytes).expect("text")
--- a/dispatcher/tests/common/replacement.rs
+++ b/dispatcher/tests/common/replacement.rs
@@ -2,7 +2,7 @@
 //! `$TMPDIR`, each with an admin console of its own, and workers whose conduct a test chooses.
 
 use super::discovery::{entry, Behaviour, Discovery};
-use super::{folder, wait_until, Client, Rig, Setup, Worker, SETTINGS};
+use super::{create_temp_dir, wait_until, Client, Rig, Setup, Worker, SETTINGS};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -17,9 +17,9 @@
 
 /// What a worker does with jobs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Conduct {
+pub enum WorkerBehaviour {
     /// Hands each one back unstarted.
-    TurnsAway,
+    Rejects,
     /// Takes it and says nothing more.
     Hangs,
     /// Takes it, and calls back with a result, each call on a connection of its own.
@@ -37,14 +37,14 @@
 /// Workers of one conduct, and what came to them.
 pub struct Workers {
     pub listed: Vec<(String, SocketAddr)>,
-    conduct: Arc<Mutex<Conduct>>,
+    conduct: Arc<Mutex<WorkerBehaviour>>,
     arrivals: Arc<Mutex<Vec<Arrival>>>,
     given_up: Arc<Mutex<Vec<String>>>,
 }
 
 impl Workers {
     /// So many workers, `w0` and on, that call back at this address.
-    pub fn start(count: usize, conduct: Conduct, call_back: SocketAddr) -> Workers {
+    pub fn start(count: usize, conduct: WorkerBehaviour, call_back: SocketAddr) -> Workers {
         let mut workers = Workers {
             listed: Vec::new(),
             conduct: Arc::new(Mutex::new(conduct)),
@@ -61,7 +61,7 @@
         workers
     }
 
-    pub fn conduct(&self, conduct: Conduct) {
+    pub fn set_behaviour(&self, conduct: WorkerBehaviour) {
         *self.conduct.lock().expect("a lock") = conduct;
     }
 
@@ -77,26 +77,26 @@
     }
 
     /// The references of jobs that were given up.
-    pub fn given_up(&self) -> Vec<String> {
+    pub fn cancelled_jobs(&self) -> Vec<String> {
         self.given_up.lock().expect("a lock").clone()
     }
 }
 
 fn serve(
     worker: &Worker,
-    conduct: &Mutex<Conduct>,
+    conduct: &Mutex<WorkerBehaviour>,
     arrivals: &Mutex<Vec<Arrival>>,
     given_up: &Mutex<Vec<String>>,
     call_back: SocketAddr,
 ) {
     loop {
-        let Some(seen) = worker.next_if_any() else { return };
-        if let Some(path) = seen.message.first.strip_prefix("DELETE /jobs/") {
+        let Some(seen) = worker.next_unless_closed() else { return };
+        if let Some(path) = seen.message.start_line.strip_prefix("DELETE /jobs/") {
             let reference = path.split(' ').next().unwrap_or_default().to_owned();
             given_up.lock().expect("a lock").push(reference);
         }
-        if !seen.message.first.starts_with("POST ") {
-            seen.answer("200 OK");
+        if !seen.message.start_line.starts_with("POST ") {
+            seen.respond("200 OK");
             continue;
         }
         let (at, reference) = (Instant::now(), seen.reference().to_owned());
@@ -104,25 +104,25 @@
         arrivals.lock().expect("a lock").push(arrival);
         let conduct = *conduct.lock().expect("a lock");
         match conduct {
-            Conduct::TurnsAway => seen.answer("503 Service Unavailable\r\nX-Rejected: 1"),
-            Conduct::Hangs => seen.answer("202 Accepted"),
-            Conduct::Serves => {
-                seen.answer("202 Accepted");
+            WorkerBehaviour::Rejects => seen.respond("503 Service Unavailable\r\nX-Rejected: 1"),
+            WorkerBehaviour::Hangs => seen.respond("202 Accepted"),
+            WorkerBehaviour::Serves => {
+                seen.respond("202 Accepted");
                 let from = worker.id.clone();
-                thread::spawn(move || tell_done(call_back, &reference, &from));
+                thread::spawn(move || report_done(call_back, &reference, &from));
             }
         }
     }
 }
 
 /// Calls until the call is answered with 200; how many calls that took, if it came to that.
-pub fn tell_done(to: SocketAddr, reference: &str, from: &str) -> Option<usize> {
+pub fn report_done(to: SocketAddr, reference: &str, from: &str) -> Option<usize> {
     let body = format!(r#"{{"id":"{reference}","from":"{from}","state":"done","result":"a chart"}}"#);
     for call in 1..=CALLS {
         if let Ok(stream) = TcpStream::connect(to) {
             let mut client = Client::of(stream);
             client.send("POST /_jobs/news", "", &body);
-            if client.heard().is_some_and(|answer| [200, 204].contains(&answer.status())) {
+            if client.try_read_response().is_some_and(|answer| [200, 204].contains(&answer.status())) {
                 return Some(call);
             }
         }
@@ -149,11 +149,11 @@
 
 impl Dispatcher {
     /// With so many workers, of this conduct, and the usual settings.
-    pub fn new(workers: usize, conduct: Conduct) -> Dispatcher {
+    pub fn new(workers: usize, conduct: WorkerBehaviour) -> Dispatcher {
         Dispatcher::with_settings(workers, conduct, SETTINGS)
     }
 
-    pub fn with_settings(workers: usize, conduct: Conduct, settings: &str) -> Dispatcher {
+    pub fn with_settings(workers: usize, conduct: WorkerBehaviour, settings: &str) -> Dispatcher {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let socket = TcpListener::bind("127.0.0.1:0").expect("a port");
         let workers = Workers::start(workers, conduct, socket.local_addr().expect("an address"));
@@ -165,7 +165,7 @@
             workers,
             name: format!("replaced{}x{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed)),
             settings: settings.into(),
-            temporary: folder(),
+            temporary: create_temp_dir(),
         }
     }
 
@@ -176,14 +176,18 @@
     /// Starts a process and waits until it says yes.
     pub fn start(&self) -> Process {
         let process = self.start_with(Setup::default());
-        process.is_ready();
+        process.wait_until_ready();
         process
     }
 
     /// Starts a process that dies before it may listen; nobody waits for it.
-    pub fn start_unheard(&self, stops: &str, environment: Vec<(String, String)>) -> std::process::Child {
+    pub fn spawn_without_waiting(
+        &self,
+        stops: &str,
+        environment: Vec<(String, String)>,
+    ) -> std::process::Child {
         let setup = self.set_up(console_address(), Setup { stops, environment, ..Setup::default() });
-        super::command(&folder(), &self.workers.listed, &self.settings, setup)
+        super::command(&create_temp_dir(), &self.workers.listed, &self.settings, setup)
             .stderr(std::process::Stdio::null())
             .spawn()
             .expect("the program starts")
@@ -219,14 +223,14 @@
 
 impl Process {
     /// Waits until it says yes.
-    pub fn is_ready(&self) {
+    pub fn wait_until_ready(&self) {
         wait_until("the process says yes", || {
             call(self.console, "health").is_some_and(|answer| answer.starts_with("OK"))
         });
     }
 
     /// One call at the console, and its answer.
-    pub fn operator(&self, line: &str) -> String {
+    pub fn console_command(&self, line: &str) -> String {
         call(self.console, line).expect("an answer")
     }
 }
--- a/dispatcher/tests/common/serving.rs
+++ b/dispatcher/tests/common/serving.rs
@@ -10,7 +10,7 @@
 
 /// A job that came.
 #[derive(Clone, Debug)]
-struct Came {
+struct ReceivedJob {
     at: Instant,
     worker: String,
     reference: String,
@@ -21,7 +21,7 @@
 pub struct ServingWorkers {
     /// Names and addresses, in order.
     pub listed: Vec<(String, SocketAddr)>,
-    came: Arc<Mutex<Vec<Came>>>,
+    received: Arc<Mutex<Vec<ReceivedJob>>>,
     /// Where each process listens.
     processes: Arc<Mutex<Vec<SocketAddr>>>,
 }
@@ -33,19 +33,19 @@
         for name in names {
             let worker = Worker::start(name);
             workers.listed.push(((*name).into(), worker.addr));
-            let (came, processes) = (workers.came.clone(), workers.processes.clone());
-            thread::spawn(move || serve(&worker, &came, &processes));
+            let (received, processes) = (workers.received.clone(), workers.processes.clone());
+            thread::spawn(move || serve(&worker, &received, &processes));
         }
         workers
     }
 
     /// One more process listens here.
-    pub fn call_back(&self, process: SocketAddr) {
+    pub fn add_process(&self, process: SocketAddr) {
         self.processes.lock().expect("a lock").push(process);
     }
 
     /// A process listens here now.
-    pub fn call_back_instead(&self, number: usize, process: SocketAddr) {
+    pub fn replace_process(&self, number: usize, process: SocketAddr) {
         self.processes.lock().expect("a lock")[number] = process;
     }
 
@@ -57,8 +57,8 @@
 
     /// The references of the jobs that came to a worker after an instant.
     pub fn since(&self, name: &str, from: Instant) -> Vec<String> {
-        let came = self.came.lock().expect("a lock");
-        let own = came.iter().filter(|job| job.at >= from && job.worker == name);
+        let received = self.received.lock().expect("a lock");
+        let own = received.iter().filter(|job| job.at >= from && job.worker == name);
         own.map(|job| job.reference.clone()).collect()
     }
 }
@@ -68,21 +68,21 @@
     reference.split('-').next().and_then(|number| number.parse().ok()).expect("the number of a process")
 }
 
-fn serve(worker: &Worker, came: &Mutex<Vec<Came>>, processes: &Mutex<Vec<SocketAddr>>) {
+fn serve(worker: &Worker, received: &Mutex<Vec<ReceivedJob>>, processes: &Mutex<Vec<SocketAddr>>) {
     loop {
         let seen = worker.next();
-        if !seen.message.first.starts_with("POST ") {
-            seen.answer("200 OK");
+        if !seen.message.start_line.starts_with("POST ") {
+            seen.respond("200 OK");
             continue;
         }
         let (at, reference) = (Instant::now(), seen.reference().to_owned());
-        let job = Came { at, worker: worker.id.clone(), reference: reference.clone() };
-        came.lock().expect("a lock").push(job);
-        seen.answer("202 Accepted");
+        let job = ReceivedJob { at, worker: worker.id.clone(), reference: reference.clone() };
+        received.lock().expect("a lock").push(job);
+        seen.respond("202 Accepted");
         let to = processes.lock().expect("a lock")[process_of(&reference)];
         let body = format!(r#"{{"id":"{reference}","from":"{}","state":"done","result":"x"}}"#, worker.id);
         let mut client = Client::new(to);
         client.send("POST /_jobs/news", "", &body);
-        let _ = client.heard();
+        let _ = client.try_read_response();
     }
 }
--- a/dispatcher/tests/descriptors.rs
+++ b/dispatcher/tests/descriptors.rs
@@ -116,7 +116,7 @@
         for at in 0..count {
             crowd.clients.push(idler.connect(rig.addr));
             if at % 10 == 9 {
-                rig.turn();
+                rig.process_pending_events();
                 crowd.peak = crowd.peak.max(held(rig));
             }
         }
@@ -135,20 +135,20 @@
     let discovery = Discovery::start(&entries(&workers, "up"), Behaviour::Up);
     let rig = start(workers, &discovery, String::new());
     // From here on a watch stands.
-    discovery.called(0, |call| call.path.contains("wait_ms=") && !call.path.contains("wait_ms=0"));
-    discovery.behave(Behaviour::Down);
+    discovery.wait_for_call(0, |call| call.path.contains("wait_ms=") && !call.path.contains("wait_ms=0"));
+    discovery.set_behaviour(Behaviour::Down);
     let crowd = Crowd::gather(&rig, idler, CROWD);
     assert!(crowd.peak <= CLIENTS + OTHERS, "{} are held", crowd.peak);
-    discovery.behave(Behaviour::Up);
+    discovery.set_behaviour(Behaviour::Up);
     let changed =
         [entry("w0", rig.workers[0].addr, "draining", 0), entry("w1", rig.workers[1].addr, "up", 0)];
     let version = discovery.list(&changed);
-    discovery.is_known(version);
+    discovery.wait_until_known(version);
     // What is young may be usual: until then a newcomer may be refused, and comes again.
     std::thread::sleep(ON_ITS_WAY);
     let since = Instant::now();
     for i in 0.. {
-        assert_eq!(rig.served(&format!("c{i}"), "quote"), 1);
+        assert_eq!(rig.serve_job(&format!("c{i}"), "quote"), 1);
         std::thread::sleep(Duration::from_millis(50));
         if since.elapsed() > WHOLE_CROWD_ENDS {
             break;
@@ -169,9 +169,9 @@
     let rig = start(workers, &discovery, String::new());
     let mut crowd: Vec<Client> = (0..CLIENTS).map(|_| idler.connect(rig.addr)).collect();
     for client in &mut crowd {
-        assert!([400, 408].contains(&client.answer().status()));
+        assert!([400, 408].contains(&client.read_response().status()));
     }
-    assert_eq!(rig.served("c1", "quote"), 0);
+    assert_eq!(rig.serve_job("c1", "quote"), 0);
 }
 
 /// Those who hold the operators' door, and come in one burst: more than the system queues.
@@ -182,30 +182,30 @@
     let discovery = Discovery::start(&entries(&workers, "up"), Behaviour::Up);
     let more = format!(r#""admin_addr": "{door}", "name": "descriptors{}","#, std::process::id());
     let rig = start(workers, &discovery, more);
-    discovery.called(0, |call| call.path.contains("wait_ms=") && !call.path.contains("wait_ms=0"));
+    discovery.wait_for_call(0, |call| call.path.contains("wait_ms=") && !call.path.contains("wait_ms=0"));
     common::wait_until("the door opens", || TcpStream::connect(door).is_ok());
-    discovery.behave(Behaviour::Down);
+    discovery.set_behaviour(Behaviour::Down);
     let crowd = Crowd::gather(&rig, Idler::Rests, CROWD);
     let call = |_| TcpStream::connect_timeout(&door, Duration::from_millis(100)).ok();
     let mut callers: Vec<TcpStream> = (0..CALLERS).map_while(call).collect();
-    rig.turn();
+    rig.process_pending_events();
     // All the others are found at once.
-    rig.freeze();
+    rig.pause();
     let _others: Vec<TcpStream> = (0..CROWD).map_while(call).collect();
-    rig.thaw();
-    rig.turn();
-    let said = rig.said();
+    rig.resume();
+    rig.process_pending_events();
+    let said = rig.take_log_lines();
     assert!(!said.iter().any(|line| line.contains("accept")), "{said:?}");
     let held = held(&rig).max(crowd.peak);
     assert!(held <= CLIENTS + OTHERS, "{held} are held");
-    discovery.behave(Behaviour::Up);
+    discovery.set_behaviour(Behaviour::Up);
     let version = discovery
         .list(&[entry("w0", rig.workers[0].addr, "draining", 0), entry("w1", rig.workers[1].addr, "up", 0)]);
-    discovery.is_known(version);
-    assert_eq!(rig.served("c1", "quote"), 1);
+    discovery.wait_until_known(version);
+    assert_eq!(rig.serve_job("c1", "quote"), 1);
     // Whoever says nothing is told so in time.
     let mut said = String::new();
-    callers[0].set_read_timeout(Some(common::PATIENCE)).expect("a time-out");
+    callers[0].set_read_timeout(Some(common::WAIT_TIMEOUT)).expect("a time-out");
     callers[0].read_to_string(&mut said).expect("an answer");
     assert!(said.starts_with("ERR"), "{said}");
 }
@@ -214,7 +214,7 @@
 /// the time for which they are kept.
 #[test]
 fn connections_kept_to_many_workers_leave_room_for_discovery_and_newcomers() {
-    common::in_time(keep_connections_to_many_workers);
+    common::retry_if_late(keep_connections_to_many_workers);
 }
 
 /// Nothing where a job was given up because this machine was slow to take it.
@@ -229,27 +229,27 @@
         let state = |at: usize| if at / GROUP == group { "up" } else { "draining" };
         let listed: Vec<String> =
             rig.workers.iter().enumerate().map(|(at, w)| entry(&w.id, w.addr, state(at), 0)).collect();
-        discovery.is_known(discovery.list(&listed));
+        discovery.wait_until_known(discovery.list(&listed));
         // All of them at once, so that each worker has a connection.
         let mut clients: Vec<Client> =
             (0..GROUP).map(|i| rig.post(&format!("g{group}-{i}"), "quote", "")).collect();
         for _ in 0..GROUP {
             let (worker, seen) = rig.next();
-            if !seen.message.first.starts_with("POST ") {
+            if !seen.message.start_line.starts_with("POST ") {
                 return None;
             }
             let reference = seen.reference().to_owned();
-            seen.answer("202 Accepted");
-            rig.news(worker, &reference, "done", r#","result":"a chart""#);
+            seen.respond("202 Accepted");
+            rig.send_job_update(worker, &reference, "done", r#","result":"a chart""#);
         }
-        assert!(clients.iter_mut().all(|client| client.answer().status() == 200));
+        assert!(clients.iter_mut().all(|client| client.read_response().status() == 200));
         let held = held(&rig);
         assert!(held < DESCRIPTORS as usize - SPARE, "{held} are held behind {} jobs", (group + 1) * GROUP);
     }
-    discovery.behave(Behaviour::Down);
-    discovery.behave(Behaviour::Up);
-    discovery.is_known(discovery.list(&entries(&rig.workers[..1], "up")));
-    assert_eq!(rig.served("last", "quote"), 0);
+    discovery.set_behaviour(Behaviour::Down);
+    discovery.set_behaviour(Behaviour::Up);
+    discovery.wait_until_known(discovery.list(&entries(&rig.workers[..1], "up")));
+    assert_eq!(rig.serve_job("last", "quote"), 0);
     Some(())
 }
 
@@ -257,7 +257,7 @@
 /// the same. Seen: its call found no place among them.
 #[test]
 fn discovery_is_called_though_all_calls_to_workers_are_out() {
-    common::in_time(call_discovery_beside_silent_workers);
+    common::retry_if_late(call_discovery_beside_silent_workers);
 }
 
 /// Nothing where a job was given up because this machine was slow to take it.
@@ -265,32 +265,32 @@
     let workers: Vec<Worker> = (0..TAKEN).map(|i| Worker::start(&format!("w{i}"))).collect();
     let discovery = Discovery::start(&entries(&workers, "up"), Behaviour::Up);
     let rig = start(workers, &discovery, String::new());
-    discovery.called(0, |call| call.path.contains("wait_ms=") && !call.path.contains("wait_ms=0"));
+    discovery.wait_for_call(0, |call| call.path.contains("wait_ms=") && !call.path.contains("wait_ms=0"));
     // More than may be out, all of them taken; then the worker answers nothing more, and their clients leave.
     let mut clients: Vec<Client> = Vec::new();
     for i in 0..TAKEN {
         clients.push(rig.post(&format!("c{i}"), "quote", ""));
         let (_, seen) = rig.next();
-        if !seen.message.first.starts_with("POST ") {
+        if !seen.message.start_line.starts_with("POST ") {
             return None;
         }
-        seen.answer("202 Accepted");
+        seen.respond("202 Accepted");
     }
-    discovery.behave(Behaviour::Down);
-    rig.turn();
+    discovery.set_behaviour(Behaviour::Down);
+    rig.process_pending_events();
     drop(clients);
     let _silent: Vec<_> = (0..CALLS)
         .map(|_| {
             let (_, seen) = rig.next();
-            assert!(seen.message.first.starts_with("DELETE "), "{:?}", seen.message);
+            assert!(seen.message.start_line.starts_with("DELETE "), "{:?}", seen.message);
             seen
         })
         .collect();
     let before = discovery.calls().len();
-    discovery.called(before, |_| true);
-    discovery.behave(Behaviour::Up);
-    discovery.is_known(discovery.list(&entries(&rig.workers, "draining")));
-    let said = rig.said();
+    discovery.wait_for_call(before, |_| true);
+    discovery.set_behaviour(Behaviour::Up);
+    discovery.wait_until_known(discovery.list(&entries(&rig.workers, "draining")));
+    let said = rig.take_log_lines();
     assert!(!said.iter().any(|line| line.contains("too many calls are out")), "{said:?}");
     Some(())
 }
--- a/dispatcher/tests/discovery_reports.rs
+++ b/dispatcher/tests/discovery_reports.rs
@@ -6,7 +6,7 @@
 use common::admin::{call, operator};
 use common::discovery::{Behaviour, Discovery};
 use common::serving::ServingWorkers;
-use common::{Client, Rig, Setup, PATIENCE, SETTINGS};
+use common::{Client, Rig, Setup, SETTINGS, WAIT_TIMEOUT};
 use serde_json::{json, Value};
 use std::net::{SocketAddr, UdpSocket};
 use std::thread;
@@ -43,7 +43,7 @@
         let entries = [LEAVING, STAYING].map(|position| workers.entry(position, "up"));
         let discovery = Discovery::start(&entries, Behaviour::Up);
         let peer = UdpSocket::bind("127.0.0.1:0").expect("a port");
-        peer.set_read_timeout(Some(PATIENCE)).expect("a time");
+        peer.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time");
         let nobody =
             UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr()).expect("an address");
         let settings = SETTINGS
@@ -55,15 +55,15 @@
         let setup =
             Setup { more, discovery: Some(discovery.addr), operator: Some(&operator), ..Setup::default() };
         let rig = Rig::set_up(workers.listed.clone(), &settings, setup);
-        workers.call_back(rig.addr);
-        assert_eq!(rig.post("0-before", "quote", "").answer().status(), 200);
+        workers.add_process(rig.addr);
+        assert_eq!(rig.post("0-before", "quote", "").read_response().status(), 200);
         let (_, at) = peer.recv_from(&mut [0; 512]).expect("it reports its jobs");
         Pair { rig, discovery, workers, peer, at }
     }
 
     /// Discovery refuses all calls from now on, and the first worker leaves.
     fn refused(&self) {
-        self.discovery.behave(Behaviour::Refusing(HELD));
+        self.discovery.set_behaviour(Behaviour::Refusing(HELD));
         let entries = [self.workers.entry(LEAVING, "removed"), self.workers.entry(STAYING, "up")];
         assert_eq!(self.discovery.list(&entries), 2);
     }
@@ -95,8 +95,8 @@
         let came = || NAMES.map(|name| self.workers.since(name, late).len());
         thread::sleep(Duration::from_millis(500));
         assert_eq!(came(), [0, 0]);
-        self.discovery.behave(Behaviour::Up);
-        assert_eq!(client.answer().status(), 200);
+        self.discovery.set_behaviour(Behaviour::Up);
+        assert_eq!(client.read_response().status(), 200);
         assert_eq!(came(), [0, 1]);
     }
 
@@ -134,7 +134,7 @@
     pair.refused();
     thread::sleep(TOLD_AFTER + DRAIN_GRACE * 2);
     assert_eq!((pair.shown("state"), pair.shown("peer_reports")), (json!("turned_away"), json!(1)));
-    assert_eq!(pair.rig.post("0-late", "quote", "").answer().status(), 200);
+    assert_eq!(pair.rig.post("0-late", "quote", "").read_response().status(), 200);
 }
 
 /// Who is answered behind refusals reports it.
@@ -143,7 +143,7 @@
     let pair = Pair::start();
     pair.refused();
     thread::sleep(HELD);
-    pair.discovery.behave(Behaviour::Up);
+    pair.discovery.set_behaviour(Behaviour::Up);
     assert_eq!(pair.reported(), 2);
 }
 
@@ -159,5 +159,5 @@
         let _ = pair.peer.send_to(&[REPORT, 0, 9], pair.at).expect("sent");
         thread::sleep(REPORT_EVERY);
     }
-    assert_eq!(pair.rig.post("0-late", "quote", "").answer().status(), 200);
+    assert_eq!(pair.rig.post("0-late", "quote", "").read_response().status(), 200);
 }
--- a/dispatcher/tests/fleet.rs
+++ b/dispatcher/tests/fleet.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::admin::{call, clear, file, operator, set, shown, standing, unix_ms, wait_for};
-use common::{Rig, Setup, Worker, PATIENCE, SETTINGS};
+use common::admin::{call, clear, file, list_overrides, operator, set, standing, unix_ms, wait_for};
+use common::{Rig, Setup, Worker, SETTINGS, WAIT_TIMEOUT};
 use lineroute_lab::relay::{UdpRelay, UdpWeather};
 use serde_json::json;
 use std::path::PathBuf;
@@ -58,10 +58,10 @@
 
     fn agreed(&self) -> Vec<serde_json::Value> {
         wait_for("all show the same", || {
-            let first = shown(&self.rigs[0]);
-            self.rigs[1..].iter().all(|r| shown(r) == first)
+            let first = list_overrides(&self.rigs[0]);
+            self.rigs[1..].iter().all(|r| list_overrides(r) == first)
         });
-        shown(&self.rigs[0])
+        list_overrides(&self.rigs[0])
     }
 }
 
@@ -118,7 +118,7 @@
     // It steers what it learnt of.
     let rig = &fleet.rigs[0];
     let client = rig.post("c1", "quote", "");
-    assert_eq!(fleet.workers[1].take(), "c1");
+    assert_eq!(fleet.workers[1].accept_job(), "c1");
     drop(client);
 }
 
@@ -127,7 +127,7 @@
     let fleet = Fleet::start(UdpWeather::default());
     for (step, text) in [format!("{OLD}\n{NEW}"), format!("{NEW}\n{OLD}"), NEW.into()].iter().enumerate() {
         for (at, rig) in fleet.rigs.iter().enumerate() {
-            rig.rekeyed(&fleet.keys, text);
+            rig.reload_file(&fleet.keys, text);
             let (id, _) = set(rig, &format!("s{step}{at}"), json!({"weight": 2}), HOUR);
             wait_for("known to all", || fleet.all(|r| standing(r, &id).is_some()));
         }
@@ -135,7 +135,7 @@
     // A file that can't be used changes nothing.
     std::fs::write(&fleet.keys, "no key").expect("a file");
     let rig = &fleet.rigs[0];
-    rig.rekeyed(&fleet.keys, "no key");
+    rig.reload_file(&fleet.keys, "no key");
     let (id, _) = set(rig, "last", json!({"weight": 2}), HOUR);
     wait_for("known to all", || fleet.all(|r| standing(r, &id).is_some()));
     let unauthentic = |r: &Rig| call(r, "GET /flows", "").1["peers"]["unauthentic"] == 0;
@@ -162,14 +162,14 @@
     let (rig, start) = (&fleet.rigs[0], Instant::now());
     let mut client = rig.post(id, "quote", "");
     let worker = loop {
-        if let Some(at) = fleet.workers.iter().position(|w| !w.has_none_for(id)) {
+        if let Some(at) = fleet.workers.iter().position(|w| !w.has_no_request_for(id)) {
             break at;
         }
-        assert!(start.elapsed() < PATIENCE, "no worker is asked");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "no worker is asked");
         std::thread::sleep(Duration::from_micros(50));
     };
-    rig.tell(&fleet.workers[worker].id, id, "done", r#","result":"a chart""#);
-    assert_eq!(client.answer().status(), 200);
+    rig.send_job_update_from(&fleet.workers[worker].id, id, "done", r#","result":"a chart""#);
+    assert_eq!(client.read_response().status(), 200);
     start.elapsed()
 }
 
@@ -180,7 +180,7 @@
     let (id, _) = set(&fleet.rigs[0], "w0", json!({"weight": 0.5}), HOUR);
     wait_for("known to all", || fleet.all(|r| standing(r, &id).is_some()));
     let rig = &fleet.rigs[0];
-    let before = shown(rig);
+    let before = list_overrides(rig);
     let relay = &fleet.relay;
     std::thread::scope(|scope| {
         let flood = scope.spawn(|| forge(relay, 20_000));
@@ -194,7 +194,7 @@
     let counts = call(rig, "GET /flows", "").1["peers"].clone();
     let of = |key: &str| counts[key].as_u64().expect("a count");
     assert!(of("malformed") > 0 && of("unauthentic") > 0, "{counts}");
-    assert_eq!(shown(rig), before);
+    assert_eq!(list_overrides(rig), before);
 }
 
 /// The figures of `docs/measurements/overrides.md`: how soon overrides take effect and end on three
--- a/dispatcher/tests/http.rs
+++ b/dispatcher/tests/http.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{folder, program, Rig, Worker, SETTINGS};
+use common::{create_temp_dir, program, Rig, Worker, SETTINGS};
 use rstest::rstest;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -16,28 +16,28 @@
     let rig = Rig::start(1);
     let mut client = rig.post("c1", "quote", "X-Budget-Ms: 7000\r\nIdempotency-Key: k1\r\n");
     let seen = rig.workers[0].next();
-    assert_eq!(seen.message.first, "POST /api HTTP/1.1");
+    assert_eq!(seen.message.start_line, "POST /api HTTP/1.1");
     assert_eq!(seen.message.body, "payload");
     assert_eq!((seen.reference(), &*seen.message.headers["idempotency-key"]), ("c1", "k1"));
     assert!(seen.message.headers["x-budget-ms"].parse::<u32>().is_ok_and(|ms| (1..7000).contains(&ms)));
     // A worker may be quicker with its calls than with its 202, and says things twice.
     if early {
-        rig.news(0, "c1", "done", DONE);
-        rig.news(0, "c1", "done", DONE);
-        seen.answer("202 Accepted");
+        rig.send_job_update(0, "c1", "done", DONE);
+        rig.send_job_update(0, "c1", "done", DONE);
+        seen.respond("202 Accepted");
     } else {
-        seen.answer("202 Accepted");
-        rig.news(0, "c1", "started", "");
-        rig.news(0, "c1", "running", r#","share":0.5"#);
-        rig.news(0, "c1", "done", DONE);
+        seen.respond("202 Accepted");
+        rig.send_job_update(0, "c1", "started", "");
+        rig.send_job_update(0, "c1", "running", r#","share":0.5"#);
+        rig.send_job_update(0, "c1", "done", DONE);
     }
-    let answer = client.answer();
+    let answer = client.read_response();
     assert_eq!((answer.status(), &*answer.body), (200, "a chart"));
     // The connection serves the next one.
     client.post("c2", "quote", "");
-    assert_eq!(rig.workers[0].take(), "c2");
-    rig.news(0, "c2", "done", DONE);
-    assert_eq!(client.answer().status(), 200);
+    assert_eq!(rig.workers[0].accept_job(), "c2");
+    rig.send_job_update(0, "c2", "done", DONE);
+    assert_eq!(client.read_response().status(), 200);
 }
 
 /// How a first attempt may end, and whether a class may then go out again.
@@ -64,19 +64,19 @@
     let seen = rig.workers[0].next();
     match status {
         "" => drop(seen),
-        _ => seen.answer(status),
+        _ => seen.respond(status),
     }
     if !news.is_empty() {
-        rig.news(0, "c1", news, "");
+        rig.send_job_update(0, "c1", news, "");
     }
     if again {
-        assert_eq!(rig.workers[0].take(), "c1");
-        rig.news(0, "c1", "done", DONE);
-        assert_eq!(client.answer().status(), 200);
+        assert_eq!(rig.workers[0].accept_job(), "c1");
+        rig.send_job_update(0, "c1", "done", DONE);
+        assert_eq!(client.read_response().status(), 200);
     } else {
-        let status = client.answer().status();
+        let status = client.read_response().status();
         assert!(![200, 429, 503].contains(&status), "{status} would promise that it never ran");
-        assert!(rig.workers[0].has_none());
+        assert!(rig.workers[0].has_no_request());
     }
 }
 
@@ -86,26 +86,26 @@
     let rig = Rig::start(2);
     let mut client = rig.post("c1", "quote", "");
     let (first, seen) = rig.next();
-    seen.answer("202 Accepted");
+    seen.respond("202 Accepted");
     let other = 1 - first;
-    rig.news(other, "c1", "done", r#","result":"not its own""#);
-    rig.news(first, "c0", "done", DONE);
-    rig.news(first, "c1", "a word of later days", "");
-    rig.news(first, "c1", "done", DONE);
-    assert_eq!(client.answer().body, "a chart");
+    rig.send_job_update(other, "c1", "done", r#","result":"not its own""#);
+    rig.send_job_update(first, "c0", "done", DONE);
+    rig.send_job_update(first, "c1", "a word of later days", "");
+    rig.send_job_update(first, "c1", "done", DONE);
+    assert_eq!(client.read_response().body, "a chart");
 }
 
 #[test]
 fn a_client_that_leaves_has_its_attempt_given_up() {
     let rig = Rig::start(1);
     let client = rig.post("c1", "quote", "");
-    assert_eq!(rig.workers[0].take(), "c1");
+    assert_eq!(rig.workers[0].accept_job(), "c1");
     drop(client);
     let seen = rig.workers[0].next();
-    assert_eq!(seen.message.first, "DELETE /jobs/c1 HTTP/1.1");
-    seen.answer("200 OK");
+    assert_eq!(seen.message.start_line, "DELETE /jobs/c1 HTTP/1.1");
+    seen.respond("200 OK");
     // Its id is free again, and a late word of it does no harm.
-    rig.news(0, "c1", "done", DONE);
+    rig.send_job_update(0, "c1", "done", DONE);
 }
 
 /// Seen when a data centre fell silent: no connection came up to call the attempt back, and a second one went
@@ -115,20 +115,20 @@
     let rig = Rig::with(2, &SETTINGS.replace(r#""aim_ms": 500"#, r#""aim_ms": 50"#), None);
     let mut client = rig.post("c1", "quote", "");
     let (first, seen) = rig.next();
-    seen.answer("202 Accepted");
-    rig.news(first, "c1", "started", "");
+    seen.respond("202 Accepted");
+    rig.send_job_update(first, "c1", "started", "");
     // Nothing comes of it for ten usual times. The worker breaks off when it is told.
     for _ in 0..3 {
         let seen = rig.workers[first].next();
-        assert_eq!(seen.message.first, "DELETE /jobs/c1 HTTP/1.1");
-        assert!(rig.workers[1 - first].has_none());
+        assert_eq!(seen.message.start_line, "DELETE /jobs/c1 HTTP/1.1");
+        assert!(rig.workers[1 - first].has_no_request());
     }
-    rig.workers[first].next().answer("200 OK");
+    rig.workers[first].next().respond("200 OK");
     let (second, seen) = rig.next();
-    assert!(seen.message.first.starts_with("POST "));
-    seen.answer("202 Accepted");
-    rig.news(second, "c1", "done", DONE);
-    assert_eq!(client.answer().status(), 200);
+    assert!(seen.message.start_line.starts_with("POST "));
+    seen.respond("202 Accepted");
+    rig.send_job_update(second, "c1", "done", DONE);
+    assert_eq!(client.read_response().status(), 200);
 }
 
 /// Seen: a connection fell silent under a job, which then waited for its deadline and failed.
@@ -138,19 +138,19 @@
     // Of these two the first is known to have begun: that its 202 does not come is no matter.
     let mut begun = rig.post("c1", "quote", "");
     let (first, _held) = rig.next();
-    rig.news(first, "c1", "started", "");
+    rig.send_job_update(first, "c1", "started", "");
     let mut client = rig.post("c2", "quote", "");
     let (silent, _silent) = rig.next();
     let (at, seen) = rig.next();
-    assert_eq!((at, &*seen.message.first), (silent, "DELETE /jobs/c2 HTTP/1.1"));
-    assert!(rig.workers.iter().all(|w| w.has_none()), "not before the worker knows");
-    seen.answer("404 Not Found");
+    assert_eq!((at, &*seen.message.start_line), (silent, "DELETE /jobs/c2 HTTP/1.1"));
+    assert!(rig.workers.iter().all(|w| w.has_no_request()), "not before the worker knows");
+    seen.respond("404 Not Found");
     let (second, seen) = rig.next();
     assert_eq!(seen.reference(), "c2");
-    seen.answer("202 Accepted");
-    rig.news(second, "c2", "done", DONE);
-    rig.news(first, "c1", "done", DONE);
-    assert!([&mut client, &mut begun].iter_mut().all(|c| c.answer().status() == 200));
+    seen.respond("202 Accepted");
+    rig.send_job_update(second, "c2", "done", DONE);
+    rig.send_job_update(first, "c1", "done", DONE);
+    assert!([&mut client, &mut begun].iter_mut().all(|c| c.read_response().status() == 200));
 }
 
 /// Seen: workers that break kept connections at the next request, one in six.
@@ -159,14 +159,14 @@
     let rig = Rig::start(1);
     let mut client = rig.post("c0", "order", "");
     drop(rig.workers[0].next());
-    assert_eq!(client.answer().status(), 504);
+    assert_eq!(client.read_response().status(), 504);
     for id in ["c1", "c2", "c3"] {
         let mut client = rig.post(id, "quote", "");
-        assert_eq!(rig.workers[0].take(), id);
-        rig.news(0, id, "done", DONE);
-        assert_eq!(client.answer().status(), 200);
+        assert_eq!(rig.workers[0].accept_job(), id);
+        rig.send_job_update(0, id, "done", DONE);
+        assert_eq!(client.read_response().status(), 200);
     }
-    assert_eq!(rig.workers[0].began.load(Ordering::SeqCst), 4, "one for each");
+    assert_eq!(rig.workers[0].connections_accepted.load(Ordering::SeqCst), 4, "one for each");
 }
 
 #[test]
@@ -174,11 +174,11 @@
     let rig = Rig::start(1);
     let start = Instant::now();
     let mut client = rig.post("c1", "order", "X-Budget-Ms: 400\r\n");
-    assert_eq!(rig.workers[0].take(), "c1");
-    let answer = client.answer();
+    assert_eq!(rig.workers[0].accept_job(), "c1");
+    let answer = client.read_response();
     assert!(start.elapsed().as_millis() < 400, "{:?}", start.elapsed());
     assert_eq!(answer.status(), 504);
-    assert_eq!(rig.workers[0].next().message.first, "DELETE /jobs/c1 HTTP/1.1");
+    assert_eq!(rig.workers[0].next().message.start_line, "DELETE /jobs/c1 HTTP/1.1");
 }
 
 #[test]
@@ -186,20 +186,20 @@
     let rig = Rig::start(2);
     let mut clients: Vec<_> = (0..2).map(|i| rig.post(&format!("c{i}"), "quote", "")).collect();
     // Two jobs, two workers: one each.
-    let held = [rig.workers[0].take(), rig.workers[1].take()];
-    (0..2).for_each(|w| rig.news(w, &held[w], "started", ""));
+    let held = [rig.workers[0].accept_job(), rig.workers[1].accept_job()];
+    (0..2).for_each(|w| rig.send_job_update(w, &held[w], "started", ""));
     rig.list(&["draining", "up"]);
     for i in 0..6 {
         let id = format!("d{i}");
         let mut client = rig.post(&id, "quote", "");
-        assert_eq!(rig.workers[1].take(), id);
-        rig.news(1, &id, "done", DONE);
-        assert_eq!(client.answer().status(), 200);
+        assert_eq!(rig.workers[1].accept_job(), id);
+        rig.send_job_update(1, &id, "done", DONE);
+        assert_eq!(client.read_response().status(), 200);
     }
-    assert!(rig.workers[0].has_none());
-    rig.news(0, &held[0], "done", DONE);
-    rig.news(1, &held[1], "done", DONE);
-    assert!(clients.iter_mut().all(|c| c.answer().status() == 200));
+    assert!(rig.workers[0].has_no_request());
+    rig.send_job_update(0, &held[0], "done", DONE);
+    rig.send_job_update(1, &held[1], "done", DONE);
+    assert!(clients.iter_mut().all(|c| c.read_response().status() == 200));
 }
 
 /// The pool ends idle connections only when it uses them: those to workers that have left would pile up.
@@ -207,20 +207,20 @@
 fn idle_connections_to_a_worker_that_has_left_are_closed() {
     let rig = Rig::with(2, &SETTINGS.replace(r#""keepalive_ms": 10000"#, r#""keepalive_ms": 100"#), None);
     let mut clients: Vec<_> = (0..2).map(|i| rig.post(&format!("c{i}"), "quote", "")).collect();
-    (0..2).for_each(|w| rig.news(w, &rig.workers[w].take(), "done", DONE));
-    assert!(clients.iter_mut().all(|c| c.answer().status() == 200));
+    (0..2).for_each(|w| rig.send_job_update(w, &rig.workers[w].accept_job(), "done", DONE));
+    assert!(clients.iter_mut().all(|c| c.read_response().status() == 200));
     rig.list(&["removed", "up"]);
-    let until = Instant::now() + common::PATIENCE;
+    let until = Instant::now() + common::WAIT_TIMEOUT;
     for i in 0.. {
-        if rig.workers[0].open.load(Ordering::SeqCst) == 0 {
+        if rig.workers[0].open_connections.load(Ordering::SeqCst) == 0 {
             break;
         }
         assert!(Instant::now() < until, "still open");
         let id = format!("d{i}");
         let mut client = rig.post(&id, "quote", "");
-        assert_eq!(rig.workers[1].take(), id);
-        rig.news(1, &id, "done", DONE);
-        assert_eq!(client.answer().status(), 200);
+        assert_eq!(rig.workers[1].accept_job(), id);
+        rig.send_job_update(1, &id, "done", DONE);
+        assert_eq!(client.read_response().status(), 200);
     }
 }
 
@@ -228,9 +228,9 @@
 fn what_is_over_the_bound_is_refused_at_once_and_told_when_to_come_back() {
     let rig = Rig::with(1, &SETTINGS.replace(r#""most_held": 50"#, r#""most_held": 1"#), None);
     let _first = rig.post("c1", "quote", "");
-    assert_eq!(rig.workers[0].take(), "c1");
+    assert_eq!(rig.workers[0].accept_job(), "c1");
     let start = Instant::now();
-    let answer = rig.post("c2", "quote", "").answer();
+    let answer = rig.post("c2", "quote", "").read_response();
     assert_eq!(answer.status(), 503);
     assert!(answer.headers["retry-after"].parse::<f64>().is_ok_and(|s| s > 0.0 && s <= 2.0));
     assert!(start.elapsed().as_secs() < 4, "not held back");
@@ -251,15 +251,15 @@
     let mut rig = Rig::start(1);
     let mut client = rig.connect();
     client.send(first, headers, "{");
-    assert_eq!(client.answer().status(), status);
-    assert!(rig.workers[0].has_none() && rig.is_running());
+    assert_eq!(client.read_response().status(), status);
+    assert!(rig.workers[0].has_no_request() && rig.is_running());
 }
 
 /// It is up as soon as the list that it was told is confirmed.
 #[test]
 fn it_says_that_it_is_up() {
     let rig = Rig::start(1);
-    rig.connect().is_up();
+    rig.connect().wait_until_up();
 }
 
 #[rstest]
@@ -269,7 +269,7 @@
     let mut rig = Rig::start(1);
     let mut client = rig.connect();
     client.write(&bytes);
-    assert_eq!(client.answer().status(), status);
+    assert_eq!(client.read_response().status(), status);
     assert!(rig.is_running());
 }
 
@@ -277,10 +277,10 @@
 fn an_id_that_is_in_work_is_not_taken_twice() {
     let rig = Rig::start(1);
     let mut first = rig.post("c1", "quote", "");
-    assert_eq!(rig.workers[0].take(), "c1");
-    assert_eq!(rig.post("c1", "quote", "").answer().status(), 409);
-    rig.news(0, "c1", "done", DONE);
-    assert_eq!(first.answer().status(), 200);
+    assert_eq!(rig.workers[0].accept_job(), "c1");
+    assert_eq!(rig.post("c1", "quote", "").read_response().status(), 409);
+    rig.send_job_update(0, "c1", "done", DONE);
+    assert_eq!(first.read_response().status(), 200);
 }
 
 #[test]
@@ -288,22 +288,22 @@
     let mut rig = Rig::start(1);
     let mut idle = rig.connect();
     let mut before = rig.post("c1", "quote", "");
-    assert_eq!(rig.workers[0].take(), "c1");
-    rig.news(0, "c1", "started", "");
+    assert_eq!(rig.workers[0].accept_job(), "c1");
+    rig.send_job_update(0, "c1", "started", "");
     rig.terminate();
-    rig.logged("SIGTERM");
+    rig.wait_for_log("SIGTERM");
     // Clients that have not heard of it still come.
     let mut after = rig.post("c2", "quote", "");
-    assert_eq!(rig.workers[0].take(), "c2");
+    assert_eq!(rig.workers[0].accept_job(), "c2");
     // One that keeps its connection open for nothing is not waited for.
-    assert!(idle.is_ended());
-    rig.news(0, "c1", "done", DONE);
-    rig.news(0, "c2", "done", DONE);
+    assert!(idle.is_closed_by_peer());
+    rig.send_job_update(0, "c1", "done", DONE);
+    rig.send_job_update(0, "c2", "done", DONE);
     for client in [&mut before, &mut after] {
-        let answer = client.answer();
+        let answer = client.read_response();
         assert_eq!((answer.status(), &*answer.headers["connection"]), (200, "close"));
     }
-    assert!(rig.ends().success());
+    assert!(rig.wait_for_exit().success());
 }
 
 /// SIGHUP ended the program. The variable of the start names the old discovery, and the versions of the new
@@ -314,17 +314,17 @@
     rig.list(&["up", "up"]);
     let mut before = rig.post("c1", "order", "");
     let (first, seen) = rig.next();
-    seen.answer("202 Accepted");
+    seen.respond("202 Accepted");
     rig.move_discovery(&["draining", "up"]);
     for i in 0..4 {
         let id = format!("d{i}");
         let mut client = rig.post(&id, "quote", "");
-        assert_eq!(rig.workers[1].take(), id);
-        rig.news(1, &id, "done", DONE);
-        assert_eq!(client.answer().status(), 200);
+        assert_eq!(rig.workers[1].accept_job(), id);
+        rig.send_job_update(1, &id, "done", DONE);
+        assert_eq!(client.read_response().status(), 200);
     }
-    rig.news(first, "c1", "done", DONE);
-    assert_eq!(before.answer().status(), 200);
+    rig.send_job_update(first, "c1", "done", DONE);
+    assert_eq!(before.read_response().status(), 200);
 }
 
 /// A watch that stayed silent was waited for during 11 s, while workers came and went.
@@ -348,9 +348,9 @@
     assert!(line.contains("old settings") && line.contains(key), "{line}");
     rig.list(&["up"]);
     let mut client = rig.post("c1", "quote", "");
-    assert_eq!(rig.workers[0].take(), "c1");
-    rig.news(0, "c1", "done", DONE);
-    assert_eq!(client.answer().status(), 200);
+    assert_eq!(rig.workers[0].accept_job(), "c1");
+    rig.send_job_update(0, "c1", "done", DONE);
+    assert_eq!(client.read_response().status(), 200);
     assert!(rig.is_running());
 }
 
@@ -360,7 +360,7 @@
 #[case(r#""worth_by": "weight""#, "worth_by")]
 fn unusable_settings_end_the_program_and_name_their_key(#[case] setting: &str, #[case] key: &str) {
     let settings = SETTINGS.replace(r#", "zone": 0"#, "").replacen('{', &format!("{{{setting}, "), 1);
-    let file = folder().join("config.json");
+    let file = create_temp_dir().join("config.json");
     let config = format!(r#"{{"listen":"127.0.0.1:0","discovery":"127.0.0.1:9","settings":{settings}}}"#);
     std::fs::write(&file, config).expect("a file");
     let out = program().env("GW_CONFIG", &file).output().expect("it runs");
@@ -374,7 +374,7 @@
 #[case("GW_DISCOVERY", None, "GW_DISCOVERY")]
 #[case("GW_CONFIG", Some("/nowhere/config.json"), "GW_CONFIG")]
 fn missing_variables_are_named(#[case] key: &str, #[case] value: Option<&str>, #[case] named: &str) {
-    let file = folder().join("config.json");
+    let file = create_temp_dir().join("config.json");
     std::fs::write(&file, format!(r#"{{"listen":"127.0.0.1:0","settings":{SETTINGS}}}"#)).expect("a file");
     let mut command = program();
     command.env("GW_CONFIG", &file);
@@ -395,7 +395,7 @@
         "upstream charts {{ server {}; }}\nlocation /charts/ {{ proxy_pass http://charts; }}",
         worker.addr
     );
-    let file = folder().join("site.conf");
+    let file = create_temp_dir().join("site.conf");
     std::fs::write(&file, blocks).expect("a file");
     let out = program().arg("import-nginx").arg(&file).output().expect("it runs");
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
@@ -404,9 +404,9 @@
     let mut client = rig.connect();
     client.send("POST /charts/gse?days=5", "", "payload");
     let seen = worker.next();
-    assert_eq!(seen.message.first, "POST /charts/gse?days=5 HTTP/1.1");
+    assert_eq!(seen.message.start_line, "POST /charts/gse?days=5 HTTP/1.1");
     // What stands behind nginx answers on the connection.
-    seen.answer("201 Created\r\nX-Own: yes");
-    let answer = client.answer();
+    seen.respond("201 Created\r\nX-Own: yes");
+    let answer = client.read_response();
     assert_eq!((answer.status(), &*answer.headers["x-own"]), (201, "yes"));
 }
--- a/dispatcher/tests/kept.rs
+++ b/dispatcher/tests/kept.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{read_message, wait_until, Closed, Rig, Setup, Worker, SETTINGS};
+use common::{read_message, wait_until, BlockedListener, Rig, Setup, Worker, SETTINGS};
 use rstest::rstest;
 use std::io::{BufReader, Read, Write};
 use std::net::TcpListener;
@@ -18,12 +18,12 @@
 #[case::draining(&["draining"])]
 #[case::gone(&["removed"])]
 fn nothing_is_written_to_a_worker_that_drains_while_it_is_connected_to(#[case] states: &[&str]) {
-    let mut closed = Closed::start();
+    let mut closed = BlockedListener::start();
     let rig = Rig::of(vec![("w0".into(), closed.addr)], &patient(), None);
     let _client = rig.post("c1", "order", "");
-    wait_until("the worker is connected to", || closed.coming() > 0);
+    wait_until("the worker is connected to", || closed.pending_connections() > 0);
     rig.list(states);
-    let mut stream = closed.let_in();
+    let mut stream = closed.accept_next();
     // The end, or a reset: not a byte.
     assert!(!matches!(stream.read(&mut [0]), Ok(1)));
 }
@@ -32,7 +32,7 @@
 /// written all the same.
 #[test]
 fn a_repeat_whose_connection_comes_up_too_late_is_not_written() {
-    let mut closed = Closed::start();
+    let mut closed = BlockedListener::start();
     let settings = patient().replace(r#""key_ttl_ms": 9000"#, r#""key_ttl_ms": 2000"#);
     let worker = Worker::start("w0");
     let listed = vec![(worker.id.clone(), worker.addr), ("w1".into(), closed.addr)];
@@ -40,37 +40,37 @@
     rig.workers = vec![worker];
     rig.list(&["up", "draining"]);
     let mut client = rig.post("c1", "statement", "Idempotency-Key: k1\r\n");
-    assert_eq!(rig.workers[0].take(), "c1");
+    assert_eq!(rig.workers[0].accept_job(), "c1");
     let since = Instant::now();
     rig.list(&["draining", "up"]);
-    rig.news(0, "c1", "failed", "");
-    wait_until("the other worker is connected to", || closed.coming() > 0);
+    rig.send_job_update(0, "c1", "failed", "");
+    wait_until("the other worker is connected to", || closed.pending_connections() > 0);
     std::thread::sleep(Duration::from_millis(2100).saturating_sub(since.elapsed()));
-    let mut stream = closed.let_in();
+    let mut stream = closed.accept_next();
     assert!(!matches!(stream.read(&mut [0]), Ok(1)));
-    assert!([503, 504].contains(&client.answer().status()));
+    assert!([503, 504].contains(&client.read_response().status()));
 }
 
 /// The time that a connection takes to come up is none of the time that a worker has to take a job.
 #[test]
 fn a_late_connection_is_used_and_a_class_that_must_not_be_repeated_is_served_on_it() {
-    let mut closed = Closed::start();
+    let mut closed = BlockedListener::start();
     let rig = Rig::of(vec![("w0".into(), closed.addr)], &patient(), None);
     let mut client = rig.post("c1", "order", "");
-    wait_until("the worker is connected to", || closed.coming() > 0);
-    let mut stream = closed.let_in();
+    wait_until("the worker is connected to", || closed.pending_connections() > 0);
+    let mut stream = closed.accept_next();
     let message =
         read_message(&mut BufReader::new(stream.try_clone().expect("a socket"))).expect("a request");
     assert_eq!(message.headers["x-call-id"], "c1");
     stream.write_all(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n").expect("a connection");
-    rig.tell("w0", "c1", "done", r#","result":"an order""#);
-    assert_eq!(client.answer().body, "an order");
+    rig.send_job_update_from("w0", "c1", "done", r#","result":"an order""#);
+    assert_eq!(client.read_response().body, "an order");
 }
 
 /// The connection to the first worker never comes up. Nothing was sent there, so another may have it, whatever its class.
 #[test]
 fn what_never_left_goes_elsewhere_whatever_its_class() {
-    let closed = Closed::start();
+    let closed = BlockedListener::start();
     let settings = SETTINGS.replace(r#""connect_timeout_ms": 1000"#, r#""connect_timeout_ms": 700"#);
     let worker = Worker::start("w1");
     let mut rig =
@@ -79,12 +79,12 @@
     let mut clients: Vec<_> = (0..4).map(|i| rig.post(&format!("c{i}"), "order", "")).collect();
     for _ in 0..clients.len() {
         let seen = rig.workers[0].next();
-        assert!(seen.message.first.starts_with("POST "), "{:?}", seen.message);
+        assert!(seen.message.start_line.starts_with("POST "), "{:?}", seen.message);
         let id = seen.reference().to_owned();
-        seen.answer("202 Accepted");
-        rig.tell("w1", &id, "done", r#","result":"an order""#);
+        seen.respond("202 Accepted");
+        rig.send_job_update_from("w1", &id, "done", r#","result":"an order""#);
     }
-    assert!(clients.iter_mut().all(|c| c.answer().status() == 200));
+    assert!(clients.iter_mut().all(|c| c.read_response().status() == 200));
 }
 
 /// The worker ends a kept connection in the moment of the write: the kernel knows, the program has not heard. Nothing is
@@ -99,18 +99,18 @@
         let message =
             read_message(&mut BufReader::new(stream.try_clone().expect("a socket"))).expect("a request");
         stream.write_all(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n").expect("a connection");
-        rig.tell("w0", &message.headers["x-call-id"], "done", r#","result":"an order""#);
+        rig.send_job_update_from("w0", &message.headers["x-call-id"], "done", r#","result":"an order""#);
     };
     let mut client = rig.post("c1", "order", "");
     let (mut kept, _) = socket.accept().expect("a connection");
     serve(&mut kept);
-    assert_eq!(client.answer().status(), 200);
+    assert_eq!(client.read_response().status(), 200);
     let mut client = rig.post("c2", "order", "");
-    rig.is_frozen();
+    rig.wait_until_paused();
     drop(kept);
-    rig.thaw();
+    rig.resume();
     let (mut stream, _) = socket.accept().expect("a connection");
     serve(&mut stream);
-    let answer = client.answer();
+    let answer = client.read_response();
     assert_eq!((answer.status(), &*answer.body), (200, "an order"));
 }
--- a/dispatcher/tests/leaving.rs
+++ b/dispatcher/tests/leaving.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{in_time, wait_until, Client, Rig, Setup, Worker, SETTINGS};
+use common::{retry_if_late, wait_until, Client, Rig, Setup, Worker, SETTINGS};
 use rstest::rstest;
 
 const DONE: &str = r#","result":"a chart""#;
@@ -18,7 +18,7 @@
 /// Leaves, and waits until its kernel has said so: other threads of this test fork, and hold what is closed a while longer.
 /// What is left of the client must be kept.
 fn leave(client: Client, how: How) -> Option<Client> {
-    let ends = client.ends();
+    let ends = client.addresses();
     let rest = left(client, how);
     wait_until("the end is said", || !common::is_established(ends));
     rest
@@ -48,28 +48,28 @@
 ) {
     // Nothing else ends this job within the test's patience.
     let settings = SETTINGS.replace("8000", "60000").replace(r#""aim_ms": 500"#, r#""aim_ms": 50000"#);
-    in_time(|| {
+    retry_if_late(|| {
         let rig = Rig::with(1, &settings, None);
         let mut client = rig.post("c1", "quote", "");
         let seen = rig.workers[0].next();
-        if !seen.message.first.starts_with("POST ") {
+        if !seen.message.start_line.starts_with("POST ") {
             return None;
         }
-        seen.answer("202 Accepted");
-        rig.news(0, "c1", "started", "");
+        seen.respond("202 Accepted");
+        rig.send_job_update(0, "c1", "started", "");
         client.write(behind.as_bytes());
         // What lies behind has been seen before the end comes.
-        rig.turn();
-        if !rig.workers[0].has_none() {
+        rig.process_pending_events();
+        if !rig.workers[0].has_no_request() {
             return None;
         }
         let _rest = leave(client, how);
         let seen = rig.workers[0].next();
-        assert_eq!(seen.message.first, "DELETE /jobs/c1 HTTP/1.1");
-        seen.answer("200 OK");
-        rig.turn();
+        assert_eq!(seen.message.start_line, "DELETE /jobs/c1 HTTP/1.1");
+        seen.respond("200 OK");
+        rig.process_pending_events();
         // It may be told again where its answer was slow; nothing is sent to it.
-        assert!(rig.workers[0].asked().iter().all(|asked| asked.starts_with("DELETE ")));
+        assert!(rig.workers[0].request_lines().iter().all(|asked| asked.starts_with("DELETE ")));
         Some(())
     });
 }
@@ -83,19 +83,19 @@
     let rig = Rig::start(1);
     rig.list(&["draining"]);
     let mut client = rig.post("c1", "quote", "");
-    rig.turn();
+    rig.process_pending_events();
     client.write(behind.as_bytes());
-    rig.turn();
+    rig.process_pending_events();
     let _rest = leave(client, how);
-    rig.turn();
+    rig.process_pending_events();
     // Behind it in the queue.
     let mut next = rig.post("c2", "quote", "");
-    rig.turn();
+    rig.process_pending_events();
     rig.list(&["up"]);
-    assert_eq!(rig.workers[0].take(), "c2");
-    rig.news(0, "c2", "done", DONE);
-    assert_eq!(next.answer().status(), 200);
-    assert!(rig.workers[0].has_none());
+    assert_eq!(rig.workers[0].accept_job(), "c2");
+    rig.send_job_update(0, "c2", "done", DONE);
+    assert_eq!(next.read_response().status(), 200);
+    assert!(rig.workers[0].has_no_request());
 }
 
 /// Between two attempts: the worker has turned it away, and it waits for the next one.
@@ -103,59 +103,59 @@
 fn who_leaves_between_two_attempts_gets_no_second_one() {
     let rig = Rig::start(1);
     let mut client = rig.post("c1", "quote", "");
-    assert_eq!(rig.workers[0].take(), "c1");
+    assert_eq!(rig.workers[0].accept_job(), "c1");
     client.write(b"\r\n");
     rig.list(&["draining"]);
-    rig.news(0, "c1", "returned", "");
-    rig.turn();
+    rig.send_job_update(0, "c1", "returned", "");
+    rig.process_pending_events();
     leave(client, How::Closed);
-    rig.turn();
+    rig.process_pending_events();
     let mut next = rig.post("c2", "quote", "");
-    rig.turn();
+    rig.process_pending_events();
     rig.list(&["up"]);
-    assert_eq!(rig.workers[0].take(), "c2");
-    rig.news(0, "c2", "done", DONE);
-    assert_eq!(next.answer().status(), 200);
-    assert!(rig.workers[0].has_none());
+    assert_eq!(rig.workers[0].accept_job(), "c2");
+    rig.send_job_update(0, "c2", "done", DONE);
+    assert_eq!(next.read_response().status(), 200);
+    assert!(rig.workers[0].has_no_request());
 }
 
 /// While its attempt is being given up, for being late: the next one is not made.
 #[test]
 fn who_leaves_while_an_attempt_is_given_up_gets_no_other() {
-    in_time(|| {
+    retry_if_late(|| {
         let rig = Rig::with(2, &SETTINGS.replace(r#""aim_ms": 500"#, r#""aim_ms": 50"#), None);
         let mut client = rig.post("c1", "quote", "");
         let (first, seen) = rig.next();
-        if !seen.message.first.starts_with("POST ") {
+        if !seen.message.start_line.starts_with("POST ") {
             return None;
         }
-        seen.answer("202 Accepted");
-        rig.news(first, "c1", "started", "");
+        seen.respond("202 Accepted");
+        rig.send_job_update(first, "c1", "started", "");
         let giving_up = rig.workers[first].next();
-        if !giving_up.message.first.starts_with("DELETE ") {
+        if !giving_up.message.start_line.starts_with("DELETE ") {
             return None;
         }
         client.write(b"\r\n");
-        rig.turn();
+        rig.process_pending_events();
         leave(client, How::Closed);
-        rig.turn();
+        rig.process_pending_events();
         // Had it taken longer than such a call may, the next attempt might have gone out before.
-        let sent = rig.workers.iter().any(|w| !w.has_none());
+        let sent = rig.workers.iter().any(|w| !w.has_no_request());
         if sent {
             return None;
         }
-        giving_up.answer("200 OK");
-        rig.turn();
+        giving_up.respond("200 OK");
+        rig.process_pending_events();
         let mut next = rig.post("c2", "quote", "");
         let (worker, seen) = rig.next();
-        if !seen.message.first.starts_with("POST ") {
+        if !seen.message.start_line.starts_with("POST ") {
             return None;
         }
         assert_eq!(seen.reference(), "c2");
-        seen.answer("202 Accepted");
-        rig.news(worker, "c2", "done", DONE);
-        assert_eq!(next.answer().status(), 200);
-        assert!(rig.workers.iter().all(|w| !w.was_sent("c1")));
+        seen.respond("202 Accepted");
+        rig.send_job_update(worker, "c2", "done", DONE);
+        assert_eq!(next.read_response().status(), 200);
+        assert!(rig.workers.iter().all(|w| !w.has_received_job("c1")));
         Some(())
     });
 }
@@ -167,18 +167,18 @@
     #[values(How::Closed, How::HalfClosed, How::Reset)] how: How,
 ) {
     let rig = Rig::start(1);
-    rig.freeze();
+    rig.pause();
     let mut client = rig.post("c1", "quote", "");
     client.write(behind.as_bytes());
     let _rest = leave(client, how);
-    rig.thaw();
-    rig.turn();
+    rig.resume();
+    rig.process_pending_events();
     // Whatever else comes is of the next one.
     let _next = rig.post("c2", "quote", "");
     let seen = rig.workers[0].next();
-    assert_eq!((&*seen.message.first, seen.reference()), ("POST /api HTTP/1.1", "c2"));
-    rig.turn();
-    assert!(!rig.workers[0].was_sent("c1"));
+    assert_eq!((&*seen.message.start_line, seen.reference()), ("POST /api HTTP/1.1", "c2"));
+    rig.process_pending_events();
+    assert!(!rig.workers[0].has_received_job("c1"));
 }
 
 /// A body that is whole when its client is gone, and one that is not.
@@ -191,18 +191,18 @@
     let head =
         "POST /api HTTP/1.1\r\nHost: app.svc\r\nX-Call-Id: c1\r\nX-Call-Class: quote\r\nX-Caller: acme\r\n";
     client.write(format!("{head}Content-Length: 7\r\n\r\n").as_bytes());
-    rig.turn();
-    rig.freeze();
+    rig.process_pending_events();
+    rig.pause();
     client.write(body.as_bytes());
     leave(client, How::Closed);
-    rig.thaw();
-    rig.turn();
+    rig.resume();
+    rig.process_pending_events();
     // Whatever else comes is of the next one.
     let _next = rig.post("c2", "quote", "");
     let seen = rig.workers[0].next();
-    assert_eq!((&*seen.message.first, seen.reference()), ("POST /api HTTP/1.1", "c2"));
-    rig.turn();
-    assert!(!rig.workers[0].was_sent("c1"));
+    assert_eq!((&*seen.message.start_line, seen.reference()), ("POST /api HTTP/1.1", "c2"));
+    rig.process_pending_events();
+    assert!(!rig.workers[0].has_received_job("c1"));
 }
 
 /// A burst of leavers where all room is taken: nothing of them stays behind, and their ids are free.
@@ -213,41 +213,41 @@
     let ids: Vec<String> = (0..50).map(|i| format!("c{i}")).collect();
     for round in 0..3 {
         let mut clients: Vec<Client> = ids.iter().map(|id| rig.post(id, "quote", "")).collect();
-        rig.turn();
+        rig.process_pending_events();
         // As many as are held at most.
         let mut one_more = rig.post("more", "quote", "");
-        assert_eq!(one_more.answer().status(), 503, "round {round}");
+        assert_eq!(one_more.read_response().status(), 503, "round {round}");
         for (i, client) in clients.iter_mut().enumerate().filter(|(i, _)| i % 2 == 0) {
             client.write(&b"\r\nmore"[..i % 7]);
         }
-        rig.turn();
+        rig.process_pending_events();
         for (i, client) in clients.into_iter().enumerate() {
             drop(leave(client, [How::Closed, How::Reset, How::HalfClosed][i % 3]));
         }
-        rig.turn();
+        rig.process_pending_events();
     }
     rig.list(&["up"]);
-    assert_eq!(rig.served("c0", "quote"), 0);
-    assert!(rig.workers[0].has_none());
+    assert_eq!(rig.serve_job("c0", "quote"), 0);
+    assert!(rig.workers[0].has_no_request());
 }
 
 /// A client that leaves while the connection to the worker comes up: nothing is written on it.
 #[test]
 fn who_leaves_while_the_worker_is_connected_to_is_not_sent_on() {
-    let mut closed = common::Closed::start();
+    let mut closed = common::BlockedListener::start();
     let settings = SETTINGS.replace(r#""connect_timeout_ms": 1000"#, r#""connect_timeout_ms": 6000"#);
     let rig = Rig::of(vec![("w0".into(), closed.addr)], &settings, None);
     let mut client = rig.post("c1", "order", "");
-    wait_until("the worker is connected to", || closed.coming() > 0);
+    wait_until("the worker is connected to", || closed.pending_connections() > 0);
     client.write(b"\r\n");
-    rig.turn();
+    rig.process_pending_events();
     drop(client);
-    wait_until("the connection is given up", || closed.coming() == 0);
+    wait_until("the connection is given up", || closed.pending_connections() == 0);
     // Whatever comes next is of the next job.
     let _next = rig.post("c2", "order", "");
-    let mut stream = std::io::BufReader::new(closed.let_in());
+    let mut stream = std::io::BufReader::new(closed.accept_next());
     let message = common::read_message(&mut stream).expect("a request");
-    assert_eq!((&*message.first, &*message.headers["x-call-id"]), ("POST /api HTTP/1.1", "c2"));
+    assert_eq!((&*message.start_line, &*message.headers["x-call-id"]), ("POST /api HTTP/1.1", "c2"));
 }
 
 /// The same where bodies pass: the body is not read any further while the job waits.
@@ -268,14 +268,14 @@
     client
         .write(format!("PUT /web/a HTTP/1.1\r\nHost: app.svc\r\nContent-Length: {size}\r\n\r\n").as_bytes());
     client.write(&vec![b'x'; size]);
-    rig.turn();
+    rig.process_pending_events();
     leave(client, How::Closed);
-    rig.turn();
+    rig.process_pending_events();
     rig.list(&["up"]);
     let mut next = rig.connect();
     next.send("PUT /web/b", "", "payload");
     let seen = rig.workers[0].next();
-    assert_eq!(seen.message.first, "PUT /web/b HTTP/1.1");
-    seen.answer("200 OK");
-    assert_eq!(next.answer().status(), 200);
+    assert_eq!(seen.message.start_line, "PUT /web/b HTTP/1.1");
+    seen.respond("200 OK");
+    assert_eq!(next.read_response().status(), 200);
 }
--- a/dispatcher/tests/load.rs
+++ b/dispatcher/tests/load.rs
@@ -16,7 +16,7 @@
 /// Connections are served in the order they came: whoever is answered knows that those before were read.
 fn settle(rig: &Rig) {
     let mut client = rig.connect();
-    client.is_up();
+    client.wait_until_up();
 }
 
 #[rstest]
@@ -27,26 +27,26 @@
     let mut first = rig.post("first", "quote", "");
     let seen = rig.workers[0].next();
     if call {
-        seen.answer("202 Accepted");
-        rig.news(0, "first", "done", r#","result":"a chart","load":{"x0":2.0,"load_share":0.4}"#);
+        seen.respond("202 Accepted");
+        rig.send_job_update(0, "first", "done", r#","result":"a chart","load":{"x0":2.0,"load_share":0.4}"#);
     } else {
-        seen.answer("503 No\r\nX-Rejected: 1\r\nX-Load-Report: TEXT x0=2.0, load_share=0.4");
-        assert_eq!(rig.workers[0].take(), "first");
-        rig.news(0, "first", "done", r#","result":"a chart""#);
+        seen.respond("503 No\r\nX-Rejected: 1\r\nX-Load-Report: TEXT x0=2.0, load_share=0.4");
+        assert_eq!(rig.workers[0].accept_job(), "first");
+        rig.send_job_update(0, "first", "done", r#","result":"a chart""#);
     }
-    assert_eq!(first.answer().status(), 200);
+    assert_eq!(first.read_response().status(), 200);
     // Two slots: two jobs go out, the third waits here until one of them ends.
     let mut clients: Vec<_> = ["a", "b", "c"].iter().map(|id| rig.post(id, "quote", "")).collect();
     settle(&rig);
-    let mut out = [rig.workers[0].take(), rig.workers[0].take()];
+    let mut out = [rig.workers[0].accept_job(), rig.workers[0].accept_job()];
     out.sort();
-    assert!(rig.workers[0].has_none(), "no third one goes out");
+    assert!(rig.workers[0].has_no_request(), "no third one goes out");
     let waits = (0..3).find(|i| !out.contains(&["a", "b", "c"][*i].to_owned())).expect("one waits");
-    rig.news(0, &out[0], "done", r#","result":"a chart""#);
-    assert_eq!(rig.workers[0].take(), ["a", "b", "c"][waits]);
-    rig.news(0, &out[1], "done", r#","result":"a chart""#);
-    rig.news(0, ["a", "b", "c"][waits], "done", r#","result":"a chart""#);
-    clients.iter_mut().for_each(|client| assert_eq!(client.answer().status(), 200));
+    rig.send_job_update(0, &out[0], "done", r#","result":"a chart""#);
+    assert_eq!(rig.workers[0].accept_job(), ["a", "b", "c"][waits]);
+    rig.send_job_update(0, &out[1], "done", r#","result":"a chart""#);
+    rig.send_job_update(0, ["a", "b", "c"][waits], "done", r#","result":"a chart""#);
+    clients.iter_mut().for_each(|client| assert_eq!(client.read_response().status(), 200));
 }
 
 /// The guess says how long a job can wait: the longest comes last. One that can't be read is no error.
@@ -54,23 +54,23 @@
 fn a_guess_at_the_work_orders_what_waits() {
     let rig = Rig::with(1, &settings(), None);
     let mut first = rig.post("first", "quote", "");
-    assert_eq!(rig.workers[0].take(), "first");
-    rig.news(0, "first", "done", r#","result":"a chart","load":{"x0":1.0}"#);
-    assert_eq!(first.answer().status(), 200);
+    assert_eq!(rig.workers[0].accept_job(), "first");
+    rig.send_job_update(0, "first", "done", r#","result":"a chart","load":{"x0":1.0}"#);
+    assert_eq!(first.read_response().status(), 200);
     let mut clients = vec![rig.post("running", "quote", "")];
-    assert_eq!(rig.workers[0].take(), "running");
+    assert_eq!(rig.workers[0].accept_job(), "running");
     for (id, cost) in [("long", "4000000"), ("none", "a lot"), ("short", "90000.5")] {
         clients.push(rig.post(id, "quote", &format!("X-Call-Cost: {cost}\r\n")));
     }
     settle(&rig);
     let mut order = vec!["running".to_owned()];
     for _ in 0..3 {
-        rig.news(0, order.last().expect("one is out"), "done", r#","result":"a chart""#);
-        order.push(rig.workers[0].take());
+        rig.send_job_update(0, order.last().expect("one is out"), "done", r#","result":"a chart""#);
+        order.push(rig.workers[0].accept_job());
     }
-    rig.news(0, &order[3], "done", r#","result":"a chart""#);
+    rig.send_job_update(0, &order[3], "done", r#","result":"a chart""#);
     assert_eq!(order, ["running", "short", "none", "long"]);
-    clients.iter_mut().for_each(|client| assert_eq!(client.answer().status(), 200));
+    clients.iter_mut().for_each(|client| assert_eq!(client.read_response().status(), 200));
 }
 
 /// Fleets are of unlike workers: each gets as many at once as it has shown slots.
@@ -78,24 +78,24 @@
 fn workers_of_unequal_size_are_filled_by_what_they_report() {
     let rig = Rig::with(2, &settings(), None);
     let mut clients: Vec<_> = ["a", "b"].iter().map(|id| rig.post(id, "quote", "")).collect();
-    let firsts = [rig.workers[0].take(), rig.workers[1].take()];
-    rig.news(0, &firsts[0], "done", r#","result":"a chart","load":{"x0":1.0}"#);
-    rig.news(1, &firsts[1], "done", r#","result":"a chart","load":{"x0":3.0}"#);
-    clients.iter_mut().for_each(|client| assert_eq!(client.answer().status(), 200));
+    let firsts = [rig.workers[0].accept_job(), rig.workers[1].accept_job()];
+    rig.send_job_update(0, &firsts[0], "done", r#","result":"a chart","load":{"x0":1.0}"#);
+    rig.send_job_update(1, &firsts[1], "done", r#","result":"a chart","load":{"x0":3.0}"#);
+    clients.iter_mut().for_each(|client| assert_eq!(client.read_response().status(), 200));
     let ids = ["c", "d", "e", "f", "g"];
     let mut clients: Vec<_> = ids.iter().map(|id| rig.post(id, "quote", "")).collect();
     settle(&rig);
-    let small = rig.workers[0].take();
-    let large = [rig.workers[1].take(), rig.workers[1].take(), rig.workers[1].take()];
-    assert!(rig.workers.iter().all(|w| w.has_none()), "the fifth one waits");
+    let small = rig.workers[0].accept_job();
+    let large = [rig.workers[1].accept_job(), rig.workers[1].accept_job(), rig.workers[1].accept_job()];
+    assert!(rig.workers.iter().all(|w| w.has_no_request()), "the fifth one waits");
     // Room at either worker is room for it.
-    rig.news(1, &large[0], "done", r#","result":"a chart""#);
-    let last = rig.workers[1].take();
-    rig.news(0, &small, "done", r#","result":"a chart""#);
+    rig.send_job_update(1, &large[0], "done", r#","result":"a chart""#);
+    let last = rig.workers[1].accept_job();
+    rig.send_job_update(0, &small, "done", r#","result":"a chart""#);
     for id in [&large[1], &large[2], &last] {
-        rig.news(1, id, "done", r#","result":"a chart""#);
+        rig.send_job_update(1, id, "done", r#","result":"a chart""#);
     }
-    clients.iter_mut().for_each(|client| assert_eq!(client.answer().status(), 200));
+    clients.iter_mut().for_each(|client| assert_eq!(client.read_response().status(), 200));
 }
 
 /// It takes the request and says nothing, not even that it has it. In doubt the job ran.
@@ -105,8 +105,8 @@
     let mut client = rig.post("c1", "order", "X-Budget-Ms: 3000\r\n");
     let (silent, seen) = rig.next();
     assert_eq!(seen.reference(), "c1");
-    let status = client.answer().status();
+    let status = client.read_response().status();
     assert_eq!(status, 504, "a refusal would promise that it never ran");
-    assert!(rig.workers[1 - silent].has_none());
+    assert!(rig.workers[1 - silent].has_no_request());
     drop(seen);
 }
--- a/dispatcher/tests/load_gossip.rs
+++ b/dispatcher/tests/load_gossip.rs
@@ -83,9 +83,9 @@
 fn serve(rig: &Rig, reference: &str) -> usize {
     let mut client = rig.post(reference, "quote", "");
     let (at, seen) = rig.next();
-    seen.answer("202 Accepted");
-    rig.news(at, reference, "done", DONE);
-    assert_eq!(client.answer().status(), 200);
+    seen.respond("202 Accepted");
+    rig.send_job_update(at, reference, "done", DONE);
+    assert_eq!(client.read_response().status(), 200);
     at
 }
 
@@ -118,9 +118,9 @@
     let (rig, heard) = rig(Aggregator::Refused("w0"));
     let mut client = rig.post("c1", "order", "");
     let (at, seen) = rig.next();
-    seen.answer("202 Accepted");
-    rig.news(at, "c1", "failed", "");
-    assert!(client.answer().status() >= 500);
+    seen.respond("202 Accepted");
+    rig.send_job_update(at, "c1", "failed", "");
+    assert!(client.read_response().status() >= 500);
     let wait = Duration::from_secs(20);
     while heard.recv_timeout(wait).expect("a report").refused != [Tag::of("w1")] {}
     serve(&rig, "c2");
@@ -134,9 +134,9 @@
     let (rig, _heard) = rig(Aggregator::Rude);
     for (i, budget) in [0, 1, 20].iter().enumerate() {
         let mut client = rig.post(&format!("c{i}"), "order", &format!("X-Budget-Ms: {budget}\r\n"));
-        let answer = client.answer();
+        let answer = client.read_response();
         assert_eq!(answer.status(), 503, "{budget} ms: {answer:?}");
         assert!(answer.headers.contains_key("retry-after"));
     }
-    assert!(rig.workers.iter().all(|w| w.has_none()));
+    assert!(rig.workers.iter().all(|w| w.has_no_request()));
 }
--- a/dispatcher/tests/old_lists.rs
+++ b/dispatcher/tests/old_lists.rs
@@ -55,7 +55,7 @@
         let mut tier = Tier { rigs: Vec::new(), is_large: size > 1, mode, discovery, workers };
         for process in 0..size {
             let rig = tier.process();
-            tier.workers.call_back(rig.addr);
+            tier.workers.add_process(rig.addr);
             tier.rigs.push(Some(rig));
             assert_eq!(process + 1, tier.rigs.len());
         }
@@ -80,7 +80,7 @@
 
     fn start_again(&mut self, process: usize) {
         let rig = self.process();
-        self.workers.call_back_instead(process, rig.addr);
+        self.workers.replace_process(process, rig.addr);
         self.rigs[process] = Some(rig);
     }
 
@@ -108,8 +108,8 @@
     fn sends_nothing_until_answered(&self, mut client: Client, late: Instant, discovery: &Discovery) {
         thread::sleep(Duration::from_millis(500));
         assert!(self.to_leaving(late).is_empty() && self.to_staying(late).is_empty());
-        discovery.behave(Behaviour::Up);
-        assert_eq!(client.answer().status(), 200);
+        discovery.set_behaviour(Behaviour::Up);
+        assert_eq!(client.read_response().status(), 200);
         assert_eq!((self.to_leaving(late).len(), self.to_staying(late).len()), (0, 1));
     }
 
@@ -118,7 +118,7 @@
         let clients: Vec<Client> = processes
             .map(|process| self.rig(process).post(&format!("{process}-{name}"), "quote", ""))
             .collect();
-        clients.into_iter().map(|mut client| client.answer().status()).collect()
+        clients.into_iter().map(|mut client| client.read_response().status()).collect()
     }
 }
 
@@ -132,7 +132,7 @@
     (STAYING..STAYING + RESTARTED).for_each(|process| tier.kill(process));
     tier.first_leaves();
     thread::sleep(TOLD_AFTER + DRAIN_GRACE);
-    tier.discovery.behave(Behaviour::Slow(CROWDED));
+    tier.discovery.set_behaviour(Behaviour::Slow(CROWDED));
     let back = Instant::now();
     (STAYING..STAYING + RESTARTED).for_each(|process| tier.start_again(process));
     for round in 0..3 {
@@ -149,7 +149,7 @@
 fn a_list_that_nothing_confirms_is_not_acted_on_for_long() {
     let tier = Tier::start(1);
     assert_eq!(tier.answers(0..1, "before"), [200]);
-    tier.discovery.behave(Behaviour::Silent);
+    tier.discovery.set_behaviour(Behaviour::Silent);
     tier.first_leaves();
     // The watch of a single process waits for a second at most: it has ended in silence well before.
     thread::sleep(TOLD_AFTER + SHORT_WATCH + DRAIN_GRACE);
@@ -177,14 +177,14 @@
     let tier = Tier::start(1);
     assert_eq!(tier.answers(0..1, "before"), [200]);
     let rig = tier.rig(0);
-    rig.freeze();
+    rig.pause();
     thread::sleep(leaves_after);
-    tier.discovery.behave(Behaviour::Silent);
+    tier.discovery.set_behaviour(Behaviour::Silent);
     tier.first_leaves();
     thread::sleep(TOLD_AFTER + SHORT_WATCH + DRAIN_GRACE - leaves_after);
     let client = rig.post("0-late", "quote", LONG_BUDGET);
     let back = Instant::now();
-    rig.thaw();
+    rig.resume();
     tier.sends_nothing_until_answered(client, back, &tier.discovery);
 }
 
@@ -194,7 +194,7 @@
     let tier = Tier::start_with(1, "push");
     assert_eq!(tier.answers(0..1, "before"), [200]);
     let rig = tier.rig(0);
-    rig.freeze();
+    rig.pause();
     // The call that is out is answered with nothing new, and that stands unread.
     thread::sleep(AGENT_CALL);
     tier.first_leaves();
@@ -202,9 +202,9 @@
     let clients: Vec<Client> =
         (0..8).map(|job| rig.post(&format!("0-late-{job}"), "quote", LONG_BUDGET)).collect();
     let back = Instant::now();
-    rig.thaw();
+    rig.resume();
     for mut client in clients {
-        assert_eq!(client.answer().status(), 200);
+        assert_eq!(client.read_response().status(), 200);
     }
     assert_eq!((tier.to_leaving(back).len(), tier.to_staying(back).len()), (0, 8));
 }
@@ -216,8 +216,8 @@
     let tier = Tier::start(1);
     assert_eq!(tier.answers(0..1, "before"), [200]);
     let other = Discovery::start(&[tier.workers.entry(STAYING_ONE, "up")], Behaviour::Silent);
-    tier.rig(0).hang_up(other.addr);
-    other.called(0, |call| call.wants_all());
+    tier.rig(0).reload_with_discovery(other.addr);
+    other.wait_for_call(0, |call| call.requests_full_list());
     thread::sleep(TOLD_AFTER_MOVE + DRAIN_GRACE);
     let late = Instant::now();
     let client = tier.rig(0).post("0-late", "quote", "");
--- a/dispatcher/tests/ownership.rs
+++ b/dispatcher/tests/ownership.rs
@@ -217,7 +217,7 @@
 impl Standing {
     fn start(members: usize, name: &str) -> Standing {
         let runtime = runtime().expect("a runtime");
-        let dir = common::folder().join(name);
+        let dir = common::create_temp_dir().join(name);
         let keep = Setup { keep: Some(dir.clone()), ..setup(1) };
         let world = runtime.block_on(World::start(parse(&scenario(members, 1.0, json!([]))), &keep));
         Standing { runtime, world: world.expect("it stands"), dir }
@@ -260,7 +260,7 @@
 fn call(addr: SocketAddr, first: &str, body: &str) -> (u16, Value) {
     let mut client = common::Client::new(addr);
     client.send(first, &format!("Authorization: Bearer {ADMIN_KEY}\r\n"), body);
-    let answer = client.answer();
+    let answer = client.read_response();
     (answer.status(), serde_json::from_str(&answer.body).expect("JSON"))
 }
 
--- a/dispatcher/tests/pushed.rs
+++ b/dispatcher/tests/pushed.rs
@@ -13,7 +13,7 @@
 /// All of some jobs go to this worker.
 fn all_go_to(rig: &Rig, worker: usize, prefix: &str) {
     for i in 0..6 {
-        assert_eq!(rig.served(&format!("{prefix}{i}"), "quote"), worker);
+        assert_eq!(rig.serve_job(&format!("{prefix}{i}"), "quote"), worker);
     }
 }
 
--- a/dispatcher/tests/race_conditions.rs
+++ b/dispatcher/tests/race_conditions.rs
@@ -5,7 +5,7 @@
 
 use common::discovery::{entry, Behaviour, Discovery};
 use common::{
-    in_time, is_established, read_message, wait_until, Client, Message, Rig, Setup, Worker, SETTINGS,
+    is_established, read_message, retry_if_late, wait_until, Client, Message, Rig, Setup, Worker, SETTINGS,
 };
 use rstest::rstest;
 use std::io::{BufReader, Read, Write};
@@ -30,7 +30,7 @@
 /// The next connection to a worker.
 fn accept(socket: &TcpListener) -> TcpStream {
     let (stream, _) = socket.accept().expect("a connection");
-    stream.set_read_timeout(Some(common::PATIENCE)).expect("a time-out");
+    stream.set_read_timeout(Some(common::WAIT_TIMEOUT)).expect("a time-out");
     stream
 }
 
@@ -48,7 +48,7 @@
 
 /// How a client leaves; what it was is gone when this returns.
 fn leave(client: Client, with_a_reset: bool) {
-    let ends = client.ends();
+    let ends = client.addresses();
     match with_a_reset {
         true => client.reset(),
         false => drop(client),
@@ -72,37 +72,37 @@
     let before = accept(&socket);
     assert_eq!(read(&before).headers["x-call-id"], "c1");
     say(&before, TAKEN);
-    rig.tell("w0", "c1", "started", "");
-    rig.freeze();
+    rig.send_job_update_from("w0", "c1", "started", "");
+    rig.pause();
     reset(before);
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a time").as_millis();
     let started = entry("w0", addr, "up", now as u64);
-    let lost = |rig: &Rig| rig.tell("w0", "c1", "lost", "");
+    let lost = |rig: &Rig| rig.send_job_update_from("w0", "c1", "lost", "");
     match listed_first {
         true => {
             let version = discovery.list(&[started]);
-            rig.thaw();
-            discovery.is_known(version);
+            rig.resume();
+            discovery.wait_until_known(version);
             lost(&rig);
         }
         false => {
-            rig.thaw();
+            rig.resume();
             lost(&rig);
-            discovery.is_known(discovery.list(&[started]));
+            discovery.wait_until_known(discovery.list(&[started]));
         }
     }
     if class == "order" {
-        assert_eq!(client.answer().status(), 504);
-        rig.turn();
+        assert_eq!(client.read_response().status(), 504);
+        rig.process_pending_events();
         socket.set_nonblocking(true).expect("a socket");
         assert!(socket.accept().is_err(), "sent again");
         return;
     }
     let again = accept(&socket);
-    assert_eq!(read(&again).first, "POST /api HTTP/1.1");
+    assert_eq!(read(&again).start_line, "POST /api HTTP/1.1");
     say(&again, TAKEN);
-    rig.tell("w0", "c1", "done", DONE);
-    assert_eq!(client.answer().status(), 200);
+    rig.send_job_update_from("w0", "c1", "done", DONE);
+    assert_eq!(client.read_response().status(), 200);
 }
 
 /// The client leaves in the turn in which its answer comes: the worker's call is answered, nothing is sent on, and the id is free.
@@ -114,11 +114,11 @@
     let rig = Rig::with(2, &patient(), None);
     let client = rig.post("c1", "quote", "");
     let (worker, seen) = rig.next();
-    seen.answer("202 Accepted");
+    seen.respond("202 Accepted");
     // A worker's connection that was there before.
     let mut call = rig.connect();
-    call.is_up();
-    rig.freeze();
+    call.wait_until_up();
+    rig.pause();
     let more = if word == "done" { DONE } else { "" };
     call.send(
         "POST /_jobs/news",
@@ -126,44 +126,44 @@
         &format!(r#"{{"id":"c1","from":"{}","state":"{word}"{more}}}"#, rig.workers[worker].id),
     );
     leave(client, with_a_reset);
-    rig.thaw();
-    assert_eq!(call.answer().status(), 200);
-    rig.turn();
+    rig.resume();
+    assert_eq!(call.read_response().status(), 200);
+    rig.process_pending_events();
     // A next attempt may have gone out before the end was seen; then it is given up at once.
-    let sent: Vec<String> = rig.workers.iter().flat_map(|w| w.asked()).collect();
+    let sent: Vec<String> = rig.workers.iter().flat_map(|w| w.request_lines()).collect();
     assert!(!sent.iter().any(|asked| asked.starts_with("POST ")), "{sent:?}");
-    assert!([0, 1].contains(&rig.served("c1", "quote")));
+    assert!([0, 1].contains(&rig.serve_job("c1", "quote")));
 }
 
 /// The worker hangs with a job that is overdue: both calls that give it up come to no answer. Only then does it go elsewhere, and
 /// what the first worker says in the end changes nothing.
 #[test]
 fn a_job_whose_giving_up_times_out_twice_goes_elsewhere_once() {
-    in_time(|| {
+    retry_if_late(|| {
         let rig = Rig::with(2, &SETTINGS.replace(r#""aim_ms": 500"#, r#""aim_ms": 200"#), None);
         let mut client = rig.post("c1", "quote", "");
         let (first, seen) = rig.next();
-        assert!(seen.message.first.starts_with("POST "), "{:?}", seen.message);
-        seen.answer("202 Accepted");
-        rig.news(first, "c1", "started", "");
+        assert!(seen.message.start_line.starts_with("POST "), "{:?}", seen.message);
+        seen.respond("202 Accepted");
+        rig.send_job_update(first, "c1", "started", "");
         let other = 1 - first;
         let unanswered: Vec<_> = (0..2)
             .map(|_| {
                 let seen = rig.workers[first].next();
-                assert_eq!(seen.message.first, "DELETE /jobs/c1 HTTP/1.1");
-                assert!(rig.workers[other].has_none(), "two attempts are out");
+                assert_eq!(seen.message.start_line, "DELETE /jobs/c1 HTTP/1.1");
+                assert!(rig.workers[other].has_no_request(), "two attempts are out");
                 seen
             })
             .collect();
-        let seen = rig.workers[other].next_of_job();
-        assert_eq!(seen.message.first, "POST /api HTTP/1.1");
-        seen.answer("202 Accepted");
-        rig.news(first, "c1", "failed", "");
-        rig.news(other, "c1", "done", DONE);
-        assert_eq!(client.answer().status(), 200);
-        unanswered.into_iter().for_each(|seen| seen.answer("200 OK"));
-        rig.turn();
-        let asked: Vec<String> = rig.workers.iter().flat_map(|w| w.asked()).collect();
+        let seen = rig.workers[other].next_job_request();
+        assert_eq!(seen.message.start_line, "POST /api HTTP/1.1");
+        seen.respond("202 Accepted");
+        rig.send_job_update(first, "c1", "failed", "");
+        rig.send_job_update(other, "c1", "done", DONE);
+        assert_eq!(client.read_response().status(), 200);
+        unanswered.into_iter().for_each(|seen| seen.respond("200 OK"));
+        rig.process_pending_events();
+        let asked: Vec<String> = rig.workers.iter().flat_map(|w| w.request_lines()).collect();
         // The second one was overdue as well before this test had its turn.
         if asked.iter().any(|asked| asked.starts_with("DELETE ")) {
             return None;
@@ -185,18 +185,18 @@
     let serve = |stream: &TcpStream| {
         let id = read(stream).headers["x-call-id"].clone();
         say(stream, TAKEN);
-        rig.tell("w0", &id, "done", DONE);
+        rig.send_job_update_from("w0", &id, "done", DONE);
     };
     let mut client = rig.post("c1", "order", "");
     let kept = accept(&socket);
     serve(&kept);
-    assert_eq!(client.answer().status(), 200);
+    assert_eq!(client.read_response().status(), 200);
     let mut client = rig.post("c2", "order", "");
-    rig.is_frozen();
+    rig.wait_until_paused();
     say(&kept, bytes);
-    rig.thaw();
+    rig.resume();
     serve(&accept(&socket));
-    assert_eq!(client.answer().status(), 200);
+    assert_eq!(client.read_response().status(), 200);
     // Not a byte of the second job on the first connection.
     assert!(!matches!((&kept).read(&mut [0]), Ok(1)));
 }
@@ -214,7 +214,7 @@
     rig.list(&["up", "draining"]);
     let mut client = rig.post("c1", "quote", "");
     let mut stream = accept(&socket);
-    assert_eq!(read(&stream).first, "POST /api HTTP/1.1");
+    assert_eq!(read(&stream).start_line, "POST /api HTTP/1.1");
     rig.list(&["draining", "up"]);
     say(&stream, beginning);
     let since = Instant::now();
@@ -229,26 +229,26 @@
             }
         }
     });
-    let seen = rig.workers[0].next_of_job();
-    seen.answer("202 Accepted");
-    rig.tell("w1", "c1", "done", DONE);
-    assert_eq!(client.answer().status(), 200);
+    let seen = rig.workers[0].next_job_request();
+    seen.respond("202 Accepted");
+    rig.send_job_update_from("w1", "c1", "done", DONE);
+    assert_eq!(client.read_response().status(), 200);
 }
 
 /// Clients that send much at once and go: none of it is sent on, and usual clients are served behind them.
 #[rstest]
 fn a_flood_of_those_who_have_gone_is_not_sent_on(#[values(false, true)] with_a_reset: bool) {
     let rig = Rig::with(1, &patient(), None);
-    rig.freeze();
+    rig.pause();
     for i in 0..40 {
         let mut client = rig.connect();
         (0..20).for_each(|j| client.post(&format!("f{i}-{j}"), "quote", ""));
         leave(client, with_a_reset);
     }
-    rig.thaw();
-    rig.turn();
-    assert_eq!(rig.served("c1", "quote"), 0);
-    assert!(rig.workers[0].has_none());
+    rig.resume();
+    rig.process_pending_events();
+    assert_eq!(rig.serve_job("c1", "quote"), 0);
+    assert!(rig.workers[0].has_no_request());
 }
 
 /// Requests and workers' calls in pieces of any size, on one connection.
@@ -264,11 +264,11 @@
         client.write_in_pieces(format!("{head}X-Call-Id: {id}\r\n{framing}\r\n\r\n{body}").as_bytes(), size);
         let seen = rig.workers[0].next();
         assert_eq!((seen.reference(), &*seen.message.body), (id, "payload"));
-        seen.answer("202 Accepted");
+        seen.respond("202 Accepted");
         let news = format!(r#"{{"id":"{id}","from":"w0","state":"done"{DONE}}}"#);
         let head = format!("POST /_jobs/news HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n", news.len());
         call.write_in_pieces(format!("{head}{news}").as_bytes(), size);
-        assert_eq!(call.answer().status(), 200);
-        assert_eq!(client.answer().status(), 200);
+        assert_eq!(call.read_response().status(), 200);
+        assert_eq!(client.read_response().status(), 200);
     }
 }
--- a/dispatcher/tests/replacement.rs
+++ b/dispatcher/tests/replacement.rs
@@ -3,8 +3,8 @@
 
 mod common;
 
-use common::replacement::{Conduct, Dispatcher, Process, Workers};
-use common::{Client, Closed, Rig, Setup, SETTINGS};
+use common::replacement::{Dispatcher, Process, WorkerBehaviour, Workers};
+use common::{BlockedListener, Client, Rig, Setup, SETTINGS};
 use std::io::Read;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -63,24 +63,24 @@
 
 /// The incident: jobs wait at the old process, which is told to end, and the new one answers the operator.
 fn answered_by_the_new_process() -> Result<(), String> {
-    let dispatcher = Dispatcher::with_settings(2, Conduct::TurnsAway, &patient_settings());
+    let dispatcher = Dispatcher::with_settings(2, WorkerBehaviour::Rejects, &patient_settings());
     let old = dispatcher.start();
     let _jobs = waiting_jobs(&old, &dispatcher.workers, 12);
     let new = dispatcher.start();
     old.rig.terminate();
-    old.rig.logged("SIGTERM");
-    assert!(new.operator("cordon w0").starts_with("OK"));
+    old.rig.wait_for_log("SIGTERM");
+    assert!(new.console_command("cordon w0").starts_with("OK"));
     sends_nothing_to_w0(&dispatcher, Instant::now(), "answered by the new process")
 }
 
 /// The other way round: the old one answers, behind the new one's yes.
 fn answered_by_the_old_process() -> Result<(), String> {
-    let dispatcher = Dispatcher::with_settings(2, Conduct::TurnsAway, &patient_settings());
+    let dispatcher = Dispatcher::with_settings(2, WorkerBehaviour::Rejects, &patient_settings());
     let old = dispatcher.start();
     let new = dispatcher.start();
     // Whoever accepts, the jobs are one dispatcher's.
     let _jobs = waiting_jobs(&new, &dispatcher.workers, 16);
-    assert!(old.operator("cordon w0").starts_with("OK"));
+    assert!(old.console_command("cordon w0").starts_with("OK"));
     let since = Instant::now();
     old.rig.terminate();
     sends_nothing_to_w0(&dispatcher, since, "answered by the old process")
@@ -88,17 +88,17 @@
 
 /// The old one answers while the new one has read what was kept and serves nobody yet.
 fn answered_while_the_new_process_starts() -> Result<(), String> {
-    let dispatcher = Dispatcher::with_settings(2, Conduct::TurnsAway, &patient_settings());
+    let dispatcher = Dispatcher::with_settings(2, WorkerBehaviour::Rejects, &patient_settings());
     let old = dispatcher.start();
     let asked = |pid| {
         common::wait_until("it stands still", || common::process_state(pid) == Some('T'));
-        assert!(old.operator("cordon w0").starts_with("OK"));
+        assert!(old.console_command("cordon w0").starts_with("OK"));
         common::signal(pid, "-CONT");
     };
     let setup = Setup { stops: "start.listen:1:stop", on_start: Some(&asked), ..Setup::default() };
     let new = dispatcher.start_with(setup);
     let since = Instant::now();
-    new.is_ready();
+    new.wait_until_ready();
     old.rig.terminate();
     let _jobs = waiting_jobs(&new, &dispatcher.workers, 16);
     sends_nothing_to_w0(&dispatcher, since, "answered while the new process starts")
@@ -107,17 +107,17 @@
 /// A call back at either process lets the worker serve in each: jobs at once, more than the other worker gets alone.
 #[test]
 fn a_call_back_at_either_process_lets_the_worker_serve_in_both() {
-    let dispatcher = Dispatcher::with_settings(2, Conduct::Serves, &silent_settings());
+    let dispatcher = Dispatcher::with_settings(2, WorkerBehaviour::Serves, &silent_settings());
     let old = dispatcher.start();
     let new = dispatcher.start();
     for (cordoned_at, called_back_at) in [(&old, &new), (&new, &old)] {
-        assert!(cordoned_at.operator("cordon w0").starts_with("OK"));
-        assert!(called_back_at.operator("uncordon w0").starts_with("OK uncordoned"));
+        assert!(cordoned_at.console_command("cordon w0").starts_with("OK"));
+        assert!(called_back_at.console_command("uncordon w0").starts_with("OK uncordoned"));
         // Both processes accept these.
         is_used_again(&dispatcher, "w0");
     }
     old.rig.terminate();
-    old.rig.logged("left to another process");
+    old.rig.wait_for_log("left to another process");
     is_used_again(&dispatcher, "w0");
 }
 
@@ -130,27 +130,27 @@
             let name = format!("{worker}-{}-{number}", since.elapsed().as_nanos());
             client.post(&name, "quote", "X-Budget-Ms: 2000\r\n");
         }
-        clients.iter_mut().for_each(|client| assert!([200, 503].contains(&client.answer().status())));
+        clients.iter_mut().for_each(|client| assert!([200, 503].contains(&client.read_response().status())));
         !dispatcher.workers.since(worker, since).is_empty()
     });
 }
 
 /// One process: the attempt was decided before the answer, and its connection comes up behind it.
 fn answered_while_a_connection_comes_up() -> Result<(), String> {
-    let mut closed = Closed::start();
+    let mut closed = BlockedListener::start();
     let console = common::replacement::console_address();
     let settings = SETTINGS.replace(r#""connect_timeout_ms": 1000"#, r#""connect_timeout_ms": 6000"#);
     let more = format!(r#""admin_addr": "{console}", "name": "late{}","#, std::process::id());
-    let temporary = common::folder();
+    let temporary = common::create_temp_dir();
     let environment = vec![("TMPDIR".into(), temporary.to_str().expect("letters").to_owned())];
     let setup = Setup { more, environment, ..Setup::default() };
     let rig = Rig::set_up(vec![("w0".into(), closed.addr)], &settings, setup);
     let process = Process { rig, console };
-    process.is_ready();
+    process.wait_until_ready();
     let _client = process.rig.post("c1", "order", "");
-    common::wait_until("the worker is connected to", || closed.coming() > 0);
-    assert!(process.operator("cordon w0").starts_with("OK"));
-    let mut stream = closed.let_in();
+    common::wait_until("the worker is connected to", || closed.pending_connections() > 0);
+    assert!(process.console_command("cordon w0").starts_with("OK"));
+    let mut stream = closed.accept_next();
     stream.set_read_timeout(Some(WATCHED)).expect("a time-out");
     match stream.read(&mut [0]) {
         Ok(1) => Err("answered while a connection comes up: a first byte behind the yes".into()),
@@ -199,11 +199,11 @@
     let addr = dispatcher.addr();
     let call = |job: &JobOut| {
         let (reference, worker) = (job.reference.clone(), job.worker.clone());
-        thread::spawn(move || common::replacement::tell_done(addr, &reference, &worker))
+        thread::spawn(move || common::replacement::report_done(addr, &reference, &worker))
     };
     let calls: Vec<_> = jobs.iter().map(call).collect();
     let heard: Vec<Option<usize>> = calls.into_iter().map(|call| call.join().expect("a call")).collect();
-    let statuses: Vec<u16> = jobs.into_iter().map(|mut job| job.client.answer().status()).collect();
+    let statuses: Vec<u16> = jobs.into_iter().map(|mut job| job.client.read_response().status()).collect();
     match statuses.iter().all(|status| *status == 200) {
         true => Ok(()),
         false => Err(format!("{case}: answers {statuses:?}, calls until each was heard {heard:?}")),
@@ -221,18 +221,18 @@
 }
 
 fn updates_behind_the_end() -> Result<(), String> {
-    let dispatcher = Dispatcher::with_settings(2, Conduct::Hangs, &silent_settings());
+    let dispatcher = Dispatcher::with_settings(2, WorkerBehaviour::Hangs, &silent_settings());
     let old = dispatcher.start();
     let jobs = jobs_out(&dispatcher, "before", 16)?;
     let _new = dispatcher.start();
     old.rig.terminate();
-    old.rig.logged("SIGTERM");
+    old.rig.wait_for_log("SIGTERM");
     all_are_served(&dispatcher, jobs, "behind the end")
 }
 
 /// Jobs and calls come to whichever accepts them.
 fn updates_while_both_serve() -> Result<(), String> {
-    let dispatcher = Dispatcher::with_settings(2, Conduct::Hangs, &silent_settings());
+    let dispatcher = Dispatcher::with_settings(2, WorkerBehaviour::Hangs, &silent_settings());
     let _old = dispatcher.start();
     let mut jobs = jobs_out(&dispatcher, "before", 8)?;
     let _new = dispatcher.start();
@@ -242,13 +242,13 @@
 
 /// What it can't be told now must be told again.
 fn updates_while_the_old_process_stands_still() -> Result<(), String> {
-    let dispatcher = Dispatcher::with_settings(2, Conduct::Hangs, &silent_settings());
+    let dispatcher = Dispatcher::with_settings(2, WorkerBehaviour::Hangs, &silent_settings());
     let old = dispatcher.start();
     let jobs = jobs_out(&dispatcher, "before", 8)?;
     let _new = dispatcher.start();
     old.rig.terminate();
-    old.rig.logged("SIGTERM");
-    old.rig.freeze();
+    old.rig.wait_for_log("SIGTERM");
+    old.rig.pause();
     let goes_on = old.rig.pid();
     let thaw = thread::spawn(move || {
         thread::sleep(Duration::from_millis(600));
@@ -289,7 +289,7 @@
     for request in 0.. {
         let sent = Instant::now();
         client.post(&format!("{name}-{request}"), class, &format!("X-Budget-Ms: {budget}\r\n"));
-        let Some(answer) = client.heard() else {
+        let Some(answer) = client.try_read_response() else {
             heard.unanswered = Some(sent);
             return heard;
         };
@@ -307,7 +307,7 @@
         .replacen(r#""deadline_ms": 8000"#, &format!(r#""deadline_ms": {short}"#), 1)
         .replace(r#""deadline_ms": 8000"#, &format!(r#""deadline_ms": {long}"#))
         .replace(r#""aim_ms": 500"#, &format!(r#""aim_ms": {}"#, short.min(500)));
-    let dispatcher = Dispatcher::with_settings(2, Conduct::Hangs, &settings);
+    let dispatcher = Dispatcher::with_settings(2, WorkerBehaviour::Hangs, &settings);
     let old = dispatcher.start();
     let addr = dispatcher.addr();
     // All are connected to the old process. Some send before SIGTERM, others in the time in which requests are still taken.
--- a/dispatcher/tests/replacement_soak.rs
+++ b/dispatcher/tests/replacement_soak.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::faults::{Faults, ALWAYS};
-use common::replacement::{call, Conduct, Dispatcher, Process};
+use common::replacement::{call, Dispatcher, Process, WorkerBehaviour};
 use common::{signal, Client, Setup, SETTINGS};
 use lineroute_fault_plan::Call;
 use std::net::TcpStream;
@@ -122,7 +122,7 @@
         .replacen(r#""deadline_ms": 8000"#, &format!(r#""deadline_ms": {short}"#), 1)
         .replace(r#""deadline_ms": 8000"#, &format!(r#""deadline_ms": {long}"#))
         .replace(r#""aim_ms": 500"#, r#""aim_ms": 300"#);
-    let dispatcher = Dispatcher::with_settings(WORKERS, Conduct::Serves, &settings);
+    let dispatcher = Dispatcher::with_settings(WORKERS, WorkerBehaviour::Serves, &settings);
     let longest = Duration::from_millis(long).min(LONGEST_COUNTED);
     let play = Arc::new(Play {
         seed,
@@ -135,7 +135,7 @@
     });
     let mut disk = Faults::none();
     let first = play.start("", &disk);
-    first.is_ready();
+    first.wait_until_ready();
     play.lists(&first);
     let mut threads: Vec<_> = (0..CLIENTS)
         .map(|number| {
@@ -149,12 +149,16 @@
     let (conducted, mut conduct_dice) = (play.clone(), dice.fork());
     threads.push(thread::spawn(move || {
         while !conducted.is_over.load(Ordering::Relaxed) {
-            let conduct = [Conduct::Serves, Conduct::Serves, Conduct::TurnsAway, Conduct::Hangs]
-                [conduct_dice.usize(..4)];
-            conducted.dispatcher.workers.conduct(conduct);
+            let conduct = [
+                WorkerBehaviour::Serves,
+                WorkerBehaviour::Serves,
+                WorkerBehaviour::Rejects,
+                WorkerBehaviour::Hangs,
+            ][conduct_dice.usize(..4)];
+            conducted.dispatcher.workers.set_behaviour(conduct);
             thread::sleep(Duration::from_millis(conduct_dice.u64(200..900)));
         }
-        conducted.dispatcher.workers.conduct(Conduct::Serves);
+        conducted.dispatcher.workers.set_behaviour(WorkerBehaviour::Serves);
     }));
     let crowd: Vec<TcpStream> = match dice.bool() {
         true => {
@@ -181,7 +185,7 @@
         if dice.u32(0..3) == 0 {
             // One that dies before its yes, or right behind it.
             let stops = ["start.listen:1:kill", ""][dice.usize(..2)];
-            let setup = || play.dispatcher.start_unheard(stops, disk.environment());
+            let setup = || play.dispatcher.spawn_without_waiting(stops, disk.environment());
             let mut dying = setup();
             thread::sleep(Duration::from_millis(dice.u64(50..400)));
             play.kill(|| drop(dying.kill()), false);
@@ -189,7 +193,7 @@
         }
         (0..dice.usize(..3)).for_each(|_| signal(current.rig.pid(), "-HUP"));
         let next = play.start("", disk);
-        next.is_ready();
+        next.wait_until_ready();
         play.lists(&next);
         thread::sleep(Duration::from_millis(dice.u64(0..100)));
         let old = std::mem::replace(&mut current, next);
@@ -303,7 +307,7 @@
             // A request's time runs from when it is written: a connection that the full queue turned away comes up a second later.
             let sent = Instant::now();
             client.post(&reference, class, &more);
-            let answer = client.heard();
+            let answer = client.try_read_response();
             let mut record = play.record.lock().expect("a lock");
             let Some(answer) = answer else {
                 ends.push(Lost { reference: reference.clone(), sent, ended: Instant::now() });
--- a/dispatcher/tests/rude.rs
+++ b/dispatcher/tests/rude.rs
@@ -18,9 +18,9 @@
 /// A usual client, served.
 fn serve(rig: &Rig, client: &mut Client, id: &str) {
     client.post(id, "quote", "");
-    assert_eq!(rig.workers[0].take(), id);
-    rig.news(0, id, "done", DONE);
-    assert_eq!(client.answer().status(), 200);
+    assert_eq!(rig.workers[0].accept_job(), id);
+    rig.send_job_update(0, id, "done", DONE);
+    assert_eq!(client.read_response().status(), 200);
 }
 
 /// Behind each stands what would be a second request to whoever reads the first one otherwise.
@@ -42,9 +42,9 @@
     let mut client = rig.connect();
     client.write(head(rest).as_bytes());
     client.write(head("Content-Length: 0\r\n\r\n").replace("bad", "hidden").as_bytes());
-    assert_eq!(client.answer().status(), status);
-    assert!(client.is_ended());
-    assert!(rig.workers[0].has_none() && rig.is_running());
+    assert_eq!(client.read_response().status(), status);
+    assert!(client.is_closed_by_peer());
+    assert!(rig.workers[0].has_no_request() && rig.is_running());
 }
 
 /// Closed with bytes unread, a connection is reset, and the answer is lost on its way.
@@ -63,7 +63,7 @@
     client.write(text.as_bytes());
     // Some of this finds the connection ended.
     (0..64).for_each(|_| client.write(&[b'x'; 16 << 10]));
-    assert_eq!(client.answer().status(), status);
+    assert_eq!(client.read_response().status(), status);
     serve(&rig, &mut rig.connect(), "c1");
 }
 
@@ -73,11 +73,11 @@
     let rig = Rig::start(1);
     let mut client = rig.post("c1", "quote", "");
     client.write(b"no http at all\r\n\r\n");
-    assert_eq!(rig.workers[0].take(), "c1");
-    rig.news(0, "c1", "done", DONE);
-    assert_eq!(client.answer().status(), 200);
-    assert_eq!(client.answer().status(), 400);
-    assert!(client.is_ended());
+    assert_eq!(rig.workers[0].accept_job(), "c1");
+    rig.send_job_update(0, "c1", "done", DONE);
+    assert_eq!(client.read_response().status(), 200);
+    assert_eq!(client.read_response().status(), 400);
+    assert!(client.is_closed_by_peer());
 }
 
 #[test]
@@ -86,10 +86,10 @@
     let mut client = rig.connect();
     (0..40).for_each(|_| client.post("c/1", "quote", ""));
     client.post("c2", "quote", "");
-    assert!((0..40).all(|_| client.answer().status() == 400));
-    assert_eq!(rig.workers[0].take(), "c2");
-    rig.news(0, "c2", "done", DONE);
-    assert_eq!(client.answer().status(), 200);
+    assert!((0..40).all(|_| client.read_response().status() == 400));
+    assert_eq!(rig.workers[0].accept_job(), "c2");
+    rig.send_job_update(0, "c2", "done", DONE);
+    assert_eq!(client.read_response().status(), 200);
 }
 
 /// Seen: the body came a moment after its head, the request was turned away by its head, and the connection ended
@@ -106,10 +106,10 @@
     std::thread::sleep(Duration::from_millis(30));
     client.write(b"payload");
     client.post("c2", "quote", "");
-    assert_eq!(client.answer().status(), status);
-    assert_eq!(rig.workers[0].take(), "c2");
-    rig.news(0, "c2", "done", DONE);
-    assert_eq!(client.answer().status(), 200);
+    assert_eq!(client.read_response().status(), status);
+    assert_eq!(rig.workers[0].accept_job(), "c2");
+    rig.send_job_update(0, "c2", "done", DONE);
+    assert_eq!(client.read_response().status(), 200);
 }
 
 #[rstest]
@@ -123,9 +123,9 @@
     let mut client = rig.connect();
     client.write(part.as_bytes());
     if let Some(status) = status {
-        assert_eq!(client.answer().status(), status);
+        assert_eq!(client.read_response().status(), status);
     }
-    assert!(client.is_ended());
+    assert!(client.is_closed_by_peer());
     assert!(start.elapsed() < OWED, "{:?}", start.elapsed());
 }
 
@@ -137,18 +137,18 @@
     let mut usual = rig.connect();
     serve(&rig, &mut usual, "c0");
     let mut working = rig.post("c1", "quote", "");
-    assert_eq!(rig.workers[0].take(), "c1");
-    rig.news(0, "c1", "started", "");
+    assert_eq!(rig.workers[0].accept_job(), "c1");
+    rig.send_job_update(0, "c1", "started", "");
     let _stay: Vec<_> = (0..130)
         .map(|_| {
             let mut client = rig.connect();
-            client.is_up();
+            client.wait_until_up();
             client
         })
         .collect();
     let _silent: Vec<_> = (0..130).map(|_| rig.connect()).collect();
     serve(&rig, &mut rig.connect(), "c2");
     // Whoever is owed an answer keeps his connection.
-    rig.news(0, "c1", "done", DONE);
-    assert_eq!(working.answer().status(), 200);
+    rig.send_job_update(0, "c1", "done", DONE);
+    assert_eq!(working.read_response().status(), 200);
 }
--- a/dispatcher/tests/signals.rs
+++ b/dispatcher/tests/signals.rs
@@ -38,8 +38,8 @@
     };
     let setup = Setup { stops: "start.listen:1:stop", on_start: Some(&terminated), ..Setup::default() };
     let mut rig = Rig::set_up(vec![("w0".into(), ([127, 0, 0, 1], 9).into())], SETTINGS, setup);
-    rig.logged("SIGTERM");
-    assert!(rig.ends().success());
+    rig.wait_for_log("SIGTERM");
+    assert!(rig.wait_for_exit().success());
 }
 
 #[test]
@@ -47,18 +47,18 @@
     let (mut rig, _before) = start("reload.read:1:stop");
     let mut client = rig.post("c1", "quote", "");
     let (worker, seen) = rig.next();
-    seen.answer("202 Accepted");
+    seen.respond("202 Accepted");
     let next = Discovery::start(&entries(&rig.workers, ["up", "up"]), Behaviour::Up);
-    rig.hang_up(next.addr);
-    rig.is_frozen();
+    rig.reload_with_discovery(next.addr);
+    rig.wait_until_paused();
     rig.terminate();
-    rig.thaw();
-    rig.logged("SIGTERM");
+    rig.resume();
+    rig.wait_for_log("SIGTERM");
     // What was in hand is answered, and discovery has moved.
-    next.called(0, |_| true);
-    rig.news(worker, "c1", "done", DONE);
-    assert_eq!(client.answer().status(), 200);
-    assert!(rig.ends().success());
+    next.wait_for_call(0, |_| true);
+    rig.send_job_update(worker, "c1", "done", DONE);
+    assert_eq!(client.read_response().status(), 200);
+    assert!(rig.wait_for_exit().success());
 }
 
 /// The second one comes when the file has been read for the first: it must not be lost.
@@ -67,12 +67,12 @@
     let (rig, _before) = start("reload.read:1:stop");
     let first = Discovery::start(&entries(&rig.workers, ["up", "up"]), Behaviour::Silent);
     let second = Discovery::start(&entries(&rig.workers, ["draining", "up"]), Behaviour::Up);
-    rig.hang_up(first.addr);
-    rig.is_frozen();
-    rig.hang_up(second.addr);
-    rig.thaw();
-    second.is_known(1);
-    assert_eq!(rig.served("c1", "quote"), 1);
+    rig.reload_with_discovery(first.addr);
+    rig.wait_until_paused();
+    rig.reload_with_discovery(second.addr);
+    rig.resume();
+    second.wait_until_known(1);
+    assert_eq!(rig.serve_job("c1", "quote"), 1);
 }
 
 /// Both before the program has a turn: one reload, of what stands there then.
@@ -81,12 +81,12 @@
     let (rig, _before) = start("");
     let first = Discovery::start(&entries(&rig.workers, ["up", "up"]), Behaviour::Silent);
     let second = Discovery::start(&entries(&rig.workers, ["draining", "up"]), Behaviour::Up);
-    rig.freeze();
-    rig.hang_up(first.addr);
-    rig.hang_up(second.addr);
-    rig.thaw();
-    second.is_known(1);
-    assert_eq!(rig.served("c1", "quote"), 1);
+    rig.pause();
+    rig.reload_with_discovery(first.addr);
+    rig.reload_with_discovery(second.addr);
+    rig.resume();
+    second.wait_until_known(1);
+    assert_eq!(rig.serve_job("c1", "quote"), 1);
 }
 
 /// The new discovery tells of a drain right behind the reload, while the old one goes on with what it has.
@@ -98,16 +98,20 @@
     let (rig, _before) = start("");
     let next = Discovery::start(&entries(&rig.workers, ["up", "up"]), first.unwrap_or(Behaviour::Up));
     let since = Instant::now();
-    rig.hang_up(next.addr);
+    rig.reload_with_discovery(next.addr);
     if let Some(behaviour) = first {
-        next.called(0, |_| true);
-        next.behave(if behaviour == Behaviour::Silent { Behaviour::SilentBefore } else { Behaviour::Up });
+        next.wait_for_call(0, |_| true);
+        next.set_behaviour(if behaviour == Behaviour::Silent {
+            Behaviour::UpForNewCalls
+        } else {
+            Behaviour::Up
+        });
     }
     let version = next.list(&entries(&rig.workers, ["draining", "up"]));
-    next.is_known(version);
+    next.wait_until_known(version);
     assert!(since.elapsed() < TOLD_AFTER_RELOAD, "{:?}", since.elapsed());
     for i in 0..4 {
-        assert_eq!(rig.served(&format!("c{i}"), "quote"), 1);
+        assert_eq!(rig.serve_job(&format!("c{i}"), "quote"), 1);
     }
 }
 
@@ -121,15 +125,15 @@
     let setup = Setup { stops: "http.accepted:2:kill", listen: Some(listen), ..Setup::default() };
     let mut rig = Rig::set_up(listed.clone(), SETTINGS, setup);
     let mut usual = rig.connect();
-    usual.is_up();
+    usual.wait_until_up();
     let mut client = Client::new(listen);
     client.post("c1", "quote", "");
-    assert!(client.heard().is_none());
-    assert!(!rig.ends().success());
-    assert!(worker.has_none());
+    assert!(client.try_read_response().is_none());
+    assert!(!rig.wait_for_exit().success());
+    assert!(worker.has_no_request());
     let since = Instant::now();
     let mut rig = Rig::set_up(listed, SETTINGS, Setup { listen: Some(listen), ..Setup::default() });
     rig.workers = vec![worker];
-    assert_eq!(rig.served("c1", "quote"), 0);
+    assert_eq!(rig.serve_job("c1", "quote"), 0);
     assert!(since.elapsed() < Duration::from_secs(6), "{:?}", since.elapsed());
 }
--- a/dispatcher/tests/staleness.rs
+++ b/dispatcher/tests/staleness.rs
@@ -29,8 +29,8 @@
         let mut rig = Rig::set_up(listed, &settings, setup);
         rig.workers = workers;
         // What it was told at its start serves only once discovery has confirmed it.
-        rig.connect().is_up();
-        discovery.is_known(1);
+        rig.connect().wait_until_up();
+        discovery.wait_until_known(1);
         Tier { rig, discovery }
     }
 
@@ -43,14 +43,14 @@
     /// The first worker begins to drain; until when the program knew, at the longest from `since`.
     fn drains_and_is_known(&self, since: Instant) -> Duration {
         let version = self.discovery.list(&Tier::entries(&self.rig.workers, "draining"));
-        self.discovery.is_known(version);
+        self.discovery.wait_until_known(version);
         since.elapsed()
     }
 
     /// All jobs go to the worker that stays.
     fn leaves_the_drained_worker(&self) {
         for i in 0..4 {
-            assert_eq!(self.rig.served(&format!("job-{i}"), "quote"), 1);
+            assert_eq!(self.rig.serve_job(&format!("job-{i}"), "quote"), 1);
         }
     }
 }
@@ -63,10 +63,10 @@
     #[values(Behaviour::Down, Behaviour::Silent)] outage: Behaviour,
 ) {
     let tier = Tier::start(dispatchers);
-    tier.discovery.behave(outage);
+    tier.discovery.set_behaviour(outage);
     std::thread::sleep(OUTAGE);
     let since = Instant::now();
-    tier.discovery.behave(Behaviour::Up);
+    tier.discovery.set_behaviour(Behaviour::Up);
     let known_after = tier.drains_and_is_known(since);
     assert!(known_after < TOLD_AFTER, "{known_after:?}");
     tier.leaves_the_drained_worker();
@@ -78,7 +78,7 @@
     let tier = Tier::start(dispatchers);
     for _ in 0..5 {
         let version = tier.discovery.list(&Tier::entries(&tier.rig.workers, "up"));
-        tier.discovery.is_known(version);
+        tier.discovery.wait_until_known(version);
     }
     let known_after = tier.drains_and_is_known(Instant::now());
     // No call has to wait for its turn here.
@@ -92,18 +92,18 @@
     #[values(Behaviour::HalfBody, Behaviour::HalfBodyReset, Behaviour::HalfChunk)] cut: Behaviour,
 ) {
     let tier = Tier::start(2);
-    tier.discovery.behave(cut);
+    tier.discovery.set_behaviour(cut);
     let before = tier.discovery.calls().len();
     let version = tier.discovery.list(&Tier::entries(&tier.rig.workers, "draining"));
     // The second call shows that the first one came to nothing.
     for skip in [before, before + 1] {
-        tier.discovery.called(skip, |_| true);
+        tier.discovery.wait_for_call(skip, |_| true);
     }
     assert!(tier.discovery.calls().iter().all(|call| !call.path.contains(&format!("after={version}"))));
-    tier.rig.served("from-the-last-good-list", "quote");
+    tier.rig.serve_job("from-the-last-good-list", "quote");
     let since = Instant::now();
-    tier.discovery.behave(Behaviour::Up);
-    tier.discovery.is_known(version);
+    tier.discovery.set_behaviour(Behaviour::Up);
+    tier.discovery.wait_until_known(version);
     assert!(since.elapsed() < TOLD_AFTER, "{:?}", since.elapsed());
     tier.leaves_the_drained_worker();
 }
--- a/dispatcher/tests/steering.rs
+++ b/dispatcher/tests/steering.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::admin::{call, clear, operator, rig, set, standing, try_to_set, unix_ms, wait_for};
-use common::{folder, Rig, Setup, Worker, SETTINGS};
+use common::admin::{call, clear, operator, rig, set, standing, try_set, unix_ms, wait_for};
+use common::{create_temp_dir, Rig, Setup, Worker, SETTINGS};
 use rstest::rstest;
 use serde_json::json;
 use std::time::{Duration, Instant};
@@ -12,7 +12,7 @@
 const DONE: &str = r#","result":"a chart""#;
 
 fn served(rig: &Rig, id: &str, class: &str) -> usize {
-    rig.served(id, class)
+    rig.serve_job(id, class)
 }
 
 #[test]
@@ -21,14 +21,14 @@
     // In flight while it goes out of service.
     let mut client = rig.post("c0", "order", "");
     let (at, seen) = rig.next();
-    seen.answer("202 Accepted");
+    seen.respond("202 Accepted");
     let name = format!("w{at}");
     let (id, until) = set(&rig, &name, json!({"out_of_service": true}), Duration::from_millis(1500));
     for i in 1..6 {
         assert_eq!(served(&rig, &format!("c{i}"), "quote"), 1 - at);
     }
-    rig.news(at, "c0", "done", DONE);
-    assert_eq!(client.answer().status(), 200);
+    rig.send_job_update(at, "c0", "done", DONE);
+    assert_eq!(client.read_response().status(), 200);
     // The list changes meanwhile, and names it again at a new address.
     rig.list(&["up", "up"]);
     assert_eq!(served(&rig, "c6", "quote"), 1 - at);
@@ -49,7 +49,7 @@
     rig.list(&["removed", "up"]);
     wait_for("it has left", || standing(&rig, &id).as_deref() == Some("no such worker"));
     assert_eq!(served(&rig, "c1", "quote"), 1);
-    rig.moved(0, Worker::start("w0"));
+    rig.move_worker(0, Worker::start("w0"));
     rig.list(&["up", "up"]);
     wait_for("it is back", || standing(&rig, &id).as_deref() == Some("in force"));
     for i in 2..6 {
@@ -70,7 +70,7 @@
     set(&rig, "w0", json!({"out_of_service": true}), HOUR);
     let (id, _) = set(&rig, "w1", json!({"out_of_service": true}), HOUR);
     let asked = Instant::now();
-    let answer = rig.post("c1", class, "X-Budget-Ms: 8000\r\nIdempotency-Key: k\r\n").answer();
+    let answer = rig.post("c1", class, "X-Budget-Ms: 8000\r\nIdempotency-Key: k\r\n").read_response();
     assert_eq!(answer.status(), 503);
     assert!(answer.headers["retry-after"].parse::<f64>().expect("seconds") > 0.0);
     assert!(asked.elapsed() < Duration::from_secs(8), "not held until the deadline");
@@ -83,16 +83,16 @@
     let rig = rig(2, SETTINGS, "");
     set(&rig, "w0", json!({"pin": "quote/acme"}), Duration::from_millis(2000));
     let mut first = rig.post("c1", "quote", "");
-    assert_eq!(rig.workers[0].take(), "c1");
+    assert_eq!(rig.workers[0].accept_job(), "c1");
     // The worker has not begun the first: the second waits for it, in the dispatcher.
     let mut second = rig.post("c2", "quote", "");
     assert_eq!(served(&rig, "c3", "order"), 1, "others go as ever");
-    assert!(rig.workers[0].has_none() && rig.workers[1].has_none());
+    assert!(rig.workers[0].has_no_request() && rig.workers[1].has_no_request());
     // The pin ends: the second goes where there is room.
-    assert_eq!(rig.workers[1].take(), "c2");
-    rig.news(1, "c2", "done", DONE);
-    rig.news(0, "c1", "done", DONE);
-    assert_eq!((first.answer().status(), second.answer().status()), (200, 200));
+    assert_eq!(rig.workers[1].accept_job(), "c2");
+    rig.send_job_update(1, "c2", "done", DONE);
+    rig.send_job_update(0, "c1", "done", DONE);
+    assert_eq!((first.read_response().status(), second.read_response().status()), (200, 200));
 }
 
 #[rstest]
@@ -119,7 +119,7 @@
     // On a busy machine a short one is over before it comes, and is turned down: a longer one is tried.
     let spans = (0..10).map(|i| Duration::from_millis(30 << i));
     let taken =
-        spans.into_iter().find_map(|span| try_to_set(&rig, "w0", json!({"out_of_service": true}), span).ok());
+        spans.into_iter().find_map(|span| try_set(&rig, "w0", json!({"out_of_service": true}), span).ok());
     let (id, _) = taken.expect("one that is not over when it comes");
     wait_for("the end", || standing(&rig, &id).is_none());
     wait_for("served again", || {
@@ -131,7 +131,7 @@
 
 #[test]
 fn overrides_outlast_a_kill_where_there_is_a_state_dir_and_a_torn_log_costs_what_was_torn_alone() {
-    let dir = folder().join("state");
+    let dir = create_temp_dir().join("state");
     let more = format!(r#", "state_dir": {dir:?}"#);
     let first = rig(2, SETTINGS, &more);
     let (kept, _) = set(&first, "w0", json!({"out_of_service": true}), HOUR);
--- a/dispatcher/tests/stopping.rs
+++ b/dispatcher/tests/stopping.rs
@@ -17,9 +17,9 @@
 /// A client whose connection stands idle after an answer.
 fn usual(rig: &Rig) -> Client {
     let mut client = rig.post("c0", "quote", "");
-    assert_eq!(rig.workers[0].take(), "c0");
-    rig.news(0, "c0", "done", DONE);
-    assert_eq!(client.answer().status(), 200);
+    assert_eq!(rig.workers[0].accept_job(), "c0");
+    rig.send_job_update(0, "c0", "done", DONE);
+    assert_eq!(client.read_response().status(), 200);
     client
 }
 
@@ -40,23 +40,23 @@
     let mut client = usual(&rig);
     // A job that is out keeps the process.
     let mut other = rig.post("c1", "quote", "");
-    assert_eq!(rig.workers[0].take(), "c1");
-    rig.news(0, "c1", "started", "");
+    assert_eq!(rig.workers[0].accept_job(), "c1");
+    rig.send_job_update(0, "c1", "started", "");
     rig.list(&["draining"]);
     rig.terminate();
-    rig.logged("SIGTERM");
-    rig.freeze();
+    rig.wait_for_log("SIGTERM");
+    rig.pause();
     client.write(format!("{}{first}", head("c2")).as_bytes());
     std::thread::sleep(SHUT);
-    rig.thaw();
-    rig.turn();
+    rig.resume();
+    rig.process_pending_events();
     client.write(rest.as_bytes());
-    let answer = client.answer();
+    let answer = client.read_response();
     assert!([503, 504].contains(&answer.status()), "{answer:?}");
     assert_eq!(answer.headers["connection"], "close");
-    rig.news(0, "c1", "done", DONE);
-    assert_eq!(other.answer().status(), 200);
-    assert!(rig.ends().success());
+    rig.send_job_update(0, "c1", "done", DONE);
+    assert_eq!(other.read_response().status(), 200);
+    assert!(rig.wait_for_exit().success());
 }
 
 /// A request begun before the end of taking is let come whole, and refused.
@@ -65,19 +65,19 @@
     let mut rig = Rig::start(1);
     let mut client = usual(&rig);
     let mut other = rig.post("c1", "quote", "");
-    assert_eq!(rig.workers[0].take(), "c1");
-    rig.news(0, "c1", "started", "");
+    assert_eq!(rig.workers[0].accept_job(), "c1");
+    rig.send_job_update(0, "c1", "started", "");
     rig.terminate();
-    rig.logged("SIGTERM");
+    rig.wait_for_log("SIGTERM");
     client.write(head("c2").as_bytes());
-    rig.turn();
+    rig.process_pending_events();
     std::thread::sleep(SHUT);
-    rig.turn();
+    rig.process_pending_events();
     client.write(b"Content-Length: 7\r\n\r\npayload");
-    assert_eq!(client.answer().status(), 503);
-    rig.news(0, "c1", "done", DONE);
-    assert_eq!(other.answer().status(), 200);
-    assert!(rig.ends().success());
+    assert_eq!(client.read_response().status(), 503);
+    rig.send_job_update(0, "c1", "done", DONE);
+    assert_eq!(other.read_response().status(), 200);
+    assert!(rig.wait_for_exit().success());
 }
 
 /// The same where requests pass to plain workers. Seen: it was looked at before its body came, and sent on when the process
@@ -98,18 +98,18 @@
     let (_, kept) = rig.next();
     let mut client = rig.connect();
     client.write(b"PUT /web/b HTTP/1.1\r\nHost: app.svc\r\nContent-Length: 7\r\n\r\npay");
-    rig.turn();
+    rig.process_pending_events();
     rig.terminate();
-    rig.logged("SIGTERM");
+    rig.wait_for_log("SIGTERM");
     std::thread::sleep(SHUT);
-    rig.turn();
+    rig.process_pending_events();
     client.write(b"load");
-    rig.turn();
-    assert!(rig.workers.iter().all(|w| w.has_none()));
-    assert_eq!(client.answer().status(), 503);
-    kept.answer("200 OK");
-    assert_eq!(first.answer().status(), 200);
-    assert!(rig.ends().success());
+    rig.process_pending_events();
+    assert!(rig.workers.iter().all(|w| w.has_no_request()));
+    assert_eq!(client.read_response().status(), 503);
+    kept.respond("200 OK");
+    assert_eq!(first.read_response().status(), 200);
+    assert!(rig.wait_for_exit().success());
 }
 
 /// Connections at rest end; a request that crosses that end is not read. Its client can send it elsewhere.
@@ -118,19 +118,19 @@
     let mut rig = Rig::start(1);
     let mut client = usual(&rig);
     let mut other = rig.post("c1", "quote", "");
-    assert_eq!(rig.workers[0].take(), "c1");
-    rig.news(0, "c1", "started", "");
+    assert_eq!(rig.workers[0].accept_job(), "c1");
+    rig.send_job_update(0, "c1", "started", "");
     rig.terminate();
-    rig.logged("SIGTERM");
+    rig.wait_for_log("SIGTERM");
     // It has ended the connection, and waits for this side's end.
-    assert!(client.is_ended());
+    assert!(client.is_closed_by_peer());
     client.post("c2", "quote", "");
-    wait_until("the request lies unread, or its connection is gone", || client.unread() != Some(0));
-    rig.turn();
-    assert_ne!(client.unread(), Some(0), "read, and not answered");
-    rig.news(0, "c1", "done", DONE);
-    assert_eq!(other.answer().status(), 200);
-    assert!(rig.ends().success());
+    wait_until("the request lies unread, or its connection is gone", || client.unread_bytes() != Some(0));
+    rig.process_pending_events();
+    assert_ne!(client.unread_bytes(), Some(0), "read, and not answered");
+    rig.send_job_update(0, "c1", "done", DONE);
+    assert_eq!(other.read_response().status(), 200);
+    assert!(rig.wait_for_exit().success());
 }
 
 /// Those who stand in the queue of the socket in the moment in which it closes.
@@ -139,16 +139,16 @@
     let setup = Setup { stops: "stop.over:1:stop", ..Setup::default() };
     let mut rig = Rig::set_up(vec![("w0".into(), ([127, 0, 0, 1], 9).into())], common::SETTINGS, setup);
     rig.terminate();
-    rig.is_frozen();
+    rig.wait_until_paused();
     let mut clients: Vec<_> = (0..20).map(|i| rig.post(&format!("c{i}"), "quote", "")).collect();
     let mut late = rig.connect();
-    rig.thaw();
+    rig.resume();
     for client in &mut clients {
-        assert_eq!(client.answer().status(), 503);
+        assert_eq!(client.read_response().status(), 503);
     }
     // One that says nothing is not waited for.
-    assert!(late.is_ended());
-    assert!(rig.ends().success());
+    assert!(late.is_closed_by_peer());
+    assert!(rig.wait_for_exit().success());
 }
 
 /// A socket that others accept from as well: who stands in its queue is theirs.
@@ -159,10 +159,10 @@
     let setup = Setup { stops: "stop.over:1:stop", inherit: Some(socket), ..Setup::default() };
     let mut rig = Rig::set_up(vec![("w0".into(), ([127, 0, 0, 1], 9).into())], common::SETTINGS, setup);
     rig.terminate();
-    rig.is_frozen();
+    rig.wait_until_paused();
     let client = rig.post("c1", "quote", "");
-    rig.thaw();
-    assert!(rig.ends().success());
+    rig.resume();
+    assert!(rig.wait_for_exit().success());
     let (stream, peer) = next.accept().expect("a connection");
     assert_eq!(peer, client.addr());
     let message = common::read_message(&mut std::io::BufReader::new(stream)).expect("a request");
@@ -187,7 +187,7 @@
                     loop {
                         n += 1;
                         client.post(&format!("g{i}-{n}"), "quote", "X-Budget-Ms: 100\r\n");
-                        match client.heard() {
+                        match client.try_read_response() {
                             Some(_) => whole += 1,
                             None => break,
                         }
@@ -202,7 +202,7 @@
         .collect();
     wait_until("each has had an answer", || heard.load(Ordering::SeqCst) == 8);
     rig.terminate();
-    assert!(rig.ends().success());
+    assert!(rig.wait_for_exit().success());
     let whole: Vec<u32> = going.into_iter().map(|g| g.join().expect("a client")).collect();
     assert!(whole.iter().all(|w| *w > 0), "{whole:?}");
 }
@@ -212,12 +212,12 @@
 fn sigterm_twice_is_one_and_the_last_word_of_a_worker_is_heard() {
     let mut rig = Rig::start(1);
     let mut client = rig.post("c1", "quote", "");
-    assert_eq!(rig.workers[0].take(), "c1");
+    assert_eq!(rig.workers[0].accept_job(), "c1");
     rig.terminate();
     rig.terminate();
-    rig.logged("SIGTERM");
+    rig.wait_for_log("SIGTERM");
     std::thread::sleep(SHUT);
-    rig.news(0, "c1", "done", DONE);
-    assert_eq!(client.answer().status(), 200);
-    assert!(rig.ends().success());
+    rig.send_job_update(0, "c1", "done", DONE);
+    assert_eq!(client.read_response().status(), 200);
+    assert!(rig.wait_for_exit().success());
 }
