--- a/dispatcher/tests/streams.rs
+++ b/dispatcher/tests/streams.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::admin::wait_for;
-use common::{Rig, Setup, PATIENCE, SETTINGS};
+use common::{Rig, Setup, SETTINGS, WAIT_TIMEOUT};
 use rstest::rstest;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -34,7 +34,7 @@
                 let (act, sender) = (act.clone(), sender.clone());
                 thread::spawn(move || {
                     let mut stream = stream;
-                    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+                    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time-out");
                     if let Some((head, rest)) = read_head(&mut stream) {
                         let _ = sender.send(head.clone());
                         act(stream, head, rest);
@@ -98,7 +98,7 @@
 
 fn client(rig: &Rig, text: &str) -> TcpStream {
     let mut stream = TcpStream::connect(rig.addr).expect("it listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time-out");
     stream.write_all(text.as_bytes()).expect("written");
     stream
 }
@@ -141,7 +141,7 @@
     assert_eq!((status, &body[..]), (404, &b"none"[..]));
     let head = head.to_lowercase();
     assert!(head.contains("x-own: yes") && !head.contains("x-hop") && !head.contains("keep-alive"), "{head}");
-    let sent = up.heads.recv_timeout(PATIENCE).expect("a request").to_lowercase();
+    let sent = up.heads.recv_timeout(WAIT_TIMEOUT).expect("a request").to_lowercase();
     assert!(sent.starts_with("delete /a/b?c=d%20e http/1.1\r\n"), "{sent}");
     for field in [
         "host: shop",
@@ -350,9 +350,9 @@
         let rig = rig("quote", STREAM, &[&up]);
         let mut stream = client(&rig, &format!("PUT /x HTTP/1.1\r\nHost: x\r\n{framing}\r\n\r\n"));
         stream.write_all(&chunked(&[b'x'; 5000])).expect("it is read");
-        up.heads.recv_timeout(PATIENCE).expect("the upload has begun");
+        up.heads.recv_timeout(WAIT_TIMEOUT).expect("the upload has begun");
         drop(stream);
-        let rest = seen.recv_timeout(PATIENCE).expect("the end of the connection");
+        let rest = seen.recv_timeout(WAIT_TIMEOUT).expect("the end of the connection");
         assert!(rest.len() < 100_000 && !rest.ends_with(b"0\r\n\r\n"));
     }
 }
@@ -527,7 +527,7 @@
     let wait = std::sync::Mutex::new(wait);
     let up = Upstream::start(move |mut stream, _, _| {
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 11\r\n\r\nhello");
-        let _ = wait.lock().expect("a lock").recv_timeout(PATIENCE);
+        let _ = wait.lock().expect("a lock").recv_timeout(WAIT_TIMEOUT);
         let _ = stream.write_all(b" world");
     });
     (up, go)
@@ -540,14 +540,14 @@
     let mut stream = client(&rig, "GET /x HTTP/1.1\r\nHost: x\r\n\r\n");
     let (_, mut body) = read_head(&mut stream).expect("a head");
     rig.terminate();
-    rig.logged("SIGTERM");
+    rig.wait_for_log("SIGTERM");
     // Well past the time in which new jobs are taken.
     thread::sleep(Duration::from_millis(2000));
     assert!(rig.is_running());
     go.send(()).expect("it waits");
     assert!(read_rest(&mut stream, &mut body));
     assert_eq!(body, b"hello world");
-    assert!(rig.ends().success());
+    assert!(rig.wait_for_exit().success());
 }
 
 /// The list has it draining while an upload is on its way there: the one it has it finishes.
@@ -627,7 +627,7 @@
 fn fetch(addr: SocketAddr, size: usize) -> Duration {
     let start = std::time::Instant::now();
     let mut stream = TcpStream::connect(addr).expect("it listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time-out");
     stream.write_all(b"GET /big HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").expect("written");
     let (_, rest) = read_head(&mut stream).expect("a head");
     let (mut got, mut piece) = (rest.len(), vec![0; 1 << 18]);
@@ -763,7 +763,7 @@
     let mut stream = client(&rig, "GET /x HTTP/1.1\r\nHost: x\r\n\r\n");
     assert!(read_head(&mut stream).is_some());
     drop(stream);
-    ended.recv_timeout(PATIENCE).expect("the worker is told");
+    ended.recv_timeout(WAIT_TIMEOUT).expect("the worker is told");
 }
 
 /// Death in the middle of an upload: what is held is sent again where the class permits.
--- a/dispatcher/tests/system_calls.rs
+++ b/dispatcher/tests/system_calls.rs
@@ -28,7 +28,7 @@
     let faults = Faults::none();
     let setup = Setup { environment: faults.environment(), ..Setup::default() };
     let rig = Rig::set_up(workers.listed.clone(), SETTINGS, setup);
-    workers.call_back(rig.addr);
+    workers.add_process(rig.addr);
     (rig, faults)
 }
 
@@ -57,28 +57,29 @@
         Setup { discovery: Some(discovery.addr), environment: faults.environment(), ..Setup::default() };
     let settings = SETTINGS.replace(r#""discovery": "ask""#, &format!(r#""discovery": "{mode}""#));
     let rig = Rig::set_up(workers.listed.clone(), &settings, setup);
-    workers.call_back(rig.addr);
-    assert_eq!(rig.post("0-first", "quote", "").answer().status(), 200);
+    workers.add_process(rig.addr);
+    assert_eq!(rig.post("0-first", "quote", "").read_response().status(), 200);
     faults.fail(call, ALWAYS);
     // The watch ends, and none can be begun anew.
-    discovery.behave(Behaviour::Up);
+    discovery.set_behaviour(Behaviour::Up);
     discovery.list(&[workers.entry(0, "removed"), workers.entry(1, "up")]);
     let left = Instant::now();
     for job in 0.. {
         if left.elapsed() >= told_after + DRAIN_GRACE + LATE {
             break;
         }
-        rig.post(&format!("0-kept-{job}"), "quote", "X-Budget-Ms: 200\r\n").answer();
+        rig.post(&format!("0-kept-{job}"), "quote", "X-Budget-Ms: 200\r\n").read_response();
         thread::sleep(JOB_EVERY);
     }
     let late = Instant::now();
     for job in 0..8 {
-        let status = rig.post(&format!("0-late-{job}"), "quote", "X-Budget-Ms: 200\r\n").answer().status();
+        let status =
+            rig.post(&format!("0-late-{job}"), "quote", "X-Budget-Ms: 200\r\n").read_response().status();
         assert!(matches!(status, 200 | 503 | 504), "{status}");
     }
     assert_eq!(workers.since("s-leaving", late).len(), 0, "while {call:?} failed");
     faults.fail(call, 0);
-    assert_eq!(rig.post("0-again", "quote", "").answer().status(), 200);
+    assert_eq!(rig.post("0-again", "quote", "").read_response().status(), 200);
     assert_eq!(workers.since("s-leaving", late).len(), 0);
 }
 
@@ -94,12 +95,16 @@
     let began = Instant::now();
     while began.elapsed() < BURST {
         let job = format!("0-burst-{}", began.elapsed().as_micros());
-        let status = rig.post(&job, "quote", "X-Budget-Ms: 150\r\n").answer().status();
+        let status = rig.post(&job, "quote", "X-Budget-Ms: 150\r\n").read_response().status();
         assert!(matches!(status, 503 | 504), "{status}");
     }
     faults.fail(call, 0);
     let again = Instant::now();
-    assert_eq!(rig.post("0-again", "quote", "X-Budget-Ms: 400\r\n").answer().status(), 200, "{call:?}");
+    assert_eq!(
+        rig.post("0-again", "quote", "X-Budget-Ms: 400\r\n").read_response().status(),
+        200,
+        "{call:?}"
+    );
     assert!(again.elapsed() < Duration::from_millis(400), "{:?}", again.elapsed());
 }
 
@@ -110,14 +115,14 @@
     let setup = Setup { stops: "stop.over:1:stop", environment: faults.environment(), ..Setup::default() };
     let mut rig = Rig::set_up(vec![("w0".into(), ([127, 0, 0, 1], 9).into())], SETTINGS, setup);
     rig.terminate();
-    rig.is_frozen();
+    rig.wait_until_paused();
     let mut clients: Vec<_> = (0..40).map(|i| rig.post(&format!("c{i}"), "quote", "")).collect();
     faults.fail(Call::Accept, ALWAYS / 2);
-    rig.thaw();
+    rig.resume();
     for client in &mut clients {
-        assert_eq!(client.answer().status(), 503);
+        assert_eq!(client.read_response().status(), 503);
     }
-    assert!(rig.ends().success());
+    assert!(rig.wait_for_exit().success());
 }
 
 /// Three of four accepts fail, and clients come together: each of them is let in, served and answered while there is time. Seen in
@@ -128,7 +133,7 @@
     faults.fail(Call::Accept, ALWAYS * 3 / 4);
     let clients: Vec<_> =
         (0..20).map(|job| rig.post(&format!("0-c{job}"), "quote", "X-Budget-Ms: 2000\r\n")).collect();
-    let answers: Vec<u16> = clients.into_iter().map(|mut client| client.answer().status()).collect();
+    let answers: Vec<u16> = clients.into_iter().map(|mut client| client.read_response().status()).collect();
     assert!(answers.iter().all(|status| *status == 200), "{answers:?}");
 }
 
@@ -145,7 +150,7 @@
     let began = Instant::now();
     let rig = Rig::set_up(Vec::new(), SETTINGS, Setup { environment, ..Setup::default() });
     assert!(began.elapsed() >= BURST);
-    rig.connect().is_up();
+    rig.connect().wait_until_up();
     mended.join().expect("it is mended");
 }
 
@@ -157,23 +162,23 @@
         faults.fail(call, ALWAYS / 2);
     }
     for job in 0..40 {
-        assert_eq!(rig.post(&format!("0-c{job}"), "quote", "").answer().status(), 200);
+        assert_eq!(rig.post(&format!("0-c{job}"), "quote", "").read_response().status(), 200);
     }
     let mut malformed = rig.connect();
     malformed.write(b"no such thing\r\n\r\n");
-    assert_eq!(malformed.answer().status(), 400);
+    assert_eq!(malformed.read_response().status(), 400);
 }
 
 /// The next job that comes to a worker, which takes it; calls that give one up are answered on the way.
 fn next_job(worker: &Worker) -> String {
     loop {
         let seen = worker.next();
-        if seen.message.first.starts_with("POST ") {
+        if seen.message.start_line.starts_with("POST ") {
             let reference = seen.reference().to_owned();
-            seen.answer("202 Accepted");
+            seen.respond("202 Accepted");
             return reference;
         }
-        seen.answer("200 OK");
+        seen.respond("200 OK");
     }
 }
 
@@ -193,11 +198,11 @@
     let mut client = rig.post("c1", "quote", "X-Budget-Ms: 1000\r\n");
     assert_eq!(next_job(&rig.workers[0]), "c1");
     faults.step_clock(step_ms);
-    assert_eq!(client.answer().status(), 504);
+    assert_eq!(client.read_response().status(), 504);
     let took = began.elapsed();
     assert!((Duration::from_millis(900)..Duration::from_millis(1300)).contains(&took), "{took:?}");
     let mut client = rig.post("c2", "quote", "");
     assert_eq!(next_job(&rig.workers[0]), "c2");
-    rig.news(0, "c2", "done", r#","result":"x""#);
-    assert_eq!(client.answer().status(), 200);
+    rig.send_job_update(0, "c2", "done", r#","result":"x""#);
+    assert_eq!(client.read_response().status(), 200);
 }
--- a/dispatcher/tests/watches.rs
+++ b/dispatcher/tests/watches.rs
@@ -23,7 +23,7 @@
     let since = Instant::now();
     rig.list(&["draining", "up"]);
     assert!(since.elapsed() < Duration::from_millis(within_ms), "{:?}", since.elapsed());
-    assert_eq!(rig.served("c1", "quote"), 1);
+    assert_eq!(rig.serve_job("c1", "quote"), 1);
 }
 
 /// A discovery that starts anew counts from one, and tells of nothing to whoever asks for what is newer than its old
@@ -37,9 +37,9 @@
     (0..3).for_each(|_| rig.list(&["up", "up"]));
     rig.restart_discovery(&["draining", "up"]);
     // It asks for what is newer than the first version once it has read that one.
-    rig.asks_after(1);
+    rig.wait_until_known(1);
     for i in 0..4 {
-        assert_eq!(rig.served(&format!("c{i}"), "quote"), 1);
+        assert_eq!(rig.serve_job(&format!("c{i}"), "quote"), 1);
     }
 }
 
@@ -50,12 +50,12 @@
     let settings = SETTINGS.replace(r#""instances": 1"#, r#""instances": 60"#);
     let rig = Rig::with(2, &settings, None);
     rig.list(&["up", "up"]);
-    rig.end_watches();
+    rig.close_discovery_connections();
     let since = Instant::now();
     rig.list(&["draining", "up"]);
     // 60 calls of 10 ms each; the module's own wait would be 3.6 s at least.
     assert!(since.elapsed() < Duration::from_millis(3000), "{:?}", since.elapsed());
-    assert_eq!(rig.served("c1", "quote"), 1);
+    assert_eq!(rig.serve_job("c1", "quote"), 1);
 }
 
 /// What changes within 200 ms of an answer to a watch counts as told. Seen: lists changed every 180 ms, the tier's pause
@@ -71,7 +71,7 @@
     rig.list(&["draining", "up"]);
     // The pause would be 1.5 s at least.
     assert!(since.elapsed() < Duration::from_millis(1000), "{:?}", since.elapsed());
-    assert_eq!(rig.served("c1", "quote"), 1);
+    assert_eq!(rig.serve_job("c1", "quote"), 1);
 }
 
 /// A new configuration while a call to the old discovery is silent; and another one right behind it.
@@ -88,5 +88,5 @@
     rig.move_discovery(&["up", "up"]);
     rig.move_discovery(&["draining", "up"]);
     assert!(since.elapsed() < Duration::from_millis(3000), "{:?}", since.elapsed());
-    assert_eq!(rig.served("c1", "quote"), 1);
+    assert_eq!(rig.serve_job("c1", "quote"), 1);
 }
--- a/dispatcher/tests/words.rs
+++ b/dispatcher/tests/words.rs
@@ -20,19 +20,19 @@
 fn a_word_said_again_is_not_the_next_attempts(#[case] word: &str) {
     let rig = Rig::start(1);
     let mut client = rig.post("c1", "quote", "");
-    assert_eq!(rig.workers[0].take(), "c1");
-    rig.news(0, "c1", word, "");
-    assert_eq!(rig.workers[0].take(), "c1");
-    rig.news(0, "c1", word, "");
-    let seen = rig.workers[0].next_of_job();
-    assert_eq!(seen.message.first, "DELETE /jobs/c1 HTTP/1.1", "a second copy beside the one that runs");
+    assert_eq!(rig.workers[0].accept_job(), "c1");
+    rig.send_job_update(0, "c1", word, "");
+    assert_eq!(rig.workers[0].accept_job(), "c1");
+    rig.send_job_update(0, "c1", word, "");
+    let seen = rig.workers[0].next_job_request();
+    assert_eq!(seen.message.start_line, "DELETE /jobs/c1 HTTP/1.1", "a second copy beside the one that runs");
     // Only once the worker knows may the next one go out.
-    rig.turn();
-    assert!(rig.workers[0].has_none());
-    seen.answer("200 OK");
-    assert_eq!(rig.workers[0].take(), "c1");
-    rig.news(0, "c1", "done", DONE);
-    assert_eq!(client.answer().status(), 200);
+    rig.process_pending_events();
+    assert!(rig.workers[0].has_no_request());
+    seen.respond("200 OK");
+    assert_eq!(rig.workers[0].accept_job(), "c1");
+    rig.send_job_update(0, "c1", "done", DONE);
+    assert_eq!(client.read_response().status(), 200);
 }
 
 /// The same of a job that must not be repeated: that the first attempt never ran says nothing of the second.
@@ -40,18 +40,18 @@
 fn a_refusal_said_again_does_not_make_a_third_attempt_of_what_must_not_be_repeated() {
     let rig = Rig::start(1);
     let mut client = rig.post("c1", "order", "");
-    assert_eq!(rig.workers[0].take(), "c1");
-    rig.news(0, "c1", "returned", "");
-    assert_eq!(rig.workers[0].take(), "c1");
-    rig.news(0, "c1", "returned", "");
-    let seen = rig.workers[0].next_of_job();
-    assert_eq!(seen.message.first, "DELETE /jobs/c1 HTTP/1.1");
+    assert_eq!(rig.workers[0].accept_job(), "c1");
+    rig.send_job_update(0, "c1", "returned", "");
+    assert_eq!(rig.workers[0].accept_job(), "c1");
+    rig.send_job_update(0, "c1", "returned", "");
+    let seen = rig.workers[0].next_job_request();
+    assert_eq!(seen.message.start_line, "DELETE /jobs/c1 HTTP/1.1");
     // The second runs on, and its result comes before the worker knows.
-    rig.news(0, "c1", "done", DONE);
-    assert_eq!(client.answer().status(), 200);
-    seen.answer("200 OK");
-    rig.turn();
-    assert!(rig.workers[0].has_none());
+    rig.send_job_update(0, "c1", "done", DONE);
+    assert_eq!(client.read_response().status(), 200);
+    seen.respond("200 OK");
+    rig.process_pending_events();
+    assert!(rig.workers[0].has_no_request());
 }
 
 /// The worker ends a job while the call that gives it up is on its way. Seen: the next attempt went there at once, and that
@@ -62,26 +62,26 @@
 fn the_next_attempt_waits_for_the_call_that_gives_the_last_one_up(#[case] word: &str) {
     let rig = Rig::with(1, &SETTINGS.replace(r#""aim_ms": 500"#, r#""aim_ms": 50"#), None);
     let mut client = rig.post("c1", "quote", "");
-    assert_eq!(rig.workers[0].take(), "c1");
-    rig.news(0, "c1", "started", "");
+    assert_eq!(rig.workers[0].accept_job(), "c1");
+    rig.send_job_update(0, "c1", "started", "");
     let giving_up = rig.workers[0].next();
-    assert_eq!(giving_up.message.first, "DELETE /jobs/c1 HTTP/1.1");
-    rig.news(0, "c1", word, "");
+    assert_eq!(giving_up.message.start_line, "DELETE /jobs/c1 HTTP/1.1");
+    rig.send_job_update(0, "c1", word, "");
     // Longer than it takes to decide; shorter than such a call may take.
     let since = Instant::now();
     while since.elapsed() < Duration::from_millis(300) {
-        rig.turn();
-        assert!(rig.workers[0].has_none(), "the call is still on its way");
+        rig.process_pending_events();
+        assert!(rig.workers[0].has_no_request(), "the call is still on its way");
         std::thread::sleep(Duration::from_millis(5));
     }
-    giving_up.answer("200 OK");
-    assert_eq!(rig.workers[0].take(), "c1");
-    rig.news(0, "c1", "done", DONE);
-    assert_eq!(client.answer().status(), 200);
+    giving_up.respond("200 OK");
+    assert_eq!(rig.workers[0].accept_job(), "c1");
+    rig.send_job_update(0, "c1", "done", DONE);
+    assert_eq!(client.read_response().status(), 200);
 }
 
 fn read_first(stream: &TcpStream) -> String {
-    read_message(&mut BufReader::new(stream.try_clone().expect("a socket"))).expect("a request").first
+    read_message(&mut BufReader::new(stream.try_clone().expect("a socket"))).expect("a request").start_line
 }
 
 /// Taken is taken, whatever becomes of the rest of that answer. Seen: it counted as broken, or as silent; what must not be
@@ -105,12 +105,12 @@
     socket.set_nonblocking(true).expect("a socket");
     let since = Instant::now();
     while since.elapsed() < Duration::from_millis(800) {
-        rig.turn();
+        rig.process_pending_events();
         assert!(socket.accept().is_err(), "given up, or sent a second time");
         std::thread::sleep(Duration::from_millis(5));
     }
-    rig.tell("w0", "c1", "done", DONE);
-    assert_eq!(client.answer().status(), 200);
+    rig.send_job_update_from("w0", "c1", "done", DONE);
+    assert_eq!(client.read_response().status(), 200);
     drop(kept);
 }
 
@@ -128,14 +128,14 @@
     };
     let mut client = rig.post("a0", "order", "");
     let (mut stream, _) = socket.accept().expect("a connection");
-    stream.set_read_timeout(Some(common::PATIENCE)).expect("a time-out");
+    stream.set_read_timeout(Some(common::WAIT_TIMEOUT)).expect("a time-out");
     assert_eq!(read_first(&stream), "POST /api HTTP/1.1");
     // The next request has to follow within some milliseconds: tried until a slow machine lets it.
     for round in 0..1000 {
         let since = Instant::now();
         say(&mut stream, "202 Accepted");
-        rig.tell("w0", &format!("a{round}"), "done", DONE);
-        assert_eq!(client.answer().status(), 200);
+        rig.send_job_update_from("w0", &format!("a{round}"), "done", DONE);
+        assert_eq!(client.read_response().status(), 200);
         client.post(&format!("a{}", round + 1), "order", "");
         assert_eq!(read_first(&stream), "POST /api HTTP/1.1");
         if since.elapsed() < Duration::from_millis(25) {
@@ -145,5 +145,5 @@
     say(&mut stream, twice);
     assert!(read_first(&stream).starts_with("DELETE /jobs/a"), "sent a second time");
     say(&mut stream, "200 OK");
-    assert!([503, 504].contains(&client.answer().status()));
+    assert!([503, 504].contains(&client.read_response().status()));
 }
