--- a/dispatcher/tests/common/admin.rs
+++ b/dispatcher/tests/common/admin.rs
@@ -1,4 +1,4 @@
-//! The admin listener as tests call it.
+//! Calls to the admin listener.
 
 use super::{create_temp_dir, Client, Message, Rig, Setup, Worker, WAIT_TIMEOUT};
 use serde_json::{json, Value};
@@ -12,20 +12,20 @@
     SystemTime::now().duration_since(UNIX_EPOCH).expect("a time").as_millis() as u64
 }
 
-/// A file of a folder of its own.
+/// Writes a file into a temporary directory of its own.
 pub fn file(name: &str, text: &str) -> PathBuf {
     let path = create_temp_dir().join(name);
     std::fs::write(&path, text).expect("a file");
     path
 }
 
-/// The operator's file with an admin listener; `more` holds further keys, each after a comma.
+/// The operator's file with an admin listener; `more` holds additional keys, each preceded by a comma.
 pub fn operator(more: &str) -> String {
     let key = file("admin.key", KEY);
     format!(r#"{{"admin": {{"listen": "127.0.0.1:0", "key_file": {key:?}}}{more}}}"#)
 }
 
-/// A dispatcher with so many workers and an admin listener.
+/// Starts a dispatcher with the given number of workers and an admin listener.
 pub fn rig(workers: usize, settings: &str, more: &str) -> Rig {
     let workers: Vec<Worker> = (0..workers).map(|i| Worker::start(&format!("w{i}"))).collect();
     let listed = workers.iter().map(|w| (w.id.clone(), w.addr)).collect();
@@ -35,7 +35,7 @@
     rig
 }
 
-/// Calls the admin listener with any words.
+/// Calls the admin listener with the given key; an empty key sends no `Authorization` field.
 pub fn call_as(addr: SocketAddr, key: &str, first: &str, body: &str) -> Message {
     let mut client = Client::new(addr);
     let key = if key.is_empty() { String::new() } else { format!("Authorization: Bearer {key}\r\n") };
@@ -48,12 +48,12 @@
     (answer.status(), serde_json::from_str(&answer.body).expect("JSON"))
 }
 
-/// Sets an override for so long; its id and the moment of its end.
+/// Sets an override for the given time; returns its id and its expiry in Unix milliseconds.
 pub fn set(rig: &Rig, worker: &str, what: Value, span: Duration) -> (String, u64) {
-    try_set(rig, worker, what, span).expect("an override that is taken")
+    try_set(rig, worker, what, span).expect("the override is accepted")
 }
 
-/// The same, where it may be turned down; the answer to that.
+/// Like `set`, but returns the response body if the override is rejected.
 pub fn try_set(rig: &Rig, worker: &str, what: Value, span: Duration) -> Result<(String, u64), Value> {
     let until = unix_ms() + span.as_millis() as u64;
     let mut order = json!({"worker": worker, "until_ms": until, "by": "ama", "why": "test"});
@@ -69,7 +69,7 @@
     call(rig, &format!("DELETE /overrides/{id}"), "")
 }
 
-/// The overrides that a dispatcher shows, without what differs from moment to moment.
+/// The overrides that a dispatcher lists, without the remaining time, which differs between calls.
 pub fn list_overrides(rig: &Rig) -> Vec<Value> {
     let (status, mut answer) = call(rig, "GET /overrides", "");
     assert_eq!(status, 200);
@@ -78,17 +78,17 @@
     std::mem::take(lines)
 }
 
-/// How an override stands at a dispatcher; `None`: it is not shown.
+/// The `standing` of an override at a dispatcher; `None` if it is not listed.
 pub fn standing(rig: &Rig, id: &str) -> Option<String> {
     let lines = list_overrides(rig);
     lines.iter().find(|l| l["id"] == id).map(|l| l["standing"].as_str().expect("a word").into())
 }
 
-/// Waits for a condition; how long that took.
+/// Waits for a condition and returns how long that took.
 pub fn wait_for(what: &str, mut met: impl FnMut() -> bool) -> Duration {
     let start = Instant::now();
     while !met() {
-        assert!(start.elapsed() < WAIT_TIMEOUT, "in vain: {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "timed out waiting: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
     start.elapsed()
--- a/dispatcher/tests/common/beanstalkd.rs
+++ b/dispatcher/tests/common/beanstalkd.rs
@@ -1,5 +1,5 @@
-//! A beanstalkd server as far as a worker's needs to be one. The worker itself is the test: it reserves and
-//! answers in the server's memory.
+//! A beanstalkd server with the commands that a worker's queue needs. The test acts as the worker: it reserves jobs and reports
+//! results directly in the server's state.
 
 use super::WAIT_TIMEOUT;
 use std::collections::BTreeMap;
@@ -21,9 +21,9 @@
 struct State {
     jobs: BTreeMap<u64, Job>,
     last: u64,
-    /// Puts are answered only when their job has gone.
+    /// Replies to `put` are delayed until the job has been deleted.
     delays_puts: bool,
-    /// How often all connections have been cut: one from before gets nothing more.
+    /// How often all connections have been closed; a connection accepted before the last time receives no more jobs.
     disconnects: u32,
     connections: Vec<TcpStream>,
 }
@@ -35,7 +35,7 @@
     stop: AtomicBool,
 }
 
-/// A job as a worker got it.
+/// A job reserved by the worker.
 pub struct ReservedJob {
     pub id: u64,
     pub answers: String,
@@ -71,7 +71,7 @@
         Server { addr, shared }
     }
 
-    /// Takes the next ready job as a worker would.
+    /// Reserves the next ready job.
     pub fn reserve_job(&self) -> ReservedJob {
         let (id, body) = self.shared.reserve(&["work".into()], WAIT_TIMEOUT, None).expect("a job comes");
         let (head, body) = body.split_once('\n').expect("a first line");
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Says what became of a job, and deletes it if that is the end of it.
+    /// Reports a job's state, and deletes the job if that state is final.
     pub fn report(&self, job: &ReservedJob, word: &str, result: &str) {
         let mut state = self.shared.lock();
         if word != "started" {
@@ -98,23 +98,23 @@
         self.shared.changed.notify_all();
     }
 
-    /// Waits until jobs of the work tube are so many.
+    /// Waits until the work tube contains this many jobs.
     pub fn wait_for_job_count(&self, count: usize) {
         let differs = |s: &mut State| s.jobs.values().filter(|j| j.tube == "work").count() != count;
         let state = self.shared.lock();
         let (_state, waited) =
             self.shared.changed.wait_timeout_while(state, WAIT_TIMEOUT, differs).expect("a lock");
-        assert!(!waited.timed_out(), "it does not come to hold {count} jobs");
+        assert!(!waited.timed_out(), "the work tube does not reach {count} jobs");
     }
 
     pub fn delay_put_replies(&self) {
         self.shared.lock().delays_puts = true;
     }
 
-    /// The process dies: connections break, and new ones are refused.
+    /// Simulates a crash: connections break, and new ones are refused.
     pub fn shut_down(&self) {
         self.shared.stop.store(true, Ordering::SeqCst);
-        // Wakes the one that accepts, so that it lets go of the port.
+        // Wakes the accepting thread, so that it closes the listener.
         let _ = TcpStream::connect(self.addr);
         let until = Instant::now() + WAIT_TIMEOUT;
         while TcpStream::connect(self.addr).is_ok() && Instant::now() < until {
@@ -123,7 +123,7 @@
         self.close_connections();
     }
 
-    /// All connections break.
+    /// Closes all connections.
     pub fn close_connections(&self) {
         let mut state = self.shared.lock();
         state.disconnects += 1;
@@ -207,7 +207,7 @@
             }
             "delete" => {
                 let mut state = shared.lock();
-                // A job that another connection has reserved is not found.
+                // A job reserved by another connection is not found.
                 let answer = watched.len() == 1 && watched[0] != "default";
                 let free = state.jobs.get(&number(1)).is_some_and(|j| answer || !j.reserved);
                 let deleted = free && state.jobs.remove(&number(1)).is_some();
--- a/dispatcher/tests/common/discovery.rs
+++ b/dispatcher/tests/common/discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery whose failures a test chooses: down, silent, slow, or cut off in the middle of an answer.
+//! A simulated discovery with selectable failures: down, silent, slow, or closing in the middle of a response.
 
 use super::{read_message, WAIT_TIMEOUT};
 use std::io::{BufReader, Write};
@@ -7,30 +7,30 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How calls are answered.
+/// How discovery responds to calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Behaviour {
-    /// With the list, at once or when it changes.
+    /// Responds with the list, at once or when it changes.
     Up,
-    /// The connection is reset.
+    /// Resets the connection.
     Down,
-    /// Not at all: the call is read, and the connection stays open.
+    /// Reads the call and does not respond; the connection stays open.
     Silent,
-    /// Calls that were left without an answer stay so; those that come are answered.
+    /// Responds to new calls; calls left unanswered before stay unanswered.
     UpForNewCalls,
-    /// As in `Up`, but only so long after the call came.
+    /// As `Up`, but after a delay.
     Slow(Duration),
-    /// With 503, so long after the call came.
+    /// Responds with 503 after a delay.
     Refusing(Duration),
-    /// With the head and half of the body; then the connection ends.
+    /// Sends the head and half of the body, then closes the connection.
     HalfBody,
-    /// The same, and the connection is reset.
+    /// Sends the head and half of the body, then resets the connection.
     HalfBodyReset,
-    /// With the head and half of a chunk; then the connection ends.
+    /// Sends the head and half of a chunk, then closes the connection.
     HalfChunk,
 }
 
-/// A call as it came.
+/// A received call.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub path: String,
@@ -38,7 +38,7 @@
 }
 
 impl Call {
-    /// Whether the whole list is asked for.
+    /// Whether the call requests the full list.
     pub fn requests_full_list(&self) -> bool {
         !self.path.contains("after=")
     }
@@ -63,13 +63,13 @@
     }
 }
 
-/// A discovery at an address of its own.
+/// A simulated discovery with an address of its own.
 pub struct Discovery {
     pub addr: SocketAddr,
     shared: Arc<Shared>,
 }
 
-/// One entry of a list.
+/// One entry of the worker list.
 pub fn entry(id: &str, addr: SocketAddr, state: &str, started_ms: u64) -> String {
     format!(
         r#"{{"id":"{id}","addr":"{addr}","zone":"a","kind":"m","cell":0,"state":"{state}","started_ms":{started_ms}}}"#
@@ -77,7 +77,7 @@
 }
 
 impl Discovery {
-    /// Lists these entries from version 1 on.
+    /// Starts with these entries as version 1.
     pub fn start(entries: &[String], behaviour: Behaviour) -> Discovery {
         let socket = TcpListener::bind("127.0.0.1:0").expect("a port");
         let addr = socket.local_addr().expect("an address");
@@ -100,7 +100,7 @@
         Discovery { addr, shared }
     }
 
-    /// Goes over to another behaviour. Calls that wait are ended, unless it only falls silent.
+    /// Switches to another behaviour. Pending calls are closed, except where the new behaviour leaves them unanswered.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
         let mut state = self.shared.lock();
         state.behaviour = behaviour;
@@ -111,7 +111,7 @@
         self.shared.changed.notify_all();
     }
 
-    /// The list changes; the version that it has now.
+    /// Publishes a new list and returns its version.
     pub fn list(&self, entries: &[String]) -> u64 {
         let mut state = self.shared.lock();
         state.version += 1;
@@ -124,16 +124,16 @@
         self.shared.lock().calls.clone()
     }
 
-    /// Waits for a call that fits, among those that came after the first `skip`.
+    /// Waits for a call that matches, not counting the first `skip` calls.
     pub fn wait_for_call(&self, skip: usize, fits: impl Fn(&Call) -> bool) -> Call {
         let none = |s: &mut State| !s.calls.iter().skip(skip).any(&fits);
         let (state, _) =
             self.shared.changed.wait_timeout_while(self.shared.lock(), WAIT_TIMEOUT, none).expect("a lock");
         let found = state.calls.iter().skip(skip).find(|call| fits(call)).cloned();
-        found.unwrap_or_else(|| panic!("not called so: {:?}", state.calls))
+        found.unwrap_or_else(|| panic!("no matching call: {:?}", state.calls))
     }
 
-    /// Waits until the program says that it knows this version.
+    /// Waits until the program has acknowledged this version.
     pub fn wait_until_known(&self, version: u64) {
         self.wait_for_call(0, |call| number(&call.path, "after=") == Some(version));
     }
@@ -174,7 +174,7 @@
             }
             _ => {}
         }
-        // A call that waits is answered when there is news, or discovery changes its ways.
+        // A pending watch is answered when the list or the behaviour changes.
         let old = |s: &mut State| after.is_some_and(|a| s.version <= a) && s.behaviour == behaviour;
         let span = Duration::from_millis(wait);
         let (state, _) = shared.changed.wait_timeout_while(state, span, old).expect("a lock");
@@ -192,12 +192,12 @@
     }
 }
 
-/// Refuses a call; false where the connection has ended.
+/// Responds with 503; false if the connection has ended.
 fn refuse(mut stream: &TcpStream) -> bool {
     stream.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n").is_ok()
 }
 
-/// Answers a call; false where that ends the connection.
+/// Responds to a call; false if that ends the connection.
 fn answer(mut stream: &TcpStream, body: &str, behaviour: Behaviour) -> bool {
     let half = &body[..body.len() / 2];
     let sized = format!("Content-Length: {}", body.len());
@@ -213,7 +213,7 @@
             false
         }
         Behaviour::HalfBodyReset => {
-            // What was written has to be read before the reset throws it away.
+            // The peer has to read what was written before the reset discards it.
             thread::sleep(Duration::from_millis(50));
             let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
             false
--- a/dispatcher/tests/common/faults.rs
+++ b/dispatcher/tests/common/faults.rs
@@ -1,4 +1,4 @@
-//! System calls of the program that fail, by the shim that is loaded into it.
+//! Fault injection into the program's system calls, by a preloaded shim.
 
 use super::create_temp_dir;
 use lineroute_fault_plan::{Call, FaultPlan, PLAN_VARIABLE};
@@ -8,10 +8,10 @@
 use std::process::Command;
 use std::sync::OnceLock;
 
-/// Every call of a sort fails.
+/// Rate at which every call fails, in calls per thousand.
 pub const ALWAYS: u64 = 1000;
 
-/// The shim, built here: tests alone do not build it, and one that an earlier build left may lack calls.
+/// Builds the shim and returns its path: building the tests does not build it, and a shim left by an earlier build may lack calls.
 pub fn shim() -> &'static Path {
     static SHIM: OnceLock<PathBuf> = OnceLock::new();
     SHIM.get_or_init(|| {
@@ -26,7 +26,7 @@
     })
 }
 
-/// The faults of one process.
+/// The fault plan of one process.
 pub struct Faults {
     file: File,
     path: PathBuf,
@@ -34,7 +34,7 @@
 }
 
 impl Faults {
-    /// Nothing fails at first.
+    /// A plan without faults.
     pub fn none() -> Faults {
         let path = create_temp_dir().join("faults");
         let file = File::create(&path).expect("a file");
@@ -43,19 +43,19 @@
         faults
     }
 
-    /// What the program has to find in its environment.
+    /// The environment variables that load the shim and name the plan.
     pub fn environment(&self) -> Vec<(String, String)> {
         let text = |path: &Path| path.to_str().expect("a path of letters").to_owned();
         vec![("LD_PRELOAD".into(), text(shim())), (PLAN_VARIABLE.into(), text(&self.path))]
     }
 
-    /// So many of a thousand calls fail from now on.
+    /// Makes `per_mille` of a thousand calls fail from now on.
     pub fn fail(&mut self, call: Call, per_mille: u64) {
         self.plan.rates[call as usize] = per_mille;
         self.write();
     }
 
-    /// Steps the wall clock.
+    /// Steps the program's wall clock.
     pub fn step_clock(&mut self, step_ms: i64) {
         self.plan.clock_offset_ms += step_ms;
         self.write();
--- a/dispatcher/tests/common/mod.rs
+++ b/dispatcher/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! The program as a process, and its peers as the tests play them: clients, workers, discovery. Every wait
-//! is for something that must come, with a limit only against hanging.
+//! Test harness: runs the program as a child process against simulated clients, workers and discovery. Every wait is for
+//! an event that must occur; its time limit only keeps a failed test from hanging.
 #![allow(dead_code)]
 
 pub mod admin;
@@ -32,10 +32,10 @@
   "most_held": 50, "keepalive_ms": 10000, "connect_timeout_ms": 1000},
  "specifics": {"class_stretch": [2, 2, 2], "tells_start": true}}"#;
 
-/// A message as it came over the socket.
+/// An HTTP request or response as read from the socket.
 #[derive(Debug)]
 pub struct Message {
-    /// The first line.
+    /// Request line or status line.
     pub start_line: String,
     pub headers: HashMap<String, String>,
     pub body: String,
@@ -47,7 +47,7 @@
     }
 }
 
-/// Reads one message; nothing where the connection ends.
+/// Reads one message; `None` if the connection ends first.
 pub fn read_message(stream: &mut impl BufRead) -> Option<Message> {
     let mut line = || {
         let mut line = String::new();
@@ -71,7 +71,7 @@
     let _ = stream.write_all(text.as_bytes());
 }
 
-/// What came to a worker, and the say in what it answers. Dropped, it ends the connection.
+/// A request received by a worker, with the means to respond to it. Dropping it closes the connection.
 pub struct WorkerRequest {
     pub message: Message,
     answer: Sender<String>,
@@ -91,7 +91,7 @@
     pub id: String,
     pub addr: SocketAddr,
     seen: Receiver<WorkerRequest>,
-    /// Connections that are open to it, and how many ever were.
+    /// Connections that are open now, and all connections accepted so far.
     pub open_connections: Arc<AtomicU32>,
     pub connections_accepted: Arc<AtomicU32>,
 }
@@ -127,12 +127,12 @@
         Worker { id: id.into(), addr, seen, open_connections: open, connections_accepted: began }
     }
 
-    /// The next request that comes here.
+    /// Waits for the next request.
     pub fn next(&self) -> WorkerRequest {
-        self.seen.recv_timeout(WAIT_TIMEOUT).expect("the worker is asked for something")
+        self.seen.recv_timeout(WAIT_TIMEOUT).expect("the worker receives a request")
     }
 
-    /// The same; nothing once nobody can come any more.
+    /// Waits for the next request without a time limit; `None` once the worker can no longer receive any.
     pub fn next_unless_closed(&self) -> Option<WorkerRequest> {
         self.seen.recv().ok()
     }
@@ -141,12 +141,12 @@
         self.seen.try_recv().is_err()
     }
 
-    /// The first lines of all that has come.
+    /// The request lines of all requests received and not yet read by the test.
     pub fn request_lines(&self) -> Vec<String> {
         self.seen.try_iter().map(|seen| seen.message.start_line).collect()
     }
 
-    /// Whether that job is among what has come and was not taken up yet.
+    /// Whether the given job is among the requests received and not yet read by the test; discards them.
     pub fn has_received_job(&self, reference: &str) -> bool {
         let is_it = |seen: &WorkerRequest| {
             let Message { start_line, headers, .. } = &seen.message;
@@ -155,7 +155,7 @@
         self.seen.try_iter().filter(is_it).count() > 0
     }
 
-    /// Takes what has come, if anything has; true unless it is that job, which is then taken with 202.
+    /// Answers the next pending request, if there is one, with 202; false if it was the given job.
     pub fn has_no_request_for(&self, reference: &str) -> bool {
         let Ok(seen) = self.seen.try_recv() else { return true };
         let is_it = seen.reference() == reference;
@@ -163,7 +163,7 @@
         !is_it
     }
 
-    /// The next request of a job: probes are answered meanwhile.
+    /// Waits for the next job request, answering health probes with 200.
     pub fn next_job_request(&self) -> WorkerRequest {
         loop {
             let seen = self.next();
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Takes a job with 202 and gives its reference.
+    /// Accepts the next job with 202 and returns its reference.
     pub fn accept_job(&self) -> String {
         let seen = self.next();
         assert!(seen.message.start_line.starts_with("POST "), "{:?}", seen.message);
@@ -184,52 +184,52 @@
     }
 }
 
-/// The version of the list, its servers, the version that the program has last said it knows, and whether the
-/// call that waits is never answered.
+/// The version of the worker list, its entries, the highest version that the program has acknowledged, and whether the
+/// pending watch is to be left unanswered.
 type DiscoveryState = Arc<(Mutex<(u64, String, u64, bool)>, Condvar)>;
 
-/// A running program with its peers.
+/// A running program with its simulated peers.
 pub struct Rig {
     child: Child,
     pub addr: SocketAddr,
     pub workers: Vec<Worker>,
-    /// Names and addresses of all that is listed.
+    /// Ids and addresses of all workers in the list.
     listed: Vec<(String, SocketAddr)>,
     kind: &'static str,
     list: DiscoveryState,
     streams: DiscoveryStreams,
     dir: PathBuf,
-    /// What it wrote to the log after its addresses.
+    /// Log lines written after the program reported its addresses.
     log: Receiver<String>,
     pub beanstalkd_addr: Option<SocketAddr>,
-    /// The admin listener and the socket of the talk with peers, where they are on.
+    /// Addresses of the admin listener and of the peer socket, where they are enabled.
     pub admin: Option<SocketAddr>,
     pub peer: Option<SocketAddr>,
 }
 
-/// What a rig may be given beside its workers and settings.
+/// Optional parameters of a rig.
 #[derive(Default)]
 pub struct Setup<'a> {
     pub operator: Option<&'a str>,
-    /// Further keys of the platform's configuration, each followed by a comma.
+    /// Additional keys of the platform's configuration, each followed by a comma.
     pub more: String,
-    /// Further arguments of the program.
+    /// Additional command-line arguments.
     pub args: Vec<String>,
-    /// The workers' kind, where it is not the usual one.
+    /// The workers' kind; `m` by default.
     pub kind: Option<&'static str>,
-    /// A listening socket that the program inherits as descriptor 3, named in `GW_FD`.
+    /// A listening socket that the program inherits as descriptor 3, announced in `GW_FD`.
     pub inherit: Option<TcpListener>,
-    /// Points at which the program stops, as `LINEROUTE_TEST_STOPS` names them.
+    /// Value of `LINEROUTE_TEST_STOPS`: the points at which the program stops.
     pub stops: &'a str,
-    /// Where discovery is, if not the usual stand-in.
+    /// Address of discovery; by default the rig simulates it.
     pub discovery: Option<SocketAddr>,
-    /// The program is told no list at its start.
+    /// Starts the program without a worker list in its configuration.
     pub without_known_list: bool,
-    /// Where the clients' socket is bound, if not at a port that the system chooses.
+    /// Address of the client listener; by default a port chosen by the system.
     pub listen: Option<SocketAddr>,
-    /// Called with the number of the process as soon as it runs.
+    /// Called with the process id as soon as the process runs.
     pub on_start: Option<&'a dyn Fn(u32)>,
-    /// Further variables of the program's environment.
+    /// Additional environment variables.
     pub environment: Vec<(String, String)>,
 }
 
@@ -237,7 +237,7 @@
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let name = format!("lineroute-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
     let dir = std::env::temp_dir().join(name);
-    std::fs::create_dir_all(&dir).expect("a folder");
+    std::fs::create_dir_all(&dir).expect("a directory is created");
     dir
 }
 
@@ -247,7 +247,7 @@
     command
 }
 
-/// Streams of discovery, to be ended from outside.
+/// Connections to the simulated discovery, kept so that a test can close them.
 type DiscoveryStreams = Arc<Mutex<Vec<TcpStream>>>;
 
 fn discovery(list: DiscoveryState, streams: DiscoveryStreams) -> SocketAddr {
@@ -291,12 +291,12 @@
 }
 
 impl Rig {
-    /// The program with so many workers, all up.
+    /// Starts the program with the given number of workers, all up.
     pub fn start(workers: usize) -> Rig {
         Rig::with(workers, SETTINGS, None)
     }
 
-    /// Waits until the program knows the workers, and has its addresses.
+    /// Starts the program with the given number of workers, and waits until it has reported its addresses.
     pub fn with(workers: usize, settings: &str, operator: Option<&str>) -> Rig {
         let workers: Vec<Worker> = (0..workers).map(|i| Worker::start(&format!("w{i}"))).collect();
         let listed = workers.iter().map(|w| (w.id.clone(), w.addr)).collect();
@@ -305,12 +305,12 @@
         rig
     }
 
-    /// The program with whatever is at these addresses as its workers.
+    /// Starts the program with workers at the given addresses.
     pub fn of(listed: Vec<(String, SocketAddr)>, settings: &str, operator: Option<&str>) -> Rig {
         Rig::set_up(listed, settings, Setup { operator, ..Setup::default() })
     }
 
-    /// Workers of another kind than the usual one.
+    /// Starts the program with workers of the given kind.
     pub fn of_kind(
         listed: Vec<(String, SocketAddr)>,
         kind: &'static str,
@@ -331,9 +331,9 @@
         on_start.iter().for_each(|told| told(child.id()));
         let mut lines = BufReader::new(child.stderr.take().expect("piped")).lines();
         let (mut beanstalkd_addr, mut admin, mut peer, mut said) = (None, None, None, String::new());
-        // Each listener tells its address; the platform's is the last.
+        // Each listener logs its address; the platform's listener comes last.
         let addr = loop {
-            let line = lines.next().unwrap_or_else(|| panic!("it does not start: {said}")).expect("text");
+            let line = lines.next().unwrap_or_else(|| panic!("the program does not start: {said}")).expect("text");
             said += &line;
             let addr = line.rsplit_once("addr=").and_then(|(_, a)| a.parse().ok());
             if line.contains("listens to beanstalkd clients") {
@@ -365,7 +365,7 @@
         }
     }
 
-    /// Lists the workers anew, each in the state given, and waits until the program knows.
+    /// Publishes a new worker list with the given states, and waits until the program has acknowledged it.
     pub fn list(&self, states: &[&str]) {
         let servers: Vec<String> =
             self.listed.iter().zip(states).map(|(w, s)| entry(w, self.kind, s)).collect();
@@ -374,10 +374,10 @@
         self.list.1.notify_all();
         let unknown = |s: &mut (u64, String, u64, bool)| s.2 < s.0;
         let (_state, waited) = self.list.1.wait_timeout_while(state, WAIT_TIMEOUT, unknown).expect("a lock");
-        assert!(!waited.timed_out(), "the list is not asked for");
+        assert!(!waited.timed_out(), "the program does not acknowledge the list");
     }
 
-    /// Lists the workers anew, and waits for nobody: for a program that stands still.
+    /// Publishes a new worker list without waiting for an acknowledgement, for a paused program.
     pub fn list_without_waiting(&self, states: &[&str]) {
         let servers: Vec<String> =
             self.listed.iter().zip(states).map(|(w, s)| entry(w, self.kind, s)).collect();
@@ -386,15 +386,15 @@
         self.list.1.notify_all();
     }
 
-    /// Waits until the program has said that it knows this version.
+    /// Waits until the program has acknowledged this version.
     pub fn wait_until_known(&self, version: u64) {
         let state = self.list.0.lock().expect("a lock");
         let unknown = |s: &mut (u64, String, u64, bool)| s.2 < version;
         let (_state, waited) = self.list.1.wait_timeout_while(state, WAIT_TIMEOUT, unknown).expect("a lock");
-        assert!(!waited.timed_out(), "the list is not asked for");
+        assert!(!waited.timed_out(), "the program does not acknowledge the list");
     }
 
-    /// Discovery starts anew with these states, and counts from one again: it has forgotten what it said before.
+    /// Simulates a restart of discovery without persisted state: versions start from 1 again, with the given states.
     pub fn restart_discovery(&self, states: &[&str]) {
         let servers: Vec<String> =
             self.listed.iter().zip(states).map(|(w, s)| entry(w, self.kind, s)).collect();
@@ -402,20 +402,20 @@
         self.list.1.notify_all();
     }
 
-    /// Moves a worker to another address, for the lists that follow.
+    /// Gives a worker another address in the lists published from now on.
     pub fn move_worker(&mut self, worker: usize, to: Worker) {
         self.listed[worker].1 = to.addr;
         self.workers[worker] = to;
     }
 
-    /// Replaces a file of the operator's and has it read.
+    /// Replaces one of the operator's files and has it reloaded.
     pub fn reload_file(&self, file: &std::path::Path, text: &str) {
         std::fs::write(file, text).expect("a file");
         self.signal("-HUP");
         self.wait_for_log("SIGHUP");
     }
 
-    /// The next request that comes to any worker, and to which.
+    /// Waits for the next request to any worker; returns the worker's index and the request.
     pub fn next(&self) -> (usize, WorkerRequest) {
         let until = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < until {
@@ -425,21 +425,21 @@
                 None => thread::sleep(Duration::from_millis(1)),
             }
         }
-        panic!("no worker is asked for anything")
+        panic!("no worker receives a request")
     }
 
     pub fn connect(&self) -> Client {
         Client::new(self.addr)
     }
 
-    /// Sends a job and leaves the answer for later.
+    /// Sends a job without waiting for the response.
     pub fn post(&self, reference: &str, class: &str, more: &str) -> Client {
         let mut client = self.connect();
         client.post(reference, class, more);
         client
     }
 
-    /// A job, served by whoever gets it: who that was.
+    /// Has one job served by the worker that receives it, and returns that worker's index.
     pub fn serve_job(&self, reference: &str, class: &str) -> usize {
         let mut client = self.post(reference, class, "");
         let (worker, seen) = self.next();
@@ -455,12 +455,12 @@
         worker
     }
 
-    /// A worker's call.
+    /// Sends a job status update from a worker.
     pub fn send_job_update(&self, worker: usize, reference: &str, state: &str, more: &str) {
         self.send_job_update_from(&self.workers[worker].id, reference, state, more);
     }
 
-    /// The same by the worker's name.
+    /// Sends a job status update from the worker with the given id.
     pub fn send_job_update_from(&self, id: &str, reference: &str, state: &str, more: &str) {
         let body = format!(r#"{{"id":"{reference}","from":"{id}","state":"{state}"{more}}}"#);
         let mut client = self.connect();
@@ -480,20 +480,20 @@
         signal(self.child.id(), name);
     }
 
-    /// Stops the program where it stands; what comes meanwhile, it finds all at once.
+    /// Suspends the process with SIGSTOP; input that arrives meanwhile is all pending when it resumes.
     pub fn pause(&self) {
         self.signal("-STOP");
         self.wait_until_paused();
     }
 
-    /// Waits until it stands still.
+    /// Waits until the process is suspended.
     pub fn wait_until_paused(&self) {
         let state = || process_state(self.child.id());
         let until = Instant::now() + WAIT_TIMEOUT;
         while state() != Some('T') {
-            // Z: it has ended; what it said last tells why.
+            // State Z: the process has exited; its last log lines tell why.
             let said = || self.log.try_iter().collect::<Vec<_>>().join("\n");
-            assert!(Instant::now() < until, "it does not stand still: {:?}\n{}", state(), said());
+            assert!(Instant::now() < until, "the process is not suspended: {:?}\n{}", state(), said());
             thread::sleep(Duration::from_millis(1));
         }
     }
@@ -502,47 +502,47 @@
         self.signal("-CONT");
     }
 
-    /// Has the program take a turn: whatever had come to it before is heeded when this returns.
+    /// Returns once the program has processed all input that had arrived before the call.
     pub fn process_pending_events(&self) {
         let mut client = self.connect();
-        // The first may be read as soon as it is accepted; the second takes a look at all that has come.
+        // The first request may be read directly on accept; the second needs a full poll of pending events.
         for _ in 0..2 {
             client.send("GET /up", "", "");
             if client.try_read_response().is_none_or(|answer| answer.headers.contains_key("connection")) {
                 break;
             }
         }
-        // Thousands of these would fill the kernel's table of connections, which other tests read.
+        // Resetting avoids thousands of TIME_WAIT entries in the kernel's connection table, which other tests read.
         client.reset();
     }
 
-    /// Replaces the configuration by one with another discovery, and says so; nothing is waited for.
+    /// Replaces the configuration by one with another discovery address and sends SIGHUP, without waiting.
     pub fn reload_with_discovery(&self, discovery: SocketAddr) {
         let config = config(&self.listed, self.kind, discovery, SETTINGS, true);
         std::fs::write(self.dir.join("config.json"), config).expect("a file");
         self.signal("-HUP");
     }
 
-    /// Replaces the configuration by this text, and says so; what the program says.
+    /// Replaces the configuration and sends SIGHUP; returns the log line that reports the reload.
     pub fn reload(&self, config: &str) -> String {
         std::fs::write(self.dir.join("config.json"), config).expect("a file");
         self.signal("-HUP");
         self.wait_for_log("SIGHUP")
     }
 
-    /// Ends all connections to discovery.
+    /// Closes all connections to discovery.
     pub fn close_discovery_connections(&self) {
         for stream in self.streams.lock().expect("a lock").drain(..) {
             let _ = stream.shutdown(std::net::Shutdown::Both);
         }
     }
 
-    /// Leaves the call that waits, or the next one, without an answer.
+    /// Leaves the pending watch, or else the next one, unanswered.
     pub fn silence_discovery(&self) {
         self.list.0.lock().expect("a lock").3 = true;
     }
 
-    /// Moves discovery to a new address, where versions begin anew and the workers are in the states given.
+    /// Moves discovery to a new address, where versions start again and the workers have the given states.
     pub fn move_discovery(&mut self, states: &[&str]) {
         self.list = Arc::new((Mutex::new((0, String::new(), 0, false)), Condvar::new()));
         self.reload(&config(
@@ -555,7 +555,7 @@
         self.list(states);
     }
 
-    /// Waits for the program to end by itself.
+    /// Waits for the program to exit on its own.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         let until = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < until {
@@ -564,10 +564,10 @@
             }
             thread::sleep(Duration::from_millis(5));
         }
-        panic!("the program goes on");
+        panic!("the program does not exit");
     }
 
-    /// The next line of the log that holds these words.
+    /// Waits for the next log line that contains the given text.
     pub fn wait_for_log(&self, words: &str) -> String {
         loop {
             let line = self.log.recv_timeout(WAIT_TIMEOUT).expect("a line of the log");
@@ -577,7 +577,7 @@
         }
     }
 
-    /// All lines of the log that have come and were not read yet.
+    /// All log lines received and not yet read.
     pub fn take_log_lines(&self) -> Vec<String> {
         self.log.try_iter().collect()
     }
@@ -595,7 +595,7 @@
     }
 }
 
-/// The program as a command, with its files in a folder.
+/// The command that runs the program, with its configuration files written to `dir`.
 pub fn command(
     dir: &std::path::Path,
     listed: &[(String, SocketAddr)],
@@ -615,7 +615,7 @@
         environment,
         ..
     } = setup;
-    let (kind, discovery) = (kind.unwrap_or("m"), discovery.expect("discovery is somewhere"));
+    let (kind, discovery) = (kind.unwrap_or("m"), discovery.expect("an address of discovery"));
     let mut config = config(listed, kind, discovery, settings, !more.contains("limits")).replacen(
         '{',
         &format!("{{{more}"),
@@ -667,38 +667,38 @@
     )
 }
 
-/// Tries until the stand-ins of a test were in time for what workers have a time for: on a machine with too much to do one
-/// may be told that a job is given up before it has so much as read it. `None`: it was late.
+/// Repeats a scenario while its simulated workers miss a time limit, up to five times: on an overloaded machine a worker may be
+/// told that a job is cancelled before it has read the job. The scenario returns `None` if it was late.
 pub fn retry_if_late(scenario: impl Fn() -> Option<()>) {
-    assert!((0..5).any(|_| scenario().is_some()), "late each time");
+    assert!((0..5).any(|_| scenario().is_some()), "the scenario was late in each of 5 attempts");
 }
 
-/// What a process is at, as the kernel says: `T`, it stands still; `Z`, it has ended.
+/// The process state in `/proc/PID/stat`: `T` is suspended, `Z` has exited.
 pub fn process_state(pid: u32) -> Option<char> {
     std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?.rsplit_once(") ")?.1.chars().next()
 }
 
-/// Sends a process a signal.
+/// Sends a signal to a process.
 pub fn signal(pid: u32, name: &str) {
     assert!(Command::new("kill").args([name, &pid.to_string()]).status().expect("kill runs").success());
 }
 
-/// Waits for what must come.
+/// Waits for a condition that must become true.
 pub fn wait_until(what: &str, mut is_so: impl FnMut() -> bool) {
     let until = Instant::now() + WAIT_TIMEOUT;
     while !is_so() {
-        assert!(Instant::now() < until, "in vain: {what}");
+        assert!(Instant::now() < until, "timed out waiting: {what}");
         thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// Whether a connection stands at its first end, and has not been ended there.
+/// Whether the connection is in state ESTABLISHED at its first end.
 pub fn is_established((own, peer): (SocketAddr, SocketAddr)) -> bool {
     let words = format!(":{:04X} 0100007F:{:04X} 01 ", own.port(), peer.port());
     std::fs::read_to_string("/proc/net/tcp").expect("a table").contains(&words)
 }
 
-/// An address where connections don't come up until they are let in.
+/// A listener whose backlog is full: connections are not established until `accept_next` is called.
 pub struct BlockedListener {
     socket: socket2::Socket,
     pub addr: SocketAddr,
@@ -706,14 +706,14 @@
 }
 
 impl BlockedListener {
-    /// Its queue of connections is short, and full: further ones are not answered.
+    /// Listens with a minimal backlog and fills it, so that further SYNs are not answered.
     pub fn start() -> BlockedListener {
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
         let any: SocketAddr = ([127, 0, 0, 1], 0).into();
         socket.bind(&any.into()).expect("a port");
-        socket.listen(0).expect("it listens");
-        socket.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time-out");
+        socket.listen(0).expect("the listener accepts");
+        socket.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the time-out is set");
         let addr = socket.local_addr().ok().and_then(|a| a.as_socket()).expect("an address");
         let mut fillers = Vec::new();
         while let Ok(filler) = TcpStream::connect_timeout(&addr, Duration::from_millis(200)) {
@@ -722,7 +722,7 @@
         BlockedListener { socket, addr, queue_fillers: fillers }
     }
 
-    /// How many connections wait to come up.
+    /// Number of connections in state SYN_SENT.
     pub fn pending_connections(&self) -> usize {
         let port = format!(":{:04X} 02 ", self.addr.port());
         std::fs::read_to_string("/proc/net/tcp")
@@ -732,26 +732,26 @@
             .count()
     }
 
-    /// Lets the next one in, behind those that filled the queue.
+    /// Accepts the next connection behind those that filled the backlog.
     pub fn accept_next(&mut self) -> TcpStream {
-        // A filler of which only its own side knows that it is connected may come up behind the one that is waited for.
+        // A filler that only its own side considers connected may be established after the awaited connection.
         let fillers: Vec<SocketAddr> =
             self.queue_fillers.iter().map(|filler| filler.local_addr().expect("an address")).collect();
         let stream = loop {
             match self.socket.accept() {
                 Ok((_, peer)) if peer.as_socket().is_some_and(|peer| fillers.contains(&peer)) => {}
                 Ok((stream, _)) => break TcpStream::from(stream),
-                // A signal to this process is no answer.
+                // Interrupted by a signal: accept again.
                 Err(e) => assert_eq!(e.kind(), std::io::ErrorKind::Interrupted, "a connection: {e}"),
             }
         };
         self.queue_fillers.clear();
-        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time-out");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the time-out is set");
         stream
     }
 }
 
-/// One connection of a client.
+/// A client's connection.
 pub struct Client {
     reader: BufReader<TcpStream>,
     stream: TcpStream,
@@ -759,11 +759,11 @@
 
 impl Client {
     pub fn new(addr: SocketAddr) -> Client {
-        Client::of(TcpStream::connect(addr).expect("it listens"))
+        Client::of(TcpStream::connect(addr).expect("the listener accepts"))
     }
 
     pub fn of(stream: TcpStream) -> Client {
-        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time-out");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the time-out is set");
         Client { reader: BufReader::new(stream.try_clone().expect("a socket")), stream }
     }
 
@@ -776,10 +776,9 @@
         );
     }
 
-    /// Asks on this connection until the program says that it is up: it has a worker list that was confirmed, or has waited
-    /// for one long enough.
+    /// Polls `/up` until the program reports that it is up: its worker list is confirmed, or the wait for one has timed out.
     pub fn wait_until_up(&mut self) {
-        wait_until("the program says that it is up", || {
+        wait_until("the program reports that it is up", || {
             self.send("GET /up", "", "");
             self.read_response().status() == 200
         });
@@ -790,12 +789,12 @@
         self.send("POST /api", &headers, "payload");
     }
 
-    /// Says the end of what it sends, and goes on reading.
+    /// Shuts down the sending direction; responses can still be read.
     pub fn half_close(&self) {
         self.stream.shutdown(std::net::Shutdown::Write).expect("a connection");
     }
 
-    /// Ends the connection with a reset.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)).expect("a socket");
     }
@@ -804,7 +803,7 @@
         let _ = self.stream.write_all(bytes);
     }
 
-    /// Writes so many bytes at a time, each lot for itself.
+    /// Writes in pieces of `size` bytes, each as a segment of its own.
     pub fn write_in_pieces(&mut self, bytes: &[u8], size: usize) {
         self.stream.set_nodelay(true).expect("a socket");
         bytes.chunks(size).for_each(|piece| self.write(piece));
@@ -814,12 +813,12 @@
         read_message(&mut self.reader).expect("an answer")
     }
 
-    /// An answer, unless the connection ends before.
+    /// Reads a response; `None` if the connection ends first.
     pub fn try_read_response(&mut self) -> Option<Message> {
         read_message(&mut self.reader)
     }
 
-    /// Its own address and the program's.
+    /// The local address and the program's.
     pub fn addresses(&self) -> (SocketAddr, SocketAddr) {
         (self.addr(), self.stream.peer_addr().expect("a connection"))
     }
@@ -828,7 +827,7 @@
         self.stream.local_addr().expect("an address")
     }
 
-    /// Bytes that the program has not read; nothing where its connection is no more.
+    /// Number of bytes that the program has not read; `None` if its end of the connection is gone.
     pub fn unread_bytes(&self) -> Option<usize> {
         let (own, peer) = (self.addr(), self.stream.peer_addr().ok()?);
         let words = format!("0100007F:{:04X} 0100007F:{:04X} ", peer.port(), own.port());
@@ -838,7 +837,7 @@
         usize::from_str_radix(queues.split_once(':')?.1, 16).ok()
     }
 
-    /// Whether nothing has come, and the other side has not ended the connection.
+    /// Whether no data has arrived and the program has not closed the connection.
     pub fn is_unanswered(&self) -> bool {
         self.stream.set_nonblocking(true).expect("a socket");
         let seen = self.stream.peek(&mut [0]);
@@ -846,12 +845,12 @@
         self.reader.buffer().is_empty() && seen.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
     }
 
-    /// Whether the other side has ended the connection.
+    /// Waits for a message or the end of the connection; true if the program closed it.
     pub fn is_closed_by_peer(&mut self) -> bool {
         read_message(&mut self.reader).is_none()
     }
 
-    /// A line, without its end.
+    /// Reads a line, without its CRLF.
     pub fn read_line(&mut self) -> String {
         let mut line = String::new();
         self.reader.read_line(&mut line).expect("a line in time");
@@ -860,13 +859,13 @@
         line
     }
 
-    /// Says a line, and gives the one that comes back.
+    /// Sends a command line and returns the reply line.
     pub fn command(&mut self, line: &str) -> String {
         self.write(format!("{line}\r\n").as_bytes());
         self.read_line()
     }
 
-    /// Reserves a job: its id and body.
+    /// Reserves a job and returns its id and body.
     pub fn reserve(&mut self) -> (u64, String) {
         let reply = self.command("reserve-with-timeout 20");
         let mut words = reply.split(' ').skip(1).map(|w| w.parse::<u64>());
@@ -878,7 +877,7 @@
 
     pub fn read_text(&mut self, count: usize) -> String {
         let mut bytes = vec![0; count];
-        self.reader.read_exact(&mut bytes).expect("so many bytes");
+        self.reader.read_exact(&mut bytes).expect("the announced number of bytes");
         String::from_utf8(bytes).expect("text")
     }
 }
--- a/dispatcher/tests/common/replacement.rs
+++ b/dispatcher/tests/common/replacement.rs
@@ -1,5 +1,5 @@
-//! One dispatcher whose process is replaced while it serves: processes that inherit one listening socket and share one
-//! `$TMPDIR`, each with an admin console of its own, and workers whose conduct a test chooses.
+//! One dispatcher whose process is replaced while it serves: processes that inherit the same listening socket and share one
+//! `$TMPDIR`, each with its own admin console, and workers with selectable behaviour.
 
 use super::discovery::{entry, Behaviour, Discovery};
 use super::{create_temp_dir, wait_until, Client, Rig, Setup, Worker, SETTINGS};
@@ -11,22 +11,22 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A worker's call is made so often until it is answered, as the platform's page has it, and so long apart.
+/// A worker repeats an unanswered call, as the platform's documentation specifies: number of calls and the pause between them.
 const CALLS: usize = 10;
 const BETWEEN_CALLS: Duration = Duration::from_millis(50);
 
-/// What a worker does with jobs.
+/// How a worker handles jobs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WorkerBehaviour {
-    /// Hands each one back unstarted.
+    /// Rejects each job unstarted.
     Rejects,
-    /// Takes it and says nothing more.
+    /// Accepts the job and sends no status update.
     Hangs,
-    /// Takes it, and calls back with a result, each call on a connection of its own.
+    /// Accepts the job and reports a result, each update on a new connection.
     Serves,
 }
 
-/// An attempt that came to a worker.
+/// An attempt received by a worker.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub at: Instant,
@@ -34,7 +34,7 @@
     pub reference: String,
 }
 
-/// Workers of one conduct, and what came to them.
+/// Workers of one behaviour, and the attempts that they received.
 pub struct Workers {
     pub listed: Vec<(String, SocketAddr)>,
     conduct: Arc<Mutex<WorkerBehaviour>>,
@@ -43,7 +43,7 @@
 }
 
 impl Workers {
-    /// So many workers, `w0` and on, that call back at this address.
+    /// Starts `count` workers, named `w0` onwards, that report results to `call_back`.
     pub fn start(count: usize, conduct: WorkerBehaviour, call_back: SocketAddr) -> Workers {
         let mut workers = Workers {
             listed: Vec::new(),
@@ -65,18 +65,18 @@
         *self.conduct.lock().expect("a lock") = conduct;
     }
 
-    /// Attempts that came to a worker from an instant on.
+    /// Attempts received by a worker since an instant.
     pub fn since(&self, worker: &str, from: Instant) -> Vec<Arrival> {
         let arrivals = self.arrivals.lock().expect("a lock");
         arrivals.iter().filter(|came| came.worker == worker && came.at >= from).cloned().collect()
     }
 
-    /// How many attempts have come to all of them.
+    /// Number of attempts received by all workers.
     pub fn count(&self) -> usize {
         self.arrivals.lock().expect("a lock").len()
     }
 
-    /// The references of jobs that were given up.
+    /// The references of cancelled jobs.
     pub fn cancelled_jobs(&self) -> Vec<String> {
         self.given_up.lock().expect("a lock").clone()
     }
@@ -115,7 +115,8 @@
     }
 }
 
-/// Calls until the call is answered with 200; how many calls that took, if it came to that.
+/// Reports a job as done, repeating the call until it is answered with 200 or 204. Returns the number of calls; `None` if none
+/// was answered so.
 pub fn report_done(to: SocketAddr, reference: &str, from: &str) -> Option<usize> {
     let body = format!(r#"{{"id":"{reference}","from":"{from}","state":"done","result":"a chart"}}"#);
     for call in 1..=CALLS {
@@ -131,7 +132,7 @@
     None
 }
 
-/// A dispatcher: what its processes have in common.
+/// What the processes of one dispatcher share.
 pub struct Dispatcher {
     socket: TcpListener,
     pub discovery: Discovery,
@@ -141,14 +142,14 @@
     pub temporary: PathBuf,
 }
 
-/// One process of it.
+/// One process of a dispatcher.
 pub struct Process {
     pub rig: Rig,
     pub console: SocketAddr,
 }
 
 impl Dispatcher {
-    /// With so many workers, of this conduct, and the usual settings.
+    /// A dispatcher with the given workers and the default settings.
     pub fn new(workers: usize, conduct: WorkerBehaviour) -> Dispatcher {
         Dispatcher::with_settings(workers, conduct, SETTINGS)
     }
@@ -173,14 +174,14 @@
         self.socket.local_addr().expect("an address")
     }
 
-    /// Starts a process and waits until it says yes.
+    /// Starts a process and waits until it reports ready.
     pub fn start(&self) -> Process {
         let process = self.start_with(Setup::default());
         process.wait_until_ready();
         process
     }
 
-    /// Starts a process that dies before it may listen; nobody waits for it.
+    /// Starts a process that may exit before it listens, without waiting for it.
     pub fn spawn_without_waiting(
         &self,
         stops: &str,
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Starts a process; it listens when this returns, and may not say yes yet.
+    /// Starts a process; on return it listens, but may not be ready yet.
     pub fn start_with(&self, setup: Setup) -> Process {
         let console = console_address();
         let setup = self.set_up(console, setup);
@@ -222,21 +223,21 @@
 }
 
 impl Process {
-    /// Waits until it says yes.
+    /// Waits until the process reports ready.
     pub fn wait_until_ready(&self) {
-        wait_until("the process says yes", || {
+        wait_until("the process reports ready", || {
             call(self.console, "health").is_some_and(|answer| answer.starts_with("OK"))
         });
     }
 
-    /// One call at the console, and its answer.
+    /// Runs a command on the admin console and returns the reply.
     pub fn console_command(&self, line: &str) -> String {
         call(self.console, line).expect("an answer")
     }
 }
 
-/// An address for a console at which nobody else listens: a loopback address of this test process alone. A port that the system
-/// chooses and that is free again may be another test's by the time at which it is bound.
+/// An unused address for a console, on a loopback address that only this test process uses. An ephemeral port that was chosen
+/// by the system and released could be taken by another test before it is bound.
 pub fn console_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let (process, number) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
@@ -245,10 +246,10 @@
     ([127, 64 + high % 128, low, 1 + (number % 200) as u8], port).into()
 }
 
-/// One call at a console; nothing where nobody listens or the process ends.
+/// Runs a command on a console; `None` if nothing listens there or the process ends.
 pub fn call(console: SocketAddr, line: &str) -> Option<String> {
     let mut stream = TcpStream::connect(console).ok()?;
-    stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a time-out");
+    stream.set_read_timeout(Some(Duration::from_secs(10))).expect("the time-out is set");
     stream.write_all(format!("{line}\n").as_bytes()).ok()?;
     let mut answer = String::new();
     stream.read_to_string(&mut answer).ok()?;
--- a/dispatcher/tests/common/serving.rs
+++ b/dispatcher/tests/common/serving.rs
@@ -1,5 +1,5 @@
-//! Workers that take and serve every job, and keep when each one came. Jobs' references begin with the number of the process
-//! that they come from, `3-first-0`: its results are called back there.
+//! Workers that accept and serve every job and record when each was received. A job's reference begins with the number of the
+//! process that sent it, as in `3-first-0`; results are reported to that process.
 
 use super::discovery::entry;
 use super::{Client, Worker};
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::Instant;
 
-/// A job that came.
+/// A job received by a worker.
 #[derive(Clone, Debug)]
 struct ReceivedJob {
     at: Instant,
@@ -16,18 +16,18 @@
     reference: String,
 }
 
-/// The workers of a tier of processes.
+/// The workers shared by a group of processes.
 #[derive(Default)]
 pub struct ServingWorkers {
-    /// Names and addresses, in order.
+    /// Ids and addresses, in order.
     pub listed: Vec<(String, SocketAddr)>,
     received: Arc<Mutex<Vec<ReceivedJob>>>,
-    /// Where each process listens.
+    /// The listening address of each process.
     processes: Arc<Mutex<Vec<SocketAddr>>>,
 }
 
 impl ServingWorkers {
-    /// One worker for each name.
+    /// Starts one worker for each name.
     pub fn start(names: &[&str]) -> ServingWorkers {
         let mut workers = ServingWorkers::default();
         for name in names {
@@ -39,23 +39,23 @@
         workers
     }
 
-    /// One more process listens here.
+    /// Adds a process that listens at this address.
     pub fn add_process(&self, process: SocketAddr) {
         self.processes.lock().expect("a lock").push(process);
     }
 
-    /// A process listens here now.
+    /// Changes the address of a process.
     pub fn replace_process(&self, number: usize, process: SocketAddr) {
         self.processes.lock().expect("a lock")[number] = process;
     }
 
-    /// A worker as discovery lists it.
+    /// A worker's entry in the worker list.
     pub fn entry(&self, position: usize, state: &str) -> String {
         let (name, addr) = &self.listed[position];
         entry(name, *addr, state, 0)
     }
 
-    /// The references of the jobs that came to a worker after an instant.
+    /// The references of the jobs that a worker received since an instant.
     pub fn since(&self, name: &str, from: Instant) -> Vec<String> {
         let received = self.received.lock().expect("a lock");
         let own = received.iter().filter(|job| job.at >= from && job.worker == name);
@@ -63,7 +63,7 @@
     }
 }
 
-/// The number of the process that a reference names first.
+/// The number of the process, from the beginning of a reference.
 fn process_of(reference: &str) -> usize {
     reference.split('-').next().and_then(|number| number.parse().ok()).expect("the number of a process")
 }
