--- a/dispatcher/tests/common/mod.rs
+++ b/dispatcher/tests/common/mod.rs
@@ -635,7 +635,7 @@
         command.arg("--operator").arg(dir.join("operator.json"));
     }
     if let Some(socket) = inherit {
-        // Its own address is given as the one to listen at too: a bind of it would fail.
+        // GW_LISTEN names the address of the inherited socket too: an attempt to bind it would fail.
         let at = socket.local_addr().expect("an address");
         command.env("GW_FD", "3").env("GW_LISTEN", at.to_string());
         let mapping = command_fds::FdMapping { parent_fd: socket.into(), child_fd: 3 };
--- a/dispatcher/tests/replacement_soak.rs
+++ b/dispatcher/tests/replacement_soak.rs
@@ -1,5 +1,5 @@
-//! A soak of replacements: one dispatcher whose process is replaced again and again, under faults that are drawn from a seed, with
-//! an oracle that sees only clients, workers and operators. CI plays a few seeds; `LINEROUTE_SOAK_SEEDS=100..150` plays others.
+//! Soak test of replacements: one dispatcher whose process is replaced repeatedly, under faults drawn from a seed, with an oracle
+//! that observes only clients, workers and operators. CI runs a few seeds; `LINEROUTE_SOAK_SEEDS=100..150` runs others.
 
 mod common;
 
@@ -14,33 +14,33 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What CI plays, and how many seeds at a time.
+/// The seeds that CI runs, and how many run concurrently.
 const SEEDS: Range<u64> = 1..9;
 const SEEDS_AT_A_TIME: usize = 4;
 const WORKERS: usize = 4;
 const CLIENTS: usize = 8;
-/// Sends may go on for so long behind an operator's yes: what was written before is read by the worker's thread so much later.
+/// Attempts may still be recorded for this long after an acknowledgement: a simulated worker may read late what was written before.
 const STAND_IN_LATE: Duration = Duration::from_millis(250);
-/// An operator's answer is owed in this time; the rule holds from then on, whatever is answered.
+/// An operator must receive a reply within this time.
 const OPERATOR_WITHIN: Duration = Duration::from_secs(1);
-/// A request that is sent so shortly before a kill need not be answered.
+/// A request sent less than this before SIGKILL need not be answered.
 const CROSSES_THE_KILL: Duration = Duration::from_millis(100);
-/// The end of a connection that a kill causes is seen in this time.
+/// A client observes the end of a connection caused by SIGKILL within this time.
 const SEEN_WITHIN: Duration = Duration::from_millis(100);
-/// After its time a request's answer may take this much longer.
+/// A response may exceed the request's budget by this much.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
 const KILL_GRACE: Duration = Duration::from_millis(700);
 const LONGEST_COUNTED: Duration = Duration::from_secs(3);
 
-/// What operators said of a worker: out from the call (or its answer) on, until the next call of theirs.
+/// The cordon of a worker by an operator, from the acknowledgement until the next `uncordon` command is sent.
 #[derive(Clone, Debug)]
-struct Ban {
+struct Cordon {
     worker: String,
     from: Instant,
     until: Option<Instant>,
 }
 
-/// A request that ended without a whole answer, on the connection and on the one that it was sent again on.
+/// A request without a complete response, both on its connection and on the one on which it was repeated.
 #[derive(Clone, Debug)]
 struct Lost {
     reference: String,
@@ -48,28 +48,28 @@
     ended: Instant,
 }
 
-/// A SIGKILL. One that is not planned excuses everything that the process had.
+/// A SIGKILL. One that is not planned excuses all requests that the process had accepted.
 #[derive(Clone, Copy, Debug)]
 struct Kill {
     at: Instant,
     planned: bool,
 }
 
-/// What was seen in one seed.
+/// Observations of one seed.
 #[derive(Default)]
 struct Record {
-    bans: Vec<Ban>,
+    cordons: Vec<Cordon>,
     lost: Vec<Lost>,
     kills: Vec<Kill>,
-    broken: Vec<String>,
+    violations: Vec<String>,
     answered: usize,
     served: usize,
 }
 
-struct Play {
+struct Run {
     seed: u64,
     dispatcher: Dispatcher,
-    /// The consoles of those that operators may call, by process.
+    /// The admin consoles that operators may call, by process id.
     consoles: Mutex<Vec<(u32, std::net::SocketAddr)>>,
     record: Mutex<Record>,
     is_over: AtomicBool,
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn replaced_processes_are_one_dispatcher() {
+fn replaced_processes_act_as_one_dispatcher() {
     let seeds = std::env::var("LINEROUTE_SOAK_SEEDS").ok().and_then(|text| {
         let (from, to) = text.split_once("..")?;
         Some(from.parse().ok()?..to.parse().ok()?)
@@ -87,34 +87,34 @@
     common::faults::shim();
     let mut bad = Vec::new();
     for lot in seeds.chunks(SEEDS_AT_A_TIME) {
-        let plays: Vec<_> = lot
+        let runs: Vec<_> = lot
             .iter()
             .map(|seed| {
                 (
                     *seed,
                     thread::spawn({
                         let seed = *seed;
-                        move || play(seed)
+                        move || run(seed)
                     }),
                 )
             })
             .collect();
-        for (seed, play) in plays {
-            match play.join() {
+        for (seed, run) in runs {
+            match run.join() {
                 Ok(broken) if broken.is_empty() => {}
                 Ok(broken) => bad.push((seed, broken)),
                 Err(panic) => {
                     let words = panic.downcast_ref::<String>().cloned().unwrap_or_default();
-                    bad.push((seed, vec![format!("could not be played: {words}")]));
+                    bad.push((seed, vec![format!("the run panicked: {words}")]));
                 }
             }
         }
     }
-    eprintln!("{} seeds, {} bad", seeds.len(), bad.len());
+    eprintln!("{} seeds, {} failed", seeds.len(), bad.len());
     assert!(bad.is_empty(), "{bad:#?}");
 }
 
-fn play(seed: u64) -> Vec<String> {
+fn run(seed: u64) -> Vec<String> {
     let mut dice = fastrand::Rng::with_seed(seed);
     let (short, long) = [(400, 800), (1200, 2500), (5000, 15_000)][dice.usize(..3)];
     let settings = SETTINGS
@@ -124,7 +124,7 @@
         .replace(r#""aim_ms": 500"#, r#""aim_ms": 300"#);
     let dispatcher = Dispatcher::with_settings(WORKERS, WorkerBehaviour::Serves, &settings);
     let longest = Duration::from_millis(long).min(LONGEST_COUNTED);
-    let play = Arc::new(Play {
+    let run = Arc::new(Run {
         seed,
         dispatcher,
         consoles: Mutex::default(),
@@ -134,19 +134,19 @@
         requests: AtomicU64::new(0),
     });
     let mut disk = Faults::none();
-    let first = play.start("", &disk);
+    let first = run.start("", &disk);
     first.wait_until_ready();
-    play.lists(&first);
+    run.register(&first);
     let mut threads: Vec<_> = (0..CLIENTS)
         .map(|number| {
-            let (play, dice) = (play.clone(), dice.fork());
+            let (run, dice) = (run.clone(), dice.fork());
             let (class, budget) = if number % 2 == 0 { ("quote", short) } else { ("statement", long) };
-            thread::spawn(move || client(&play, dice, class, budget))
+            thread::spawn(move || client(&run, dice, class, budget))
         })
         .collect();
-    let (operated, operator_dice) = (play.clone(), dice.fork());
+    let (operated, operator_dice) = (run.clone(), dice.fork());
     threads.push(thread::spawn(move || operators(&operated, operator_dice)));
-    let (conducted, mut conduct_dice) = (play.clone(), dice.fork());
+    let (conducted, mut conduct_dice) = (run.clone(), dice.fork());
     threads.push(thread::spawn(move || {
         while !conducted.is_over.load(Ordering::Relaxed) {
             let conduct = [
@@ -162,19 +162,19 @@
     }));
     let crowd: Vec<TcpStream> = match dice.bool() {
         true => {
-            (0..dice.usize(20..150)).filter_map(|_| TcpStream::connect(play.dispatcher.addr()).ok()).collect()
+            (0..dice.usize(20..150)).filter_map(|_| TcpStream::connect(run.dispatcher.addr()).ok()).collect()
         }
         false => Vec::new(),
     };
-    let last = replacements(&play, &mut dice, first, &mut disk);
-    play.is_over.store(true, Ordering::Relaxed);
-    threads.into_iter().for_each(|thread| thread.join().expect("it ends well"));
+    let last = replacements(&run, &mut dice, first, &mut disk);
+    run.is_over.store(true, Ordering::Relaxed);
+    threads.into_iter().for_each(|thread| thread.join().expect("the thread does not panic"));
     drop((crowd, last));
-    play.verdict()
+    run.verdict()
 }
 
-/// Replaces the process a few times, with trouble; the one that is left.
-fn replacements(play: &Arc<Play>, dice: &mut fastrand::Rng, first: Process, disk: &mut Faults) -> Process {
+/// Replaces the process a few times under faults, and returns the last process.
+fn replacements(run: &Arc<Run>, dice: &mut fastrand::Rng, first: Process, disk: &mut Faults) -> Process {
     let mut current = first;
     let mut ending: Vec<thread::JoinHandle<()>> = Vec::new();
     for _ in 0..dice.usize(1..=3) {
@@ -183,46 +183,46 @@
             disk.fail(Call::FileWrite, ALWAYS);
         }
         if dice.u32(0..3) == 0 {
-            // One that dies before its yes, or right behind it.
+            // A process that is killed before it is ready, or right after.
             let stops = ["start.listen:1:kill", ""][dice.usize(..2)];
-            let setup = || play.dispatcher.spawn_without_waiting(stops, disk.environment());
+            let setup = || run.dispatcher.spawn_without_waiting(stops, disk.environment());
             let mut dying = setup();
             thread::sleep(Duration::from_millis(dice.u64(50..400)));
-            play.kill(|| drop(dying.kill()), false);
+            run.kill(|| drop(dying.kill()), false);
             let _ = dying.wait();
         }
         (0..dice.usize(..3)).for_each(|_| signal(current.rig.pid(), "-HUP"));
-        let next = play.start("", disk);
+        let next = run.start("", disk);
         next.wait_until_ready();
-        play.lists(&next);
+        run.register(&next);
         thread::sleep(Duration::from_millis(dice.u64(0..100)));
         let old = std::mem::replace(&mut current, next);
         let stands_still = (dice.u32(0..3) == 0).then(|| Duration::from_millis(dice.u64(50..350)));
         let disk_fails_until = dice.bool();
         (0..dice.usize(1..3)).for_each(|_| signal(old.rig.pid(), "-TERM"));
         let terminated = Instant::now();
-        let play = play.clone();
-        ending.push(thread::spawn(move || play.end(old, terminated, stands_still)));
+        let run = run.clone();
+        ending.push(thread::spawn(move || run.end(old, terminated, stands_still)));
         if disk_fails_until {
             thread::sleep(Duration::from_millis(dice.u64(0..1500)));
         }
         disk.fail(Call::FileWrite, 0);
-        // Sometimes the next replacement begins on top of this one.
+        // Sometimes the next replacement begins before this one has finished.
         if dice.u32(0..3) > 0 {
-            ending.drain(..).for_each(|end| end.join().expect("it ends well"));
+            ending.drain(..).for_each(|end| end.join().expect("the thread does not panic"));
         }
     }
-    ending.into_iter().for_each(|end| end.join().expect("it ends well"));
+    ending.into_iter().for_each(|end| end.join().expect("the thread does not panic"));
     thread::sleep(Duration::from_millis(500));
     current
 }
 
-impl Play {
+impl Run {
     fn start(&self, stops: &str, disk: &Faults) -> Process {
         self.dispatcher.start_with(Setup { stops, environment: disk.environment(), ..Setup::default() })
     }
 
-    fn lists(&self, process: &Process) {
+    fn register(&self, process: &Process) {
         self.consoles.lock().expect("a lock").push((process.rig.pid(), process.console));
     }
 
@@ -232,7 +232,7 @@
         kill();
     }
 
-    /// SIGKILL at its earliest behind SIGTERM; before it the process may stand still for a while.
+    /// Sends SIGKILL at the earliest possible time after SIGTERM; the process may be suspended for a while before that.
     fn end(&self, old: Process, terminated: Instant, stands_still: Option<Duration>) {
         let pid = old.rig.pid();
         if let Some(span) = stands_still {
@@ -248,15 +248,16 @@
 
     fn verdict(&self) -> Vec<String> {
         let record = self.record.lock().expect("a lock");
-        let mut broken = record.broken.clone();
-        for ban in &record.bans {
-            let attempts = self.dispatcher.workers.since(&ban.worker, ban.from + STAND_IN_LATE);
-            for attempt in attempts.iter().filter(|attempt| ban.until.is_none_or(|until| attempt.at < until))
+        let mut broken = record.violations.clone();
+        for cordon in &record.cordons {
+            let attempts = self.dispatcher.workers.since(&cordon.worker, cordon.from + STAND_IN_LATE);
+            for attempt in
+                attempts.iter().filter(|attempt| cordon.until.is_none_or(|until| attempt.at < until))
             {
-                let late = attempt.at - ban.from;
+                let late = attempt.at - cordon.from;
                 broken.push(format!(
-                    "cordon: {} went to {} {late:?} behind the yes",
-                    attempt.reference, ban.worker
+                    "cordon: {} was sent to {} {late:?} after the acknowledgement",
+                    attempt.reference, cordon.worker
                 ));
             }
         }
@@ -266,49 +267,50 @@
             if !record.kills.iter().filter(ended_by).any(excused) {
                 let after = lost.ended - lost.sent;
                 broken.push(format!(
-                    "lost: {} had no answer, its connection ended after {after:?}",
+                    "lost: {} had no response, its connection ended after {after:?}",
                     lost.reference
                 ));
             }
         }
         if record.served == 0 {
-            broken.push("nothing was served".into());
+            broken.push("no request was served".into());
         }
         eprintln!(
-            "seed {}: {} answers, {} served, {} kills, {} bans, {} broken",
+            "seed {}: {} responses, {} served, {} kills, {} cordons, {} violations",
             self.seed,
             record.answered,
             record.served,
             record.kills.len(),
-            record.bans.len(),
+            record.cordons.len(),
             broken.len()
         );
         broken
     }
 }
 
-/// Sends one request behind the other, on each connection until that ends.
-fn client(play: &Play, mut dice: fastrand::Rng, class: &str, budget: u64) {
+/// Sends one request after the other, on each connection until it ends.
+fn client(run: &Run, mut dice: fastrand::Rng, class: &str, budget: u64) {
     let mut connection: Option<Client> = None;
-    while !play.is_over.load(Ordering::Relaxed) {
-        let number = play.requests.fetch_add(1, Ordering::Relaxed);
-        let reference = format!("soak-{}-{number}", play.seed);
+    while !run.is_over.load(Ordering::Relaxed) {
+        let number = run.requests.fetch_add(1, Ordering::Relaxed);
+        let reference = format!("soak-{}-{number}", run.seed);
         let more = format!("X-Budget-Ms: {budget}\r\nIdempotency-Key: k{number}\r\n");
         let mut ends = Vec::new();
-        // A close may cross a request that was not read: it is sent once more, on a new connection.
+        // A connection may be closed while a request that was not read is in transit: it is repeated once on a new connection.
         while ends.len() < 2 {
             let mut client = match connection
                 .take()
-                .map_or_else(|| TcpStream::connect(play.dispatcher.addr()).map(Client::of), Ok)
+                .map_or_else(|| TcpStream::connect(run.dispatcher.addr()).map(Client::of), Ok)
             {
                 Ok(client) => client,
                 Err(_) => return,
             };
-            // A request's time runs from when it is written: a connection that the full queue turned away comes up a second later.
+            // The budget counts from the write: with a full listen backlog a connection is established only after a SYN retry, a
+            // second later.
             let sent = Instant::now();
             client.post(&reference, class, &more);
             let answer = client.try_read_response();
-            let mut record = play.record.lock().expect("a lock");
+            let mut record = run.record.lock().expect("a lock");
             let Some(answer) = answer else {
                 ends.push(Lost { reference: reference.clone(), sent, ended: Instant::now() });
                 continue;
@@ -317,7 +319,7 @@
             record.served += usize::from(answer.status() == 200);
             let took = sent.elapsed();
             if took > Duration::from_millis(budget) + ANSWER_SLACK {
-                record.broken.push(format!("late: {reference} was answered after {took:?}"));
+                record.violations.push(format!("late: {reference} was answered after {took:?}"));
             }
             if answer.headers.get("connection").is_none_or(|value| value != "close") {
                 connection = Some(client);
@@ -325,17 +327,17 @@
             ends.clear();
             break;
         }
-        play.record.lock().expect("a lock").lost.extend(ends);
+        run.record.lock().expect("a lock").lost.extend(ends);
         thread::sleep(Duration::from_millis(dice.u64(0..30)));
     }
 }
 
-/// Takes workers out and lets them serve again, at whichever process is there.
-fn operators(play: &Play, mut dice: fastrand::Rng) {
+/// Cordons and uncordons workers at a random process.
+fn operators(run: &Run, mut dice: fastrand::Rng) {
     let mut out: Vec<usize> = Vec::new();
-    while !play.is_over.load(Ordering::Relaxed) {
+    while !run.is_over.load(Ordering::Relaxed) {
         thread::sleep(Duration::from_millis(dice.u64(100..600)));
-        let consoles = play.consoles.lock().expect("a lock").clone();
+        let consoles = run.consoles.lock().expect("a lock").clone();
         let (_, console) = consoles[dice.usize(..consoles.len())];
         let lifts = out.len() >= WORKERS / 2 || !out.is_empty() && dice.bool();
         let worker = match lifts {
@@ -344,28 +346,28 @@
         };
         let (name, asked) = (format!("w{worker}"), Instant::now());
         if lifts {
-            let mut record = play.record.lock().expect("a lock");
-            record.bans.iter_mut().filter(|ban| ban.worker == name).for_each(|ban| {
-                ban.until.get_or_insert(asked);
+            let mut record = run.record.lock().expect("a lock");
+            record.cordons.iter_mut().filter(|cordon| cordon.worker == name).for_each(|cordon| {
+                cordon.until.get_or_insert(asked);
             });
         }
         let answer = call(console, &format!("{} {name}", if lifts { "uncordon" } else { "cordon" }));
         let (answered, took) = (Instant::now(), asked.elapsed());
-        let mut record = play.record.lock().expect("a lock");
+        let mut record = run.record.lock().expect("a lock");
         match answer {
-            // The process ended under the call: what it did is not known, and another one is asked next time.
+            // The process ended during the call: the effect is unknown, and another process is called next time.
             None if lifts => out.push(worker),
             None => {}
             Some(answer) if took > OPERATOR_WITHIN => {
-                record.broken.push(format!("operators: {answer} after {took:?}"))
+                record.violations.push(format!("operators: {answer} after {took:?}"))
             }
             Some(answer) if answer.starts_with("OK") && !lifts => {
-                record.bans.push(Ban { worker: name, from: answered, until: None });
+                record.cordons.push(Cordon { worker: name, from: answered, until: None });
                 out.push(worker);
                 out.dedup();
             }
             Some(answer) if answer.starts_with("OK") => {}
-            Some(answer) => record.broken.push(format!("operators: {answer}")),
+            Some(answer) => record.violations.push(format!("operators: {answer}")),
         }
     }
 }
--- a/dispatcher/tests/streams.rs
+++ b/dispatcher/tests/streams.rs
@@ -1,5 +1,5 @@
-//! Plain HTTP workers, and bodies that pass as they come: clients and workers are raw sockets here, so that
-//! each may break off where it likes.
+//! Plain HTTP workers and streamed bodies. Clients and workers are raw sockets, so that either side can close a connection at
+//! any byte.
 
 mod common;
 
@@ -13,17 +13,17 @@
 use std::thread;
 use std::time::Duration;
 
-/// A worker that does with each connection what it is told to.
+/// A worker that handles each connection with a given function.
 struct Upstream {
     addr: SocketAddr,
-    /// The request heads that came.
+    /// The request heads received.
     heads: Receiver<String>,
 }
 
 type Act = dyn Fn(TcpStream, String, Vec<u8>) + Send + Sync;
 
 impl Upstream {
-    /// `act` gets the connection, the head, and what came behind it so far.
+    /// `act` is given the connection, the head, and the bytes already read behind the head.
     fn start(act: impl Fn(TcpStream, String, Vec<u8>) + Send + Sync + 'static) -> Upstream {
         let socket = TcpListener::bind("127.0.0.1:0").expect("a port");
         let addr = socket.local_addr().expect("an address");
@@ -34,7 +34,7 @@
                 let (act, sender) = (act.clone(), sender.clone());
                 thread::spawn(move || {
                     let mut stream = stream;
-                    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time-out");
+                    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the time-out is set");
                     if let Some((head, rest)) = read_head(&mut stream) {
                         let _ = sender.send(head.clone());
                         act(stream, head, rest);
@@ -45,7 +45,7 @@
         Upstream { addr, heads }
     }
 
-    /// Answers everything with this text.
+    /// Responds to every request with this text.
     fn says(text: &'static str) -> Upstream {
         Upstream::start(move |mut stream, _, _| {
             let _ = stream.write_all(text.as_bytes());
@@ -68,12 +68,12 @@
     }
 }
 
-/// All that comes until the other side ends the connection; false if it was reset.
+/// Reads until the peer closes the connection; false if it was reset.
 fn read_rest(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> bool {
     stream.read_to_end(bytes).is_ok()
 }
 
-/// A dispatcher whose class `KIND` workers are these.
+/// A dispatcher whose jobs of this class are served by these workers.
 fn rig(class: &str, route: &str, upstreams: &[&Upstream]) -> Rig {
     let settings = SETTINGS.replace(r#""skus": ["m"]"#, r#""skus": ["m", "web"]"#);
     let named = format!(r#""name": "{class}""#);
@@ -97,13 +97,13 @@
 const STREAM: &str = r#", "stream": true"#;
 
 fn client(rig: &Rig, text: &str) -> TcpStream {
-    let mut stream = TcpStream::connect(rig.addr).expect("it listens");
-    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time-out");
+    let mut stream = TcpStream::connect(rig.addr).expect("the listener accepts");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the time-out is set");
     stream.write_all(text.as_bytes()).expect("written");
     stream
 }
 
-/// The status, the head and the whole body of an answer with `Connection: close`.
+/// The status, the head and the whole body of a response with `Connection: close`.
 fn answer(stream: &mut TcpStream) -> (u16, String, Vec<u8>) {
     let (head, mut body) = read_head(stream).expect("an answer");
     let status = head.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status");
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_request_passes_with_its_path_and_fields_and_so_does_the_answer() {
+fn requests_and_responses_are_forwarded_with_path_and_fields() {
     let up = Upstream::says("HTTP/1.1 404 Not Here\r\nX-Own: yes\r\nKeep-Alive: 5\r\nConnection: X-Hop\r\nX-Hop: 1\r\nContent-Length: 4\r\n\r\nnone");
     let rig = rig("quote", STREAM, &[&up]);
     let text = "DELETE /a/b?c=d%20e HTTP/1.1\r\nHost: shop\r\nX-Mine: 1\r\nTE: trailers\r\nConnection: close, X-Gone\r\nX-Gone: 1\r\n\r\n";
@@ -184,8 +184,8 @@
 #[rstest]
 #[case::in_chunks(true)]
 #[case::of_a_stated_length(false)]
-fn large_bodies_pass_both_ways_as_they_come(#[case] chunks: bool) {
-    // It sends back what comes, while it comes.
+fn large_bodies_are_streamed_in_both_directions(#[case] chunks: bool) {
+    // The worker echoes the body while it arrives.
     let up = Upstream::start(|mut stream, head, rest| {
         let head = head.to_lowercase();
         let length = head.lines().find_map(|l| l.strip_prefix("content-length: ")?.parse::<usize>().ok());
@@ -216,10 +216,10 @@
     let writer = thread::spawn(move || {
         for piece in sent.chunks(70_001) {
             let framed = if chunks { chunked(piece) } else { piece.to_vec() };
-            out.write_all(&framed).expect("it is read");
+            out.write_all(&framed).expect("the bytes are written");
         }
         if chunks {
-            out.write_all(b"0\r\n\r\n").expect("it is read");
+            out.write_all(b"0\r\n\r\n").expect("the bytes are written");
         }
     });
     let (status, _, got) = answer(&mut stream);
@@ -243,7 +243,7 @@
     }
 }
 
-/// One that fails in some way, and one that serves. Whether the second is asked, by class.
+/// One worker fails and another one serves. Whether the second receives an attempt depends on the class.
 #[rstest]
 #[case::broken_before_an_answer("", "quote", 10, true)]
 #[case::broken_before_an_answer_once("", "order", 10, false)]
@@ -264,7 +264,7 @@
     #[case] size: usize,
     #[case] again: bool,
 ) {
-    // The first to be asked fails, whichever that is.
+    // The first worker to receive a request fails.
     let failed = Arc::new(std::sync::atomic::AtomicBool::new(false));
     let start = || {
         let failed = failed.clone();
@@ -289,20 +289,20 @@
         &rig,
         &format!("POST /x HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: {size}\r\n\r\n"),
     );
-    stream.write_all(&vec![b'x'; size]).expect("it is read");
+    stream.write_all(&vec![b'x'; size]).expect("the bytes are written");
     let (status, _, body) = answer(&mut stream);
     if again {
         assert_eq!((status, &body[..]), (200, &b"done"[..]));
     } else {
-        assert!(![200, 429, 503].contains(&status), "{status} would promise that it never ran");
+        assert!(![200, 429, 503].contains(&status), "status {status} would promise that the job never ran");
     }
     let asked = a.heads.try_iter().count() + b.heads.try_iter().count();
     assert_eq!(asked, if again { 2 } else { 1 });
 }
 
 #[test]
-fn a_worker_that_refuses_connections_costs_a_once_job_nothing() {
-    // Bound and not listening: nobody else can come to listen there meanwhile.
+fn a_once_job_is_sent_to_another_worker_if_a_connection_is_refused() {
+    // Bound and not listening: no other process can listen on that port meanwhile.
     let unheard = tokio::net::TcpSocket::new_v4().expect("a socket");
     unheard.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let gone = Upstream { addr: unheard.local_addr().expect("an address"), heads: channel().1 };
@@ -316,7 +316,7 @@
 #[rstest]
 #[case::in_chunks("HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n")]
 #[case::of_a_stated_length("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 10\r\n\r\nhello")]
-fn an_answer_that_breaks_off_can_be_told_from_a_whole_one_and_is_not_repeated(#[case] said: &'static str) {
+fn a_truncated_response_is_recognizable_and_is_not_repeated(#[case] said: &'static str) {
     let (a, b) = (Upstream::says(said), Upstream::says(said));
     let rig = rig("quote", STREAM, &[&a, &b]);
     let (status, _, body) = get(&rig, "GET /x");
@@ -326,10 +326,10 @@
 }
 
 #[test]
-fn an_early_answer_reaches_a_client_that_is_still_sending() {
+fn an_early_response_reaches_a_client_that_is_still_sending() {
     let up = Upstream::start(|mut stream, _, _| {
         let _ = stream.write_all(b"HTTP/1.1 403 No\r\nConnection: close\r\nContent-Length: 3\r\n\r\nno!");
-        // It reads no more.
+        // The worker stops reading.
         thread::sleep(Duration::from_millis(300));
     });
     let rig = rig("order", STREAM, &[&up]);
@@ -339,7 +339,7 @@
 }
 
 #[test]
-fn a_client_that_goes_mid_upload_leaves_a_broken_request_behind_never_a_whole_one() {
+fn a_client_that_disconnects_mid_upload_never_leaves_a_complete_request() {
     for framing in ["Content-Length: 100000", "Transfer-Encoding: chunked"] {
         let (sender, seen) = channel();
         let sender = std::sync::Mutex::new(sender);
@@ -349,7 +349,7 @@
         });
         let rig = rig("quote", STREAM, &[&up]);
         let mut stream = client(&rig, &format!("PUT /x HTTP/1.1\r\nHost: x\r\n{framing}\r\n\r\n"));
-        stream.write_all(&chunked(&[b'x'; 5000])).expect("it is read");
+        stream.write_all(&chunked(&[b'x'; 5000])).expect("the bytes are written");
         up.heads.recv_timeout(WAIT_TIMEOUT).expect("the upload has begun");
         drop(stream);
         let rest = seen.recv_timeout(WAIT_TIMEOUT).expect("the end of the connection");
@@ -368,13 +368,13 @@
     let mut stream =
         client(&rig, &format!("PUT /x HTTP/1.1\r\nHost: x\r\nConnection: close\r\n{framing}\r\n\r\n"));
     if sent > 0 {
-        stream.write_all(&chunked(&vec![b'x'; sent])).expect("it is read");
+        stream.write_all(&chunked(&vec![b'x'; sent])).expect("the bytes are written");
     }
     assert_eq!(answer(&mut stream).0, 413);
     assert!(sent > 0 || up.heads.try_recv().is_err(), "nothing was forwarded");
 }
 
-/// Not one byte of the second request may reach a worker.
+/// Request smuggling: not one byte of the second request may reach a worker.
 #[rstest]
 #[case::both_lengths("Content-Length: 6\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nX")]
 #[case::doubled("Content-Length: 5\r\nContent-Length: 0\r\n\r\n")]
@@ -386,7 +386,7 @@
 #[case::extension("Transfer-Encoding: chunked\r\n\r\n5;a=\"\nb\"\r\nhello\r\n0\r\n\r\n")]
 #[case::huge_chunk("Transfer-Encoding: chunked\r\n\r\nffffffffffffffff\r\n")]
 #[case::short_chunk("Transfer-Encoding: chunked\r\n\r\n6\r\nhello\r\n0\r\n\r\n")]
-fn what_is_framed_in_two_ways_gets_an_error_or_a_close(#[case] rest: &str) {
+fn ambiguous_framing_gets_an_error_or_a_close(#[case] rest: &str) {
     let up = Upstream::start(|mut stream, _, mut rest| {
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok");
         read_rest(&mut stream, &mut rest);
@@ -411,7 +411,8 @@
     line.split_whitespace().nth(1).and_then(|kb| kb.parse::<usize>().ok()).expect("a number") << 10
 }
 
-/// A fast worker and a client that does not read: the worker is held back, nothing is lost, little is held.
+/// A fast worker and a client that does not read: back pressure reaches the worker, nothing is lost, and little is buffered.
+/// Returns the peak memory.
 fn slow_reader(size: usize) -> usize {
     let up = Upstream::start(move |mut stream, _, _| {
         let _ = stream.write_all(
@@ -426,7 +427,7 @@
     let rig = rig("quote", STREAM, &[&up]);
     let mut stream = client(&rig, "GET /big HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
     let (_, rest) = read_head(&mut stream).expect("a head");
-    // It reads nothing for a while; then slowly at first, then all.
+    // The client reads nothing at first, then slowly, then at full speed.
     thread::sleep(Duration::from_millis(200));
     let mut got = rest.len();
     let mut piece = vec![0; 1 << 16];
@@ -443,7 +444,7 @@
     peak(&rig)
 }
 
-/// A fast client and a worker that reads late.
+/// A fast client and a worker that starts to read late. Returns the peak memory.
 fn slow_worker(size: usize) -> usize {
     let up = Upstream::start(move |mut stream, _, rest| {
         let mut seen = rest.len();
@@ -465,7 +466,7 @@
     let piece = vec![b'x'; 1 << 16];
     let mut left = size;
     while left > 0 {
-        stream.write_all(&piece[..left.min(piece.len())]).expect("it is read");
+        stream.write_all(&piece[..left.min(piece.len())]).expect("the bytes are written");
         left -= left.min(piece.len());
     }
     assert_eq!(answer(&mut stream).0, 200);
@@ -477,7 +478,7 @@
 #[rstest]
 #[case::to_a_slow_client(slow_reader)]
 #[case::to_a_slow_worker(slow_worker)]
-fn memory_stays_under_its_cap_whoever_is_slow(#[case] run: fn(usize) -> usize) {
+fn memory_stays_under_its_limit_with_a_slow_peer(#[case] run: fn(usize) -> usize) {
     let held = run(100 << 20);
     assert!(held < CAP, "{} MB at the peak", held >> 20);
 }
@@ -497,7 +498,7 @@
 }
 
 #[test]
-fn a_peer_that_moves_nothing_is_cut_off_and_others_are_not() {
+fn an_idle_stream_is_closed_and_others_are_not() {
     let up = Upstream::start(|mut stream, head, mut rest| {
         if head.starts_with("GET /stuck") {
             let _ =
@@ -511,18 +512,18 @@
     let mut stuck = client(&rig, "GET /stuck HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
     assert_eq!(get(&rig, "GET /fine").0, 200);
     let (status, _, body) = answer(&mut stuck);
-    assert_eq!((status, &body[..]), (200, &b"hello"[..]), "cut short after the idle limit");
-    // A client that begins an upload and says no more.
+    assert_eq!((status, &body[..]), (200, &b"hello"[..]), "the body is truncated after the idle limit");
+    // A client that begins an upload and sends nothing more.
     let mut quiet = client(&rig, "PUT /x HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\nbegin");
-    wait_for("an end", || {
+    wait_for("the connection to be closed", || {
         let mut all = Vec::new();
         read_rest(&mut quiet, &mut all);
         !String::from_utf8_lossy(&all).starts_with("HTTP/1.1 200")
     });
 }
 
-/// A worker that sends `hello`, waits for a word of the test, and ends with ` world`.
-fn halting() -> (Upstream, std::sync::mpsc::Sender<()>) {
+/// A worker that sends `hello`, waits for a signal from the test, and ends with ` world`.
+fn paused_worker() -> (Upstream, std::sync::mpsc::Sender<()>) {
     let (go, wait) = channel::<()>();
     let wait = std::sync::Mutex::new(wait);
     let up = Upstream::start(move |mut stream, _, _| {
@@ -534,25 +535,25 @@
 }
 
 #[test]
-fn sigterm_lets_answers_that_pass_come_to_their_end() {
-    let (up, go) = halting();
+fn sigterm_lets_streamed_responses_finish() {
+    let (up, go) = paused_worker();
     let mut rig = rig("quote", STREAM, &[&up]);
     let mut stream = client(&rig, "GET /x HTTP/1.1\r\nHost: x\r\n\r\n");
     let (_, mut body) = read_head(&mut stream).expect("a head");
     rig.terminate();
     rig.wait_for_log("SIGTERM");
-    // Well past the time in which new jobs are taken.
+    // Well past the time in which new jobs are still accepted.
     thread::sleep(Duration::from_millis(2000));
     assert!(rig.is_running());
-    go.send(()).expect("it waits");
+    go.send(()).expect("the worker waits");
     assert!(read_rest(&mut stream, &mut body));
     assert_eq!(body, b"hello world");
     assert!(rig.wait_for_exit().success());
 }
 
-/// The list has it draining while an upload is on its way there: the one it has it finishes.
+/// A worker is listed as draining while it receives an upload: it finishes that upload.
 #[test]
-fn a_worker_that_drains_mid_upload_finishes_it_and_gets_nothing_new() {
+fn a_worker_that_drains_mid_upload_finishes_it_and_gets_no_new_request() {
     let serve = || {
         Upstream::start(|mut stream, head, rest| {
             let length =
@@ -587,14 +588,14 @@
     for _ in 0..4 {
         assert_eq!(get(&rig, "GET /new").0, 200);
     }
-    assert!(ups[at].heads.try_recv().is_err(), "nothing new went there");
-    upload.write_all(b"world").expect("it is read");
+    assert!(ups[at].heads.try_recv().is_err(), "the draining worker received a new request");
+    upload.write_all(b"world").expect("the bytes are written");
     assert_eq!(answer(&mut upload).0, 200);
 }
 
-/// Many streams that stand still, with all that may be held in use: others are served as ever, in the same time.
+/// Many stalled streams fill the buffers permitted to them: other requests are still served.
 #[test]
-fn many_streams_that_stand_still_hold_up_nobody() {
+fn many_stalled_streams_do_not_block_other_requests() {
     let up = Upstream::start(|mut stream, head, _| {
         if head.starts_with("GET /big") {
             let _ =
@@ -615,7 +616,7 @@
         assert_eq!(get(&rig, "GET /small").0, 200);
     }
     assert!(peak(&rig) < 32 << 20, "{} MB", peak(&rig) >> 20);
-    // Each gets all of it in the end.
+    // Each client receives the whole body in the end.
     for stream in &mut standing {
         let mut body = Vec::new();
         assert!(read_rest(stream, &mut body));
@@ -623,11 +624,11 @@
     }
 }
 
-/// One gigabyte out of a worker that is as fast as it can be: how long that takes, by this address.
+/// Downloads `size` bytes from this address and returns how long that takes.
 fn fetch(addr: SocketAddr, size: usize) -> Duration {
     let start = std::time::Instant::now();
-    let mut stream = TcpStream::connect(addr).expect("it listens");
-    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("a time-out");
+    let mut stream = TcpStream::connect(addr).expect("the listener accepts");
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the time-out is set");
     stream.write_all(b"GET /big HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").expect("written");
     let (_, rest) = read_head(&mut stream).expect("a head");
     let (mut got, mut piece) = (rest.len(), vec![0; 1 << 18]);
@@ -637,7 +638,7 @@
     start.elapsed()
 }
 
-/// CPU seconds of a process so far.
+/// CPU seconds used by a process so far.
 fn cpu(pid: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("a process");
     let fields: Vec<&str> = stat.rsplit(')').next().expect("fields").split_whitespace().collect();
@@ -645,7 +646,7 @@
     (ticks(11) + ticks(12)) / 100.0
 }
 
-/// Throughput against a bare relay, in turn.
+/// Throughput compared with a bare relay, in alternation.
 #[test]
 #[ignore = "a measurement"]
 fn measure_throughput_against_a_bare_relay() {
@@ -696,7 +697,7 @@
     );
 }
 
-/// Small jobs beside streams that stand still, and without, in turn.
+/// Latency of small jobs with and without stalled streams, in alternation.
 #[test]
 #[ignore = "a measurement"]
 fn measure_small_jobs_beside_two_hundred_streams() {
@@ -747,15 +748,15 @@
     println!("ratio: median {:.2}, {:.2} to {:.2}", ratios[2], ratios[0], ratios[4]);
 }
 
-/// The phone goes away in the middle: the worker's connection ends too, and nothing is kept for it.
+/// The client disconnects in the middle of the response: the worker's connection is closed too.
 #[test]
-fn a_client_that_goes_mid_answer_frees_the_worker() {
+fn a_client_that_disconnects_mid_response_frees_the_worker() {
     let (sender, ended) = channel();
     let sender = std::sync::Mutex::new(sender);
     let up = Upstream::start(move |mut stream, _, _| {
         let _ =
             stream.write_all(b"HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n");
-        // It would go on for ever.
+        // An endless body.
         while stream.write_all(&chunked(&[b'x'; 4096])).is_ok() {}
         let _ = sender.lock().expect("a lock").send(());
     });
@@ -763,22 +764,22 @@
     let mut stream = client(&rig, "GET /x HTTP/1.1\r\nHost: x\r\n\r\n");
     assert!(read_head(&mut stream).is_some());
     drop(stream);
-    ended.recv_timeout(WAIT_TIMEOUT).expect("the worker is told");
+    ended.recv_timeout(WAIT_TIMEOUT).expect("the worker's connection is closed");
 }
 
-/// Death in the middle of an upload: what is held is sent again where the class permits.
+/// A worker crashes in the middle of an upload: a buffered body is sent again where the class permits.
 #[rstest]
 #[case::held("quote", 10_000, true)]
 #[case::once("order", 10_000, false)]
 #[case::more_than_is_held("quote", 2_000_000, false)]
-fn a_worker_that_dies_mid_upload(#[case] class: &str, #[case] size: usize, #[case] again: bool) {
+fn a_worker_that_crashes_mid_upload(#[case] class: &str, #[case] size: usize, #[case] again: bool) {
     let died = Arc::new(std::sync::atomic::AtomicBool::new(false));
     let start = || {
         let died = died.clone();
         Upstream::start(move |mut stream, _, rest| {
             let dies = !died.swap(true, std::sync::atomic::Ordering::SeqCst);
             let (mut seen, mut piece) = (rest.len(), vec![0; 65536]);
-            // The one that dies has taken more than is held, where there is more.
+            // The crashing worker has read more than is buffered, if the body is that large.
             while seen < if dies { size.min(1_000_000) - 5000 } else { size } {
                 seen += stream.read(&mut piece).expect("the rest");
             }
@@ -795,20 +796,20 @@
         &rig,
         &format!("PUT /x HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: {size}\r\n\r\n"),
     );
-    // The dispatcher may answer and end the connection before all is written.
+    // The dispatcher may respond and close the connection before everything is written.
     let _ = stream.write_all(&vec![b'x'; size]);
     let status = read_head(&mut stream)
         .map_or(0, |(head, _)| head.split(' ').nth(1).map_or(0, |s| s.parse().unwrap_or(0)));
     assert_eq!(status == 200, again, "{status}");
-    assert!(![429, 503].contains(&status), "{status} would promise that it never ran");
+    assert!(![429, 503].contains(&status), "status {status} would promise that the job never ran");
     let asked = a.heads.try_iter().count() + b.heads.try_iter().count();
     assert_eq!(asked, if again { 2 } else { 1 });
 }
 
 #[test]
-fn a_client_that_waits_for_100_is_told_to_go_on() {
+fn a_client_that_expects_100_continue_receives_it() {
     let up = Upstream::start(|mut stream, head, rest| {
-        assert!(!head.to_lowercase().contains("expect"), "it was answered here: {head}");
+        assert!(!head.to_lowercase().contains("expect"), "the dispatcher answers Expect itself: {head}");
         let (mut seen, mut piece) = (rest.len(), [0; 64]);
         while seen < 5 {
             seen += stream.read(&mut piece).expect("the body");
@@ -820,6 +821,6 @@
     let mut stream = client(&rig, "PUT /x HTTP/1.1\r\nHost: x\r\nConnection: close\r\nExpect: 100-continue\r\nContent-Length: 5\r\n\r\n");
     let (interim, _) = read_head(&mut stream).expect("an interim answer");
     assert!(interim.starts_with("HTTP/1.1 100"), "{interim}");
-    stream.write_all(b"hello").expect("it is read");
+    stream.write_all(b"hello").expect("the bytes are written");
     assert_eq!(answer(&mut stream).0, 200);
 }
