--- a/dispatcher/tests/admin_console.rs
+++ b/dispatcher/tests/admin_console.rs
@@ -21,7 +21,7 @@
     let more = format!(r#""admin_addr": "{console}", "name": "console{}x{n}","#, std::process::id());
     let listed = (0..2).map(|i| common::Worker::start(&format!("w{i}"))).collect::<Vec<_>>();
     let names = listed.iter().map(|w| (w.id.clone(), w.addr)).collect();
-    let mut rig = Rig::set_up(names, SETTINGS, Setup { more, ..Setup::default() });
+    let mut rig = Rig::set_up(names, SETTINGS, Setup { extra_config: more, ..Setup::default() });
     rig.workers = listed;
     (rig, console)
 }
--- a/dispatcher/tests/beanstalkd.rs
+++ b/dispatcher/tests/beanstalkd.rs
@@ -19,7 +19,7 @@
 }
 
 fn start(workers: usize) -> Rig {
-    Rig::with(workers, SETTINGS, Some(&operator_config("")))
+    Rig::with_settings(workers, SETTINGS, Some(&operator_config("")))
 }
 
 fn client(rig: &Rig) -> Client {
@@ -52,14 +52,14 @@
     let id = client.put(b"payload", 0, Duration::ZERO, Duration::from_secs(60)).expect("the job is accepted");
     assert_eq!(client.stats_job(id).expect("known")["state"], "reserved");
     assert_eq!(client.peek(id).expect("known").body(), b"payload");
-    let seen = rig.workers[0].next();
-    assert_eq!((&*seen.message.start_line, &*seen.message.body), ("POST /api HTTP/1.1", "payload"));
+    let request = rig.workers[0].next();
+    assert_eq!((&*request.message.start_line, &*request.message.body), ("POST /api HTTP/1.1", "payload"));
     assert!(
-        seen.message.headers.contains_key("idempotency-key"),
+        request.message.headers.contains_key("idempotency-key"),
         "an attempt of a by_key class carries a key"
     );
-    let reference = seen.reference().to_owned();
-    seen.respond("202 Accepted");
+    let reference = request.reference().to_owned();
+    request.respond("202 Accepted");
     rig.send_job_update(0, &reference, "done", DONE);
     client.watch("done").expect("a tube");
     client.ignore("default").expect("a tube");
@@ -128,7 +128,7 @@
 #[test]
 fn a_job_that_the_decision_module_gives_up_is_refused_at_once_with_a_retry_time() {
     let settings = SETTINGS.replace(r#""late_share": 0.5"#, r#""late_share": 0"#);
-    let rig = Rig::with(1, &settings, Some(&operator_config("")));
+    let rig = Rig::with_settings(1, &settings, Some(&operator_config("")));
     let mut client = client(&rig);
     let start = Instant::now();
     let id = put(&mut client, "statements", 0);
@@ -148,9 +148,9 @@
     let reference = rig.workers[0].accept_job();
     assert_eq!(client.command(&format!("delete {id}")), "DELETED");
     assert_eq!(client.command(&format!("delete {id}")), "NOT_FOUND");
-    let seen = rig.workers[0].next();
-    assert_eq!(seen.message.start_line, format!("DELETE /jobs/{reference} HTTP/1.1"));
-    seen.respond("200 OK");
+    let request = rig.workers[0].next();
+    assert_eq!(request.message.start_line, format!("DELETE /jobs/{reference} HTTP/1.1"));
+    request.respond("200 OK");
     rig.send_job_update(0, &reference, "done", DONE);
     client.command("watch done");
     assert_eq!(client.command("reserve-with-timeout 0"), "TIMED_OUT");
@@ -240,7 +240,8 @@
 
 #[test]
 fn limits_on_jobs_and_connections_are_enforced_and_reported() {
-    let rig = Rig::with(1, SETTINGS, Some(&operator_config(r#""max_jobs": 2, "max_connections": 2,"#)));
+    let rig =
+        Rig::with_settings(1, SETTINGS, Some(&operator_config(r#""max_jobs": 2, "max_connections": 2,"#)));
     let (mut first, mut second) = (client(&rig), client(&rig));
     let _ids = [put(&mut first, "statements", 0), put(&mut first, "statements", 0)];
     assert_eq!(second.command("use statements"), "USING statements");
@@ -264,7 +265,7 @@
 #[case::half_a_line("put 0 0 6")]
 #[case::half_a_body("put 0 0 60 5\r\nhe")]
 fn idle_and_slow_connections_are_evicted(#[case] part: &str) {
-    let rig = Rig::with(1, SETTINGS, Some(&operator_config(r#""max_connections": 2,"#)));
+    let rig = Rig::with_settings(1, SETTINGS, Some(&operator_config(r#""max_connections": 2,"#)));
     let mut crowd = [client(&rig), client(&rig)];
     crowd.iter_mut().for_each(|c| c.write(part.as_bytes()));
     if !part.is_empty() {
@@ -313,7 +314,7 @@
 fn queues(count: usize, operator: &str) -> (Vec<Server>, Rig) {
     let servers: Vec<Server> = (0..count).map(|_| Server::start()).collect();
     let listed = servers.iter().enumerate().map(|(i, s)| (format!("q{i}"), s.addr)).collect();
-    let rig = Rig::of(listed, SETTINGS, Some(operator));
+    let rig = Rig::with_worker_addrs(listed, SETTINGS, Some(operator));
     (servers, rig)
 }
 
--- a/dispatcher/tests/common/mod.rs
+++ b/dispatcher/tests/common/mod.rs
@@ -90,7 +90,7 @@
 pub struct Worker {
     pub id: String,
     pub addr: SocketAddr,
-    seen: Receiver<WorkerRequest>,
+    requests: Receiver<WorkerRequest>,
     /// Connections that are open now, and all connections accepted so far.
     pub open_connections: Arc<AtomicU32>,
     pub connections_accepted: Arc<AtomicU32>,
@@ -100,7 +100,7 @@
     pub fn start(id: &str) -> Worker {
         let socket = TcpListener::bind("127.0.0.1:0").expect("a port");
         let addr = socket.local_addr().expect("an address");
-        let (sender, seen) = channel();
+        let (sender, requests) = channel();
         let open = Arc::new(AtomicU32::new(0));
         let began = Arc::new(AtomicU32::new(0));
         let (count, total) = (open.clone(), began.clone());
@@ -124,62 +124,62 @@
                 });
             }
         });
-        Worker { id: id.into(), addr, seen, open_connections: open, connections_accepted: began }
+        Worker { id: id.into(), addr, requests, open_connections: open, connections_accepted: began }
     }
 
     /// Waits for the next request.
     pub fn next(&self) -> WorkerRequest {
-        self.seen.recv_timeout(WAIT_TIMEOUT).expect("the worker receives a request")
+        self.requests.recv_timeout(WAIT_TIMEOUT).expect("the worker receives a request")
     }
 
     /// Waits for the next request without a time limit; `None` once the worker can no longer receive any.
     pub fn next_unless_closed(&self) -> Option<WorkerRequest> {
-        self.seen.recv().ok()
+        self.requests.recv().ok()
     }
 
     pub fn has_no_request(&self) -> bool {
-        self.seen.try_recv().is_err()
+        self.requests.try_recv().is_err()
     }
 
     /// The request lines of all requests received and not yet read by the test.
     pub fn request_lines(&self) -> Vec<String> {
-        self.seen.try_iter().map(|seen| seen.message.start_line).collect()
+        self.requests.try_iter().map(|request| request.message.start_line).collect()
     }
 
     /// Whether the given job is among the requests received and not yet read by the test; discards them.
     pub fn has_received_job(&self, reference: &str) -> bool {
-        let is_it = |seen: &WorkerRequest| {
-            let Message { start_line, headers, .. } = &seen.message;
+        let is_it = |request: &WorkerRequest| {
+            let Message { start_line, headers, .. } = &request.message;
             start_line.starts_with("POST ") && headers.get("x-call-id").is_some_and(|id| id == reference)
         };
-        self.seen.try_iter().filter(is_it).count() > 0
+        self.requests.try_iter().filter(is_it).count() > 0
     }
 
     /// Answers the next pending request, if there is one, with 202; false if it was the given job.
     pub fn has_no_request_for(&self, reference: &str) -> bool {
-        let Ok(seen) = self.seen.try_recv() else { return true };
-        let is_it = seen.reference() == reference;
-        seen.respond("202 Accepted");
+        let Ok(request) = self.requests.try_recv() else { return true };
+        let is_it = request.reference() == reference;
+        request.respond("202 Accepted");
         !is_it
     }
 
     /// Waits for the next job request, answering health probes with 200.
     pub fn next_job_request(&self) -> WorkerRequest {
         loop {
-            let seen = self.next();
-            if !seen.message.start_line.starts_with("GET ") {
-                return seen;
+            let request = self.next();
+            if !request.message.start_line.starts_with("GET ") {
+                return request;
             }
-            seen.respond("200 OK");
+            request.respond("200 OK");
         }
     }
 
     /// Accepts the next job with 202 and returns its reference.
     pub fn accept_job(&self) -> String {
-        let seen = self.next();
-        assert!(seen.message.start_line.starts_with("POST "), "{:?}", seen.message);
-        let reference = seen.reference().to_owned();
-        seen.respond("202 Accepted");
+        let request = self.next();
+        assert!(request.message.start_line.starts_with("POST "), "{:?}", request.message);
+        let reference = request.reference().to_owned();
+        request.respond("202 Accepted");
         reference
     }
 }
@@ -212,7 +212,7 @@
 pub struct Setup<'a> {
     pub operator: Option<&'a str>,
     /// Additional keys of the platform's configuration, each followed by a comma.
-    pub more: String,
+    pub extra_config: String,
     /// Additional command-line arguments.
     pub args: Vec<String>,
     /// The workers' kind; `m` by default.
@@ -293,25 +293,29 @@
 impl Rig {
     /// Starts the program with the given number of workers, all up.
     pub fn start(workers: usize) -> Rig {
-        Rig::with(workers, SETTINGS, None)
+        Rig::with_settings(workers, SETTINGS, None)
     }
 
     /// Starts the program with the given number of workers, and waits until it has reported its addresses.
-    pub fn with(workers: usize, settings: &str, operator: Option<&str>) -> Rig {
+    pub fn with_settings(workers: usize, settings: &str, operator: Option<&str>) -> Rig {
         let workers: Vec<Worker> = (0..workers).map(|i| Worker::start(&format!("w{i}"))).collect();
         let listed = workers.iter().map(|w| (w.id.clone(), w.addr)).collect();
-        let mut rig = Rig::of(listed, settings, operator);
+        let mut rig = Rig::with_worker_addrs(listed, settings, operator);
         rig.workers = workers;
         rig
     }
 
     /// Starts the program with workers at the given addresses.
-    pub fn of(listed: Vec<(String, SocketAddr)>, settings: &str, operator: Option<&str>) -> Rig {
+    pub fn with_worker_addrs(
+        listed: Vec<(String, SocketAddr)>,
+        settings: &str,
+        operator: Option<&str>,
+    ) -> Rig {
         Rig::set_up(listed, settings, Setup { operator, ..Setup::default() })
     }
 
     /// Starts the program with workers of the given kind.
-    pub fn of_kind(
+    pub fn with_worker_kind(
         listed: Vec<(String, SocketAddr)>,
         kind: &'static str,
         settings: &str,
@@ -420,9 +424,10 @@
     pub fn next(&self) -> (usize, WorkerRequest) {
         let until = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < until {
-            let seen = self.workers.iter().enumerate().find_map(|(i, w)| Some((i, w.seen.try_recv().ok()?)));
-            match seen {
-                Some(seen) => return seen,
+            let request =
+                self.workers.iter().enumerate().find_map(|(i, w)| Some((i, w.requests.try_recv().ok()?)));
+            match request {
+                Some(request) => return request,
                 None => thread::sleep(Duration::from_millis(1)),
             }
         }
@@ -443,14 +448,14 @@
     /// Has one job served by the worker that receives it, and returns that worker's index.
     pub fn serve_job(&self, reference: &str, class: &str) -> usize {
         let mut client = self.post(reference, class, "");
-        let (worker, seen) = self.next();
+        let (worker, request) = self.next();
         assert_eq!(
-            seen.message.headers.get("x-call-id").map(String::as_str),
+            request.message.headers.get("x-call-id").map(String::as_str),
             Some(reference),
             "{:?}",
-            seen.message
+            request.message
         );
-        seen.respond("202 Accepted");
+        request.respond("202 Accepted");
         self.send_job_update(worker, reference, "done", r#","result":"a chart""#);
         assert_eq!(client.read_response().status(), 200);
         worker
@@ -605,7 +610,7 @@
 ) -> Command {
     let Setup {
         operator,
-        more,
+        extra_config,
         args,
         kind,
         inherit,
@@ -617,9 +622,9 @@
         ..
     } = setup;
     let (kind, discovery) = (kind.unwrap_or("m"), discovery.expect("an address of discovery"));
-    let mut config = config(listed, kind, discovery, settings, !more.contains("limits")).replacen(
+    let mut config = config(listed, kind, discovery, settings, !extra_config.contains("limits")).replacen(
         '{',
-        &format!("{{{more}"),
+        &format!("{{{extra_config}"),
         1,
     );
     if without_known_list {
@@ -760,10 +765,10 @@
 
 impl Client {
     pub fn new(addr: SocketAddr) -> Client {
-        Client::of(TcpStream::connect(addr).expect("the listener accepts"))
+        Client::from_stream(TcpStream::connect(addr).expect("the listener accepts"))
     }
 
-    pub fn of(stream: TcpStream) -> Client {
+    pub fn from_stream(stream: TcpStream) -> Client {
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the time-out is set");
         Client { reader: BufReader::new(stream.try_clone().expect("a socket")), stream }
     }
@@ -841,9 +846,9 @@
     /// Whether no data has arrived and the program has not closed the connection.
     pub fn is_unanswered(&self) -> bool {
         self.stream.set_nonblocking(true).expect("a socket");
-        let seen = self.stream.peek(&mut [0]);
+        let peeked = self.stream.peek(&mut [0]);
         self.stream.set_nonblocking(false).expect("a socket");
-        self.reader.buffer().is_empty() && seen.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
+        self.reader.buffer().is_empty() && peeked.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
     }
 
     /// Waits for a message or the end of the connection; true if the program closed it.
--- a/dispatcher/tests/common/replacement.rs
+++ b/dispatcher/tests/common/replacement.rs
@@ -90,24 +90,24 @@
     call_back: SocketAddr,
 ) {
     loop {
-        let Some(seen) = worker.next_unless_closed() else { return };
-        if let Some(path) = seen.message.start_line.strip_prefix("DELETE /jobs/") {
+        let Some(request) = worker.next_unless_closed() else { return };
+        if let Some(path) = request.message.start_line.strip_prefix("DELETE /jobs/") {
             let reference = path.split(' ').next().unwrap_or_default().to_owned();
             given_up.lock().expect("a lock").push(reference);
         }
-        if !seen.message.start_line.starts_with("POST ") {
-            seen.respond("200 OK");
+        if !request.message.start_line.starts_with("POST ") {
+            request.respond("200 OK");
             continue;
         }
-        let (at, reference) = (Instant::now(), seen.reference().to_owned());
+        let (at, reference) = (Instant::now(), request.reference().to_owned());
         let arrival = Arrival { at, worker: worker.id.clone(), reference: reference.clone() };
         arrivals.lock().expect("a lock").push(arrival);
         let conduct = *conduct.lock().expect("a lock");
         match conduct {
-            WorkerBehaviour::Rejects => seen.respond("503 Service Unavailable\r\nX-Rejected: 1"),
-            WorkerBehaviour::Hangs => seen.respond("202 Accepted"),
+            WorkerBehaviour::Rejects => request.respond("503 Service Unavailable\r\nX-Rejected: 1"),
+            WorkerBehaviour::Hangs => request.respond("202 Accepted"),
             WorkerBehaviour::Serves => {
-                seen.respond("202 Accepted");
+                request.respond("202 Accepted");
                 let from = worker.id.clone();
                 thread::spawn(move || report_done(call_back, &reference, &from));
             }
@@ -121,7 +121,7 @@
     let body = format!(r#"{{"id":"{reference}","from":"{from}","state":"done","result":"a chart"}}"#);
     for call in 1..=CALLS {
         if let Ok(stream) = TcpStream::connect(to) {
-            let mut client = Client::of(stream);
+            let mut client = Client::from_stream(stream);
             client.send("POST /_jobs/news", "", &body);
             if client.try_read_response().is_some_and(|answer| [200, 204].contains(&answer.status())) {
                 return Some(call);
@@ -139,7 +139,7 @@
     pub workers: Workers,
     name: String,
     settings: String,
-    pub temporary: PathBuf,
+    pub temp_dir: PathBuf,
 }
 
 /// One process of a dispatcher.
@@ -166,7 +166,7 @@
             workers,
             name: format!("replaced{}x{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed)),
             settings: settings.into(),
-            temporary: create_temp_dir(),
+            temp_dir: create_temp_dir(),
         }
     }
 
@@ -195,11 +195,11 @@
     }
 
     fn set_up<'a>(&self, console: SocketAddr, setup: Setup<'a>) -> Setup<'a> {
-        let more = format!(r#"{}"admin_addr": "{console}", "name": "{}","#, setup.more, self.name);
+        let more = format!(r#"{}"admin_addr": "{console}", "name": "{}","#, setup.extra_config, self.name);
         let mut environment = setup.environment.clone();
-        environment.push(("TMPDIR".into(), self.temporary.to_str().expect("letters").to_owned()));
+        environment.push(("TMPDIR".into(), self.temp_dir.to_str().expect("letters").to_owned()));
         Setup {
-            more,
+            extra_config: more,
             environment,
             discovery: Some(self.discovery.addr),
             inherit: Some(self.socket.try_clone().expect("a socket")),
@@ -218,7 +218,7 @@
 
 impl Drop for Dispatcher {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.temporary);
+        let _ = std::fs::remove_dir_all(&self.temp_dir);
     }
 }
 
--- a/dispatcher/tests/common/serving.rs
+++ b/dispatcher/tests/common/serving.rs
@@ -70,15 +70,15 @@
 
 fn serve(worker: &Worker, received: &Mutex<Vec<ReceivedJob>>, processes: &Mutex<Vec<SocketAddr>>) {
     loop {
-        let seen = worker.next();
-        if !seen.message.start_line.starts_with("POST ") {
-            seen.respond("200 OK");
+        let request = worker.next();
+        if !request.message.start_line.starts_with("POST ") {
+            request.respond("200 OK");
             continue;
         }
-        let (at, reference) = (Instant::now(), seen.reference().to_owned());
+        let (at, reference) = (Instant::now(), request.reference().to_owned());
         let job = ReceivedJob { at, worker: worker.id.clone(), reference: reference.clone() };
         received.lock().expect("a lock").push(job);
-        seen.respond("202 Accepted");
+        request.respond("202 Accepted");
         let to = processes.lock().expect("a lock")[process_of(&reference)];
         let body = format!(r#"{{"id":"{reference}","from":"{}","state":"done","result":"x"}}"#, worker.id);
         let mut client = Client::new(to);
--- a/dispatcher/tests/departed_clients.rs
+++ b/dispatcher/tests/departed_clients.rs
@@ -145,7 +145,7 @@
 #[test]
 fn of_a_burst_of_leavers_none_is_sent_on_when_workers_have_room() {
     // Fifty clients may take long to leave, on a machine with much to do: who stays has the time.
-    let rig = Rig::with(1, &SETTINGS.replace("8000", "60000"), None);
+    let rig = Rig::with_settings(1, &SETTINGS.replace("8000", "60000"), None);
     warm(&rig);
     rig.list(&["draining"]);
     let mut clients: Vec<Client> = (0..49).map(|i| rig.post(&format!("c{i}"), "quote", "")).collect();
@@ -179,7 +179,7 @@
 ) {
     let mut closed = BlockedListener::start();
     let settings = SETTINGS.replace(r#""connect_timeout_ms": 1000"#, r#""connect_timeout_ms": 6000"#);
-    let rig = Rig::of(vec![("w0".into(), closed.addr)], &settings, None);
+    let rig = Rig::with_worker_addrs(vec![("w0".into(), closed.addr)], &settings, None);
     let mut client = rig.post("c1", "order", "");
     wait_until("the worker is connected to", || closed.pending_connections() > 0);
     client.write(behind.as_bytes());
@@ -236,7 +236,7 @@
 /// A client of the beanstalkd front takes its job back while it waits: there is no first attempt.
 #[test]
 fn a_job_deleted_while_it_waits_is_not_sent_on() {
-    let rig = Rig::with(1, SETTINGS, Some(&front()));
+    let rig = Rig::with_settings(1, SETTINGS, Some(&front()));
     warm(&rig);
     rig.list(&["draining"]);
     let (mut client, id) = put(&rig);
@@ -251,7 +251,7 @@
 /// attempt begins once the delete is answered.
 #[test]
 fn a_job_deleted_as_it_comes_back_gets_no_further_attempt() {
-    let rig = Rig::with(1, SETTINGS, Some(&front()));
+    let rig = Rig::with_settings(1, SETTINGS, Some(&front()));
     let (mut client, id) = put(&rig);
     let seen = rig.workers[0].next();
     let reference = seen.reference().to_owned();
@@ -269,7 +269,7 @@
 fn a_job_deleted_while_the_worker_is_connected_to_is_not_sent_on() {
     let mut closed = BlockedListener::start();
     let settings = SETTINGS.replace(r#""connect_timeout_ms": 1000"#, r#""connect_timeout_ms": 6000"#);
-    let rig = Rig::of(vec![("w0".into(), closed.addr)], &settings, Some(&front()));
+    let rig = Rig::with_worker_addrs(vec![("w0".into(), closed.addr)], &settings, Some(&front()));
     let (mut client, id) = put(&rig);
     wait_until("the worker is connected to", || closed.pending_connections() > 0);
     assert_eq!(client.command(&format!("delete {id}")), "DELETED");
--- a/dispatcher/tests/descriptors.rs
+++ b/dispatcher/tests/descriptors.rs
@@ -61,7 +61,7 @@
 fn start(workers: Vec<Worker>, discovery: &Discovery, more: String) -> Rig {
     let listed = workers.iter().map(|w| (w.id.clone(), w.addr)).collect();
     let setup = Setup {
-        more,
+        extra_config: more,
         discovery: Some(discovery.addr),
         on_start: Some(&limit_descriptors),
         ..Setup::default()
@@ -235,12 +235,12 @@
         let mut clients: Vec<Client> =
             (0..GROUP).map(|i| rig.post(&format!("g{group}-{i}"), "quote", "")).collect();
         for _ in 0..GROUP {
-            let (worker, seen) = rig.next();
-            if !seen.message.start_line.starts_with("POST ") {
+            let (worker, request) = rig.next();
+            if !request.message.start_line.starts_with("POST ") {
                 return None;
             }
-            let reference = seen.reference().to_owned();
-            seen.respond("202 Accepted");
+            let reference = request.reference().to_owned();
+            request.respond("202 Accepted");
             rig.send_job_update(worker, &reference, "done", r#","result":"a chart""#);
         }
         assert!(clients.iter_mut().all(|client| client.read_response().status() == 200));
@@ -271,20 +271,20 @@
     let mut clients: Vec<Client> = Vec::new();
     for i in 0..TAKEN {
         clients.push(rig.post(&format!("c{i}"), "quote", ""));
-        let (_, seen) = rig.next();
-        if !seen.message.start_line.starts_with("POST ") {
+        let (_, request) = rig.next();
+        if !request.message.start_line.starts_with("POST ") {
             return None;
         }
-        seen.respond("202 Accepted");
+        request.respond("202 Accepted");
     }
     discovery.set_behaviour(Behaviour::Down);
     rig.process_pending_events();
     drop(clients);
     let _silent: Vec<_> = (0..CALLS)
         .map(|_| {
-            let (_, seen) = rig.next();
-            assert!(seen.message.start_line.starts_with("DELETE "), "{:?}", seen.message);
-            seen
+            let (_, request) = rig.next();
+            assert!(request.message.start_line.starts_with("DELETE "), "{:?}", request.message);
+            request
         })
         .collect();
     let before = discovery.calls().len();
--- a/dispatcher/tests/discovery_reports.rs
+++ b/dispatcher/tests/discovery_reports.rs
@@ -52,8 +52,12 @@
         let peers = [nobody, peer.local_addr().expect("an address")];
         let more = format!(r#""peer_listen": "127.0.0.1:0", "peers": ["{}", "{}"], "#, peers[0], peers[1]);
         let operator = operator("");
-        let setup =
-            Setup { more, discovery: Some(discovery.addr), operator: Some(&operator), ..Setup::default() };
+        let setup = Setup {
+            extra_config: more,
+            discovery: Some(discovery.addr),
+            operator: Some(&operator),
+            ..Setup::default()
+        };
         let rig = Rig::set_up(workers.listed.clone(), &settings, setup);
         workers.add_process(rig.addr);
         assert_eq!(rig.post("0-before", "quote", "").read_response().status(), 200);
--- a/dispatcher/tests/fleet.rs
+++ b/dispatcher/tests/fleet.rs
@@ -46,7 +46,7 @@
             r#""name": "n{at}", "peer_listen": "127.0.0.1:0", "peers": {}, "#,
             json!(self.relay.peers(at))
         );
-        let setup = Setup { operator: Some(&operator), more, ..Setup::default() };
+        let setup = Setup { operator: Some(&operator), extra_config: more, ..Setup::default() };
         let rig = Rig::set_up(listed, &settings, setup);
         self.relay.is_at(at, rig.peer.expect("it talks"));
         rig
--- a/dispatcher/tests/http.rs
+++ b/dispatcher/tests/http.rs
@@ -15,18 +15,18 @@
 fn a_job_goes_through_and_its_result_is_the_answer(#[case] early: bool) {
     let rig = Rig::start(1);
     let mut client = rig.post("c1", "quote", "X-Budget-Ms: 7000\r\nIdempotency-Key: k1\r\n");
-    let seen = rig.workers[0].next();
-    assert_eq!(seen.message.start_line, "POST /api HTTP/1.1");
-    assert_eq!(seen.message.body, "payload");
-    assert_eq!((seen.reference(), &*seen.message.headers["idempotency-key"]), ("c1", "k1"));
-    assert!(seen.message.headers["x-budget-ms"].parse::<u32>().is_ok_and(|ms| (1..7000).contains(&ms)));
+    let request = rig.workers[0].next();
+    assert_eq!(request.message.start_line, "POST /api HTTP/1.1");
+    assert_eq!(request.message.body, "payload");
+    assert_eq!((request.reference(), &*request.message.headers["idempotency-key"]), ("c1", "k1"));
+    assert!(request.message.headers["x-budget-ms"].parse::<u32>().is_ok_and(|ms| (1..7000).contains(&ms)));
     // A worker's status updates may arrive before its 202, and may be repeated.
     if early {
         rig.send_job_update(0, "c1", "done", DONE);
         rig.send_job_update(0, "c1", "done", DONE);
-        seen.respond("202 Accepted");
+        request.respond("202 Accepted");
     } else {
-        seen.respond("202 Accepted");
+        request.respond("202 Accepted");
         rig.send_job_update(0, "c1", "started", "");
         rig.send_job_update(0, "c1", "running", r#","share":0.5"#);
         rig.send_job_update(0, "c1", "done", DONE);
@@ -61,10 +61,10 @@
 ) {
     let rig = Rig::start(1);
     let mut client = rig.post("c1", class, "");
-    let seen = rig.workers[0].next();
+    let request = rig.workers[0].next();
     match status {
-        "" => drop(seen),
-        _ => seen.respond(status),
+        "" => drop(request),
+        _ => request.respond(status),
     }
     if !news.is_empty() {
         rig.send_job_update(0, "c1", news, "");
@@ -85,8 +85,8 @@
 fn status_updates_from_another_worker_or_for_another_job_change_nothing() {
     let rig = Rig::start(2);
     let mut client = rig.post("c1", "quote", "");
-    let (first, seen) = rig.next();
-    seen.respond("202 Accepted");
+    let (first, request) = rig.next();
+    request.respond("202 Accepted");
     let other = 1 - first;
     rig.send_job_update(other, "c1", "done", r#","result":"not its own""#);
     rig.send_job_update(first, "c0", "done", DONE);
@@ -101,9 +101,9 @@
     let client = rig.post("c1", "quote", "");
     assert_eq!(rig.workers[0].accept_job(), "c1");
     drop(client);
-    let seen = rig.workers[0].next();
-    assert_eq!(seen.message.start_line, "DELETE /jobs/c1 HTTP/1.1");
-    seen.respond("200 OK");
+    let request = rig.workers[0].next();
+    assert_eq!(request.message.start_line, "DELETE /jobs/c1 HTTP/1.1");
+    request.respond("200 OK");
     // The job's id is free again, and a late status update for it has no effect.
     rig.send_job_update(0, "c1", "done", DONE);
 }
@@ -112,21 +112,21 @@
 /// sent while the first was still running.
 #[test]
 fn no_second_attempt_is_sent_before_the_worker_knows_that_the_first_is_cancelled() {
-    let rig = Rig::with(2, &SETTINGS.replace(r#""aim_ms": 500"#, r#""aim_ms": 50"#), None);
+    let rig = Rig::with_settings(2, &SETTINGS.replace(r#""aim_ms": 500"#, r#""aim_ms": 50"#), None);
     let mut client = rig.post("c1", "quote", "");
-    let (first, seen) = rig.next();
-    seen.respond("202 Accepted");
+    let (first, request) = rig.next();
+    request.respond("202 Accepted");
     rig.send_job_update(first, "c1", "started", "");
     // The job is not done after ten times its usual duration. The worker stops it once the cancellation arrives.
     for _ in 0..3 {
-        let seen = rig.workers[first].next();
-        assert_eq!(seen.message.start_line, "DELETE /jobs/c1 HTTP/1.1");
+        let request = rig.workers[first].next();
+        assert_eq!(request.message.start_line, "DELETE /jobs/c1 HTTP/1.1");
         assert!(rig.workers[1 - first].has_no_request());
     }
     rig.workers[first].next().respond("200 OK");
-    let (second, seen) = rig.next();
-    assert!(seen.message.start_line.starts_with("POST "));
-    seen.respond("202 Accepted");
+    let (second, request) = rig.next();
+    assert!(request.message.start_line.starts_with("POST "));
+    request.respond("202 Accepted");
     rig.send_job_update(second, "c1", "done", DONE);
     assert_eq!(client.read_response().status(), 200);
 }
@@ -141,16 +141,16 @@
     rig.send_job_update(first, "c1", "started", "");
     let mut client = rig.post("c2", "quote", "");
     let (silent, _silent) = rig.next();
-    let (at, seen) = rig.next();
-    assert_eq!((at, &*seen.message.start_line), (silent, "DELETE /jobs/c2 HTTP/1.1"));
+    let (at, request) = rig.next();
+    assert_eq!((at, &*request.message.start_line), (silent, "DELETE /jobs/c2 HTTP/1.1"));
     assert!(
         rig.workers.iter().all(|w| w.has_no_request()),
         "no second attempt before the worker has been told"
     );
-    seen.respond("404 Not Found");
-    let (second, seen) = rig.next();
-    assert_eq!(seen.reference(), "c2");
-    seen.respond("202 Accepted");
+    request.respond("404 Not Found");
+    let (second, request) = rig.next();
+    assert_eq!(request.reference(), "c2");
+    request.respond("202 Accepted");
     rig.send_job_update(second, "c2", "done", DONE);
     rig.send_job_update(first, "c1", "done", DONE);
     assert!([&mut client, &mut begun].iter_mut().all(|c| c.read_response().status() == 200));
@@ -209,7 +209,8 @@
 /// accumulate.
 #[test]
 fn idle_connections_to_a_removed_worker_are_closed() {
-    let rig = Rig::with(2, &SETTINGS.replace(r#""keepalive_ms": 10000"#, r#""keepalive_ms": 100"#), None);
+    let rig =
+        Rig::with_settings(2, &SETTINGS.replace(r#""keepalive_ms": 10000"#, r#""keepalive_ms": 100"#), None);
     let mut clients: Vec<_> = (0..2).map(|i| rig.post(&format!("c{i}"), "quote", "")).collect();
     (0..2).for_each(|w| rig.send_job_update(w, &rig.workers[w].accept_job(), "done", DONE));
     assert!(clients.iter_mut().all(|c| c.read_response().status() == 200));
@@ -230,7 +231,7 @@
 
 #[test]
 fn jobs_over_the_limit_are_refused_at_once_with_retry_after() {
-    let rig = Rig::with(1, &SETTINGS.replace(r#""most_held": 50"#, r#""most_held": 1"#), None);
+    let rig = Rig::with_settings(1, &SETTINGS.replace(r#""most_held": 50"#, r#""most_held": 1"#), None);
     let _first = rig.post("c1", "quote", "");
     assert_eq!(rig.workers[0].accept_job(), "c1");
     let start = Instant::now();
@@ -317,8 +318,8 @@
     let mut rig = Rig::start(2);
     rig.list(&["up", "up"]);
     let mut before = rig.post("c1", "order", "");
-    let (first, seen) = rig.next();
-    seen.respond("202 Accepted");
+    let (first, request) = rig.next();
+    request.respond("202 Accepted");
     rig.move_discovery(&["draining", "up"]);
     for i in 0..4 {
         let id = format!("d{i}");
@@ -404,13 +405,13 @@
     let out = program().arg("import-nginx").arg(&file).output().expect("it runs");
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
     let operator = String::from_utf8(out.stdout).expect("text");
-    let rig = Rig::of(Vec::new(), SETTINGS, Some(&operator));
+    let rig = Rig::with_worker_addrs(Vec::new(), SETTINGS, Some(&operator));
     let mut client = rig.connect();
     client.send("POST /charts/gse?days=5", "", "payload");
-    let seen = worker.next();
-    assert_eq!(seen.message.start_line, "POST /charts/gse?days=5 HTTP/1.1");
+    let request = worker.next();
+    assert_eq!(request.message.start_line, "POST /charts/gse?days=5 HTTP/1.1");
     // A plain upstream responds on the connection itself.
-    seen.respond("201 Created\r\nX-Own: yes");
+    request.respond("201 Created\r\nX-Own: yes");
     let answer = client.read_response();
     assert_eq!((answer.status(), &*answer.headers["x-own"]), (201, "yes"));
 }
--- a/dispatcher/tests/kept.rs
+++ b/dispatcher/tests/kept.rs
@@ -19,7 +19,7 @@
 #[case::gone(&["removed"])]
 fn nothing_is_written_to_a_worker_that_drains_while_it_is_connected_to(#[case] states: &[&str]) {
     let mut closed = BlockedListener::start();
-    let rig = Rig::of(vec![("w0".into(), closed.addr)], &patient(), None);
+    let rig = Rig::with_worker_addrs(vec![("w0".into(), closed.addr)], &patient(), None);
     let _client = rig.post("c1", "order", "");
     wait_until("the worker is connected to", || closed.pending_connections() > 0);
     rig.list(states);
@@ -36,7 +36,7 @@
     let settings = patient().replace(r#""key_ttl_ms": 9000"#, r#""key_ttl_ms": 2000"#);
     let worker = Worker::start("w0");
     let listed = vec![(worker.id.clone(), worker.addr), ("w1".into(), closed.addr)];
-    let mut rig = Rig::of(listed, &settings, None);
+    let mut rig = Rig::with_worker_addrs(listed, &settings, None);
     rig.workers = vec![worker];
     rig.list(&["up", "draining"]);
     let mut client = rig.post("c1", "statement", "Idempotency-Key: k1\r\n");
@@ -55,7 +55,7 @@
 #[test]
 fn a_late_connection_is_used_and_a_class_that_must_not_be_repeated_is_served_on_it() {
     let mut closed = BlockedListener::start();
-    let rig = Rig::of(vec![("w0".into(), closed.addr)], &patient(), None);
+    let rig = Rig::with_worker_addrs(vec![("w0".into(), closed.addr)], &patient(), None);
     let mut client = rig.post("c1", "order", "");
     wait_until("the worker is connected to", || closed.pending_connections() > 0);
     let mut stream = closed.accept_next();
@@ -73,8 +73,11 @@
     let closed = BlockedListener::start();
     let settings = SETTINGS.replace(r#""connect_timeout_ms": 1000"#, r#""connect_timeout_ms": 700"#);
     let worker = Worker::start("w1");
-    let mut rig =
-        Rig::of(vec![("w0".into(), closed.addr), (worker.id.clone(), worker.addr)], &settings, None);
+    let mut rig = Rig::with_worker_addrs(
+        vec![("w0".into(), closed.addr), (worker.id.clone(), worker.addr)],
+        &settings,
+        None,
+    );
     rig.workers = vec![worker];
     let mut clients: Vec<_> = (0..4).map(|i| rig.post(&format!("c{i}"), "order", "")).collect();
     for _ in 0..clients.len() {
--- a/dispatcher/tests/leaving.rs
+++ b/dispatcher/tests/leaving.rs
@@ -49,7 +49,7 @@
     // Nothing else ends this job within the test's patience.
     let settings = SETTINGS.replace("8000", "60000").replace(r#""aim_ms": 500"#, r#""aim_ms": 50000"#);
     retry_if_late(|| {
-        let rig = Rig::with(1, &settings, None);
+        let rig = Rig::with_settings(1, &settings, None);
         let mut client = rig.post("c1", "quote", "");
         let seen = rig.workers[0].next();
         if !seen.message.start_line.starts_with("POST ") {
@@ -123,7 +123,7 @@
 #[test]
 fn who_leaves_while_an_attempt_is_given_up_gets_no_other() {
     retry_if_late(|| {
-        let rig = Rig::with(2, &SETTINGS.replace(r#""aim_ms": 500"#, r#""aim_ms": 50"#), None);
+        let rig = Rig::with_settings(2, &SETTINGS.replace(r#""aim_ms": 500"#, r#""aim_ms": 50"#), None);
         let mut client = rig.post("c1", "quote", "");
         let (first, seen) = rig.next();
         if !seen.message.start_line.starts_with("POST ") {
@@ -236,7 +236,7 @@
 fn who_leaves_while_the_worker_is_connected_to_is_not_sent_on() {
     let mut closed = common::BlockedListener::start();
     let settings = SETTINGS.replace(r#""connect_timeout_ms": 1000"#, r#""connect_timeout_ms": 6000"#);
-    let rig = Rig::of(vec![("w0".into(), closed.addr)], &settings, None);
+    let rig = Rig::with_worker_addrs(vec![("w0".into(), closed.addr)], &settings, None);
     let mut client = rig.post("c1", "order", "");
     wait_until("the worker is connected to", || closed.pending_connections() > 0);
     client.write(b"\r\n");
--- a/dispatcher/tests/load.rs
+++ b/dispatcher/tests/load.rs
@@ -23,7 +23,7 @@
 #[case::in_a_call(true)]
 #[case::in_the_header_of_an_answer(false)]
 fn a_report_says_how_many_jobs_go_to_a_worker_at_once(#[case] call: bool) {
-    let rig = Rig::with(1, &settings(), None);
+    let rig = Rig::with_settings(1, &settings(), None);
     let mut first = rig.post("first", "quote", "");
     let seen = rig.workers[0].next();
     if call {
@@ -52,7 +52,7 @@
 /// The guess says how long a job can wait: the longest comes last. One that can't be read is no error.
 #[test]
 fn a_guess_at_the_work_orders_what_waits() {
-    let rig = Rig::with(1, &settings(), None);
+    let rig = Rig::with_settings(1, &settings(), None);
     let mut first = rig.post("first", "quote", "");
     assert_eq!(rig.workers[0].accept_job(), "first");
     rig.send_job_update(0, "first", "done", r#","result":"a chart","load":{"x0":1.0}"#);
@@ -76,7 +76,7 @@
 /// Fleets are of unlike workers: each gets as many at once as it has shown slots.
 #[test]
 fn workers_of_unequal_size_are_filled_by_what_they_report() {
-    let rig = Rig::with(2, &settings(), None);
+    let rig = Rig::with_settings(2, &settings(), None);
     let mut clients: Vec<_> = ["a", "b"].iter().map(|id| rig.post(id, "quote", "")).collect();
     let firsts = [rig.workers[0].accept_job(), rig.workers[1].accept_job()];
     rig.send_job_update(0, &firsts[0], "done", r#","result":"a chart","load":{"x0":1.0}"#);
@@ -101,7 +101,7 @@
 /// It takes the request and says nothing, not even that it has it. In doubt the job ran.
 #[test]
 fn what_may_not_run_twice_stays_with_a_worker_that_takes_it_and_is_silent() {
-    let rig = Rig::with(2, &settings(), None);
+    let rig = Rig::with_settings(2, &settings(), None);
     let mut client = rig.post("c1", "order", "X-Budget-Ms: 3000\r\n");
     let (silent, seen) = rig.next();
     assert_eq!(seen.reference(), "c1");
--- a/dispatcher/tests/load_gossip.rs
+++ b/dispatcher/tests/load_gossip.rs
@@ -51,7 +51,7 @@
     });
     let workers: Vec<Worker> = (0..2).map(|i| Worker::start(&format!("w{i}"))).collect();
     let listed = workers.iter().map(|w| (w.id.clone(), w.addr)).collect();
-    let mut rig = Rig::set_up(listed, &settings, Setup { more, ..Setup::default() });
+    let mut rig = Rig::set_up(listed, &settings, Setup { extra_config: more, ..Setup::default() });
     rig.workers = workers;
     (rig, heard)
 }
--- a/dispatcher/tests/pushed.rs
+++ b/dispatcher/tests/pushed.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 
 fn rig() -> Rig {
-    Rig::with(2, &SETTINGS.replace(r#""discovery": "ask""#, r#""discovery": "push""#), None)
+    Rig::with_settings(2, &SETTINGS.replace(r#""discovery": "ask""#, r#""discovery": "push""#), None)
 }
 
 /// All of some jobs go to this worker.
--- a/dispatcher/tests/race_conditions.rs
+++ b/dispatcher/tests/race_conditions.rs
@@ -111,7 +111,7 @@
     #[values(false, true)] with_a_reset: bool,
     #[values("done", "failed", "returned")] word: &str,
 ) {
-    let rig = Rig::with(2, &patient(), None);
+    let rig = Rig::with_settings(2, &patient(), None);
     let client = rig.post("c1", "quote", "");
     let (worker, seen) = rig.next();
     seen.respond("202 Accepted");
@@ -140,7 +140,7 @@
 #[test]
 fn a_job_whose_giving_up_times_out_twice_goes_elsewhere_once() {
     retry_if_late(|| {
-        let rig = Rig::with(2, &SETTINGS.replace(r#""aim_ms": 500"#, r#""aim_ms": 200"#), None);
+        let rig = Rig::with_settings(2, &SETTINGS.replace(r#""aim_ms": 500"#, r#""aim_ms": 200"#), None);
         let mut client = rig.post("c1", "quote", "");
         let (first, seen) = rig.next();
         assert!(seen.message.start_line.starts_with("POST "), "{:?}", seen.message);
@@ -209,7 +209,7 @@
     let (socket, addr) = raw_worker();
     let worker = Worker::start("w1");
     let listed = vec![("w0".into(), addr), (worker.id.clone(), worker.addr)];
-    let mut rig = Rig::of(listed, &patient(), None);
+    let mut rig = Rig::with_worker_addrs(listed, &patient(), None);
     rig.workers = vec![worker];
     rig.list(&["up", "draining"]);
     let mut client = rig.post("c1", "quote", "");
@@ -238,7 +238,7 @@
 /// Clients that send much at once and go: none of it is sent on, and usual clients are served behind them.
 #[rstest]
 fn a_flood_of_those_who_have_gone_is_not_sent_on(#[values(false, true)] with_a_reset: bool) {
-    let rig = Rig::with(1, &patient(), None);
+    let rig = Rig::with_settings(1, &patient(), None);
     rig.pause();
     for i in 0..40 {
         let mut client = rig.connect();
@@ -254,7 +254,7 @@
 /// Requests and workers' calls in pieces of any size, on one connection.
 #[rstest]
 fn requests_in_pieces_are_read_as_if_whole(#[values(1, 2, 3, 7, 64)] size: usize) {
-    let rig = Rig::with(1, &patient(), None);
+    let rig = Rig::with_settings(1, &patient(), None);
     let (mut client, mut call) = (rig.connect(), rig.connect());
     for (id, framing, body) in [
         ("c1", "Content-Length: 7", "payload"),
--- a/dispatcher/tests/replacement.rs
+++ b/dispatcher/tests/replacement.rs
@@ -143,9 +143,9 @@
     let console = common::replacement::console_address();
     let settings = SETTINGS.replace(r#""connect_timeout_ms": 1000"#, r#""connect_timeout_ms": 6000"#);
     let more = format!(r#""admin_addr": "{console}", "name": "late{}","#, std::process::id());
-    let temporary = common::create_temp_dir();
-    let environment = vec![("TMPDIR".into(), temporary.to_str().expect("letters").to_owned())];
-    let setup = Setup { more, environment, ..Setup::default() };
+    let temp_dir = common::create_temp_dir();
+    let environment = vec![("TMPDIR".into(), temp_dir.to_str().expect("letters").to_owned())];
+    let setup = Setup { extra_config: more, environment, ..Setup::default() };
     let rig = Rig::set_up(vec![("w0".into(), closed.addr)], &settings, setup);
     let process = Process { rig, console };
     process.wait_until_ready();
--- a/dispatcher/tests/replacement_soak.rs
+++ b/dispatcher/tests/replacement_soak.rs
@@ -300,7 +300,7 @@
         while ends.len() < 2 {
             let mut client = match connection
                 .take()
-                .map_or_else(|| TcpStream::connect(run.dispatcher.addr()).map(Client::of), Ok)
+                .map_or_else(|| TcpStream::connect(run.dispatcher.addr()).map(Client::from_stream), Ok)
             {
                 Ok(client) => client,
                 Err(_) => return,
--- a/dispatcher/tests/stopping.rs
+++ b/dispatcher/tests/stopping.rs
@@ -183,7 +183,7 @@
             std::thread::spawn(move || {
                 let (mut whole, mut n) = (0, 0);
                 while let Ok(stream) = std::net::TcpStream::connect(addr) {
-                    let mut client = Client::of(stream);
+                    let mut client = Client::from_stream(stream);
                     loop {
                         n += 1;
                         client.post(&format!("g{i}-{n}"), "quote", "X-Budget-Ms: 100\r\n");
--- a/dispatcher/tests/streams.rs
+++ b/dispatcher/tests/streams.rs
@@ -192,12 +192,12 @@
         let framing = length.map_or("transfer-encoding: chunked".into(), |l| format!("content-length: {l}"));
         let _ =
             stream.write_all(format!("HTTP/1.1 200 OK\r\nConnection: close\r\n{framing}\r\n\r\n").as_bytes());
-        let (mut seen, mut tail) = (rest.len(), rest.clone());
+        let (mut received, mut tail) = (rest.len(), rest.clone());
         let _ = stream.write_all(&rest);
         let mut piece = [0; 30_000];
-        while length.map_or(!tail.ends_with(b"0\r\n\r\n"), |l| seen < l) {
+        while length.map_or(!tail.ends_with(b"0\r\n\r\n"), |l| received < l) {
             let Ok(count) = stream.read(&mut piece) else { return };
-            seen += count;
+            received += count;
             tail.extend_from_slice(&piece[..count]);
             tail.drain(..tail.len().saturating_sub(5));
             if count == 0 || stream.write_all(&piece[..count]).is_err() {
@@ -269,10 +269,10 @@
     let start = || {
         let failed = failed.clone();
         Upstream::start(move |mut stream, _, rest| {
-            let mut seen = rest.len();
+            let mut received = rest.len();
             let mut piece = [0; 65536];
-            while seen < size {
-                seen += stream.read(&mut piece).unwrap_or(size);
+            while received < size {
+                received += stream.read(&mut piece).unwrap_or(size);
             }
             let first = !failed.swap(true, std::sync::atomic::Ordering::SeqCst);
             let text = if first {
@@ -341,7 +341,7 @@
 #[test]
 fn a_client_that_disconnects_mid_upload_never_leaves_a_complete_request() {
     for framing in ["Content-Length: 100000", "Transfer-Encoding: chunked"] {
-        let (sender, seen) = channel();
+        let (sender, received) = channel();
         let sender = std::sync::Mutex::new(sender);
         let up = Upstream::start(move |mut stream, _, mut rest| {
             read_rest(&mut stream, &mut rest);
@@ -352,7 +352,7 @@
         stream.write_all(&chunked(&[b'x'; 5000])).expect("the bytes are written");
         up.heads.recv_timeout(WAIT_TIMEOUT).expect("the upload has begun");
         drop(stream);
-        let rest = seen.recv_timeout(WAIT_TIMEOUT).expect("the end of the connection");
+        let rest = received.recv_timeout(WAIT_TIMEOUT).expect("the end of the connection");
         assert!(rest.len() < 100_000 && !rest.ends_with(b"0\r\n\r\n"));
     }
 }
@@ -447,15 +447,15 @@
 /// A fast client and a worker that starts to read late. Returns the peak memory.
 fn slow_worker(size: usize) -> usize {
     let up = Upstream::start(move |mut stream, _, rest| {
-        let mut seen = rest.len();
+        let mut received = rest.len();
         let mut piece = vec![0; 1 << 16];
         thread::sleep(Duration::from_millis(200));
-        while seen < size {
+        while received < size {
             match stream.read(&mut piece) {
-                Ok(count) if count > 0 => seen += count,
+                Ok(count) if count > 0 => received += count,
                 _ => return,
             }
-            if seen < 1 << 20 {
+            if received < 1 << 20 {
                 thread::sleep(Duration::from_millis(1));
             }
         }
@@ -558,10 +558,10 @@
         Upstream::start(|mut stream, head, rest| {
             let length =
                 head.lines().find_map(|l| l.to_lowercase().strip_prefix("content-length: ")?.parse().ok());
-            let (mut seen, length) = (rest.len(), length.unwrap_or(0usize));
+            let (mut received, length) = (rest.len(), length.unwrap_or(0usize));
             let mut piece = [0; 4096];
-            while seen < length {
-                seen += stream.read(&mut piece).expect("the rest");
+            while received < length {
+                received += stream.read(&mut piece).expect("the rest");
             }
             let _ =
                 stream.write_all(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ndone");
@@ -573,7 +573,7 @@
         "classes": [{"name": "page", "kind": "web", "aim_ms": 500, "deadline_ms": 8000, "effect": "once"}],
         "routes": [{"path": "/", "class": "page", "stream": true}]}"#;
     let listed = ups.iter().enumerate().map(|(i, u)| (format!("u{i}"), u.addr)).collect();
-    let rig = Rig::of_kind(listed, "web", &settings, operator);
+    let rig = Rig::with_worker_kind(listed, "web", &settings, operator);
     let mut upload =
         client(&rig, "PUT /x HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: 10\r\n\r\nhello");
     let mut at = None;
@@ -717,7 +717,7 @@
         "classes": [{"name": "page", "kind": "web", "aim_ms": 500, "deadline_ms": 8000, "effect": "repeatable"}],
         "routes": [{"path": "/", "class": "page", "stream": true, "idle_ms": 600000, "least_rate": 0}]}"#;
     let more = r#""limits": {"memory_mb": 192, "sockets": 1024}, "#.to_owned();
-    let setup = Setup { operator: Some(operator), kind: Some("web"), more, ..Setup::default() };
+    let setup = Setup { operator: Some(operator), kind: Some("web"), extra_config: more, ..Setup::default() };
     let rig = Rig::set_up(vec![("u0".into(), up.addr)], &settings, setup);
     let median = || {
         let mut times: Vec<Duration> = (0..2000)
@@ -778,10 +778,10 @@
         let died = died.clone();
         Upstream::start(move |mut stream, _, rest| {
             let dies = !died.swap(true, std::sync::atomic::Ordering::SeqCst);
-            let (mut seen, mut piece) = (rest.len(), vec![0; 65536]);
+            let (mut received, mut piece) = (rest.len(), vec![0; 65536]);
             // The crashing worker has read more than is buffered, if the body is that large.
-            while seen < if dies { size.min(1_000_000) - 5000 } else { size } {
-                seen += stream.read(&mut piece).expect("the rest");
+            while received < if dies { size.min(1_000_000) - 5000 } else { size } {
+                received += stream.read(&mut piece).expect("the rest");
             }
             if dies {
                 return;
@@ -810,9 +810,9 @@
 fn a_client_that_expects_100_continue_receives_it() {
     let up = Upstream::start(|mut stream, head, rest| {
         assert!(!head.to_lowercase().contains("expect"), "the dispatcher answers Expect itself: {head}");
-        let (mut seen, mut piece) = (rest.len(), [0; 64]);
-        while seen < 5 {
-            seen += stream.read(&mut piece).expect("the body");
+        let (mut received, mut piece) = (rest.len(), [0; 64]);
+        while received < 5 {
+            received += stream.read(&mut piece).expect("the body");
         }
         let _ = stream
             .write_all(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\ndone");
--- a/dispatcher/tests/watches.rs
+++ b/dispatcher/tests/watches.rs
@@ -16,7 +16,7 @@
 #[case::many(60, 8800)]
 fn what_a_silent_watch_missed_is_asked_for_in_time(#[case] tier: u32, #[case] within_ms: u64) {
     let settings = SETTINGS.replace(r#""instances": 1"#, &format!(r#""instances": {tier}"#));
-    let rig = Rig::with(2, &settings, None);
+    let rig = Rig::with_settings(2, &settings, None);
     // From here on a watch stands.
     rig.list(&["up", "up"]);
     rig.silence_discovery();
@@ -33,7 +33,7 @@
 #[case::pushed("push")]
 fn a_discovery_that_counts_anew_is_asked_for_its_whole_list(#[case] mode: &str) {
     let settings = SETTINGS.replace(r#""discovery": "ask""#, &format!(r#""discovery": "{mode}""#));
-    let rig = Rig::with(2, &settings, None);
+    let rig = Rig::with_settings(2, &settings, None);
     (0..3).for_each(|_| rig.list(&["up", "up"]));
     rig.restart_discovery(&["draining", "up"]);
     // It asks for what is newer than the first version once it has read that one.
@@ -48,7 +48,7 @@
 #[test]
 fn a_watch_that_is_ended_is_asked_for_in_time_in_a_large_tier() {
     let settings = SETTINGS.replace(r#""instances": 1"#, r#""instances": 60"#);
-    let rig = Rig::with(2, &settings, None);
+    let rig = Rig::with_settings(2, &settings, None);
     rig.list(&["up", "up"]);
     rig.close_discovery_connections();
     let since = Instant::now();
@@ -63,7 +63,7 @@
 #[test]
 fn what_changes_right_behind_an_answer_is_heard_of_before_the_tiers_pause() {
     let settings = SETTINGS.replace(r#""instances": 1"#, r#""instances": 300"#);
-    let rig = Rig::with(2, &settings, None);
+    let rig = Rig::with_settings(2, &settings, None);
     // The answer to a call that was put off, and the one to the watch behind it.
     rig.list(&["up", "up"]);
     rig.list(&["up", "up"]);
@@ -80,7 +80,7 @@
 #[case::many(60)]
 fn a_move_in_the_middle_of_a_silent_call_is_taken_up_at_once(#[case] tier: u32) {
     let settings = SETTINGS.replace(r#""instances": 1"#, &format!(r#""instances": {tier}"#));
-    let mut rig = Rig::with(2, &settings, None);
+    let mut rig = Rig::with_settings(2, &settings, None);
     rig.list(&["up", "up"]);
     rig.silence_discovery();
     // The one that is left would say this, too late for the move.
--- a/dispatcher/tests/words.rs
+++ b/dispatcher/tests/words.rs
@@ -60,7 +60,7 @@
 #[case::failed("failed")]
 #[case::returned("returned")]
 fn the_next_attempt_waits_for_the_call_that_gives_the_last_one_up(#[case] word: &str) {
-    let rig = Rig::with(1, &SETTINGS.replace(r#""aim_ms": 500"#, r#""aim_ms": 50"#), None);
+    let rig = Rig::with_settings(1, &SETTINGS.replace(r#""aim_ms": 500"#, r#""aim_ms": 50"#), None);
     let mut client = rig.post("c1", "quote", "");
     assert_eq!(rig.workers[0].accept_job(), "c1");
     rig.send_job_update(0, "c1", "started", "");
@@ -95,7 +95,8 @@
     let socket = TcpListener::bind("127.0.0.1:0").expect("a port");
     let listed = vec![("w0".into(), socket.local_addr().expect("an address"))];
     // Nothing else gives the job up within the test.
-    let rig = Rig::of(listed, &SETTINGS.replace(r#""aim_ms": 500"#, r#""aim_ms": 5000"#), None);
+    let rig =
+        Rig::with_worker_addrs(listed, &SETTINGS.replace(r#""aim_ms": 500"#, r#""aim_ms": 5000"#), None);
     let mut client = rig.post("c1", class, "");
     let (mut stream, _) = socket.accept().expect("a connection");
     assert_eq!(read_first(&stream), "POST /api HTTP/1.1");
@@ -121,7 +122,8 @@
 #[case::failed("500 Internal Server Error")]
 fn an_answer_said_twice_does_not_end_the_next_attempt(#[case] twice: &str) {
     let socket = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let rig = Rig::of(vec![("w0".into(), socket.local_addr().expect("an address"))], SETTINGS, None);
+    let rig =
+        Rig::with_worker_addrs(vec![("w0".into(), socket.local_addr().expect("an address"))], SETTINGS, None);
     let say = |stream: &mut TcpStream, answer: &str| {
         let answer = format!("HTTP/1.1 {answer}\r\nContent-Length: 0\r\n\r\n");
         stream.write_all(answer.as_bytes()).expect("a connection");
