--- a/dispatcher/tests/common/replacement.rs
+++ b/dispatcher/tests/common/replacement.rs
@@ -1,8 +1,8 @@
-//! One dispatcher whose process is replaced while it serves: processes that inherit one listening socket and share one
-//! `$TMPDIR`, each with an admin console of its own, and workers whose conduct a test chooses.
+//! One dispatcher whose process is replaced while it serves: processes that inherit the same listening socket and share one
+//! `$TMPDIR`, each with its own admin console, and workers with selectable behaviour.
 
 use super::discovery::{entry, Behaviour, Discovery};
-use super::{folder, wait_until, Client, Rig, Setup, Worker, SETTINGS};
+use super::{create_temp_dir, wait_until, Client, Rig, Setup, Worker, SETTINGS};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -11,22 +11,22 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A worker's call is made so often until it is answered, as the platform's page has it, and so long apart.
+/// A worker repeats an unanswered call, as the platform's documentation specifies: number of calls and the pause between them.
 const CALLS: usize = 10;
 const BETWEEN_CALLS: Duration = Duration::from_millis(50);
 
-/// What a worker does with jobs.
+/// How a worker handles jobs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Conduct {
-    /// Hands each one back unstarted.
-    TurnsAway,
-    /// Takes it and says nothing more.
+pub enum WorkerBehaviour {
+    /// Rejects each job unstarted.
+    Rejects,
+    /// Accepts the job and sends no status update.
     Hangs,
-    /// Takes it, and calls back with a result, each call on a connection of its own.
+    /// Accepts the job and reports a result, each update on a new connection.
     Serves,
 }
 
-/// An attempt that came to a worker.
+/// An attempt received by a worker.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub at: Instant,
@@ -34,17 +34,17 @@
     pub reference: String,
 }
 
-/// Workers of one conduct, and what came to them.
+/// Workers of one behaviour, and the attempts that they received.
 pub struct Workers {
     pub listed: Vec<(String, SocketAddr)>,
-    conduct: Arc<Mutex<Conduct>>,
+    conduct: Arc<Mutex<WorkerBehaviour>>,
     arrivals: Arc<Mutex<Vec<Arrival>>>,
     given_up: Arc<Mutex<Vec<String>>>,
 }
 
 impl Workers {
-    /// So many workers, `w0` and on, that call back at this address.
-    pub fn start(count: usize, conduct: Conduct, call_back: SocketAddr) -> Workers {
+    /// Starts `count` workers, named `w0` onwards, that report results to `call_back`.
+    pub fn start(count: usize, conduct: WorkerBehaviour, call_back: SocketAddr) -> Workers {
         let mut workers = Workers {
             listed: Vec::new(),
             conduct: Arc::new(Mutex::new(conduct)),
@@ -61,68 +61,69 @@
         workers
     }
 
-    pub fn conduct(&self, conduct: Conduct) {
+    pub fn set_behaviour(&self, conduct: WorkerBehaviour) {
         *self.conduct.lock().expect("a lock") = conduct;
     }
 
-    /// Attempts that came to a worker from an instant on.
+    /// Attempts received by a worker since an instant.
     pub fn since(&self, worker: &str, from: Instant) -> Vec<Arrival> {
         let arrivals = self.arrivals.lock().expect("a lock");
         arrivals.iter().filter(|came| came.worker == worker && came.at >= from).cloned().collect()
     }
 
-    /// How many attempts have come to all of them.
+    /// Number of attempts received by all workers.
     pub fn count(&self) -> usize {
         self.arrivals.lock().expect("a lock").len()
     }
 
-    /// The references of jobs that were given up.
-    pub fn given_up(&self) -> Vec<String> {
+    /// The references of cancelled jobs.
+    pub fn cancelled_jobs(&self) -> Vec<String> {
         self.given_up.lock().expect("a lock").clone()
     }
 }
 
 fn serve(
     worker: &Worker,
-    conduct: &Mutex<Conduct>,
+    conduct: &Mutex<WorkerBehaviour>,
     arrivals: &Mutex<Vec<Arrival>>,
     given_up: &Mutex<Vec<String>>,
     call_back: SocketAddr,
 ) {
     loop {
-        let Some(seen) = worker.next_if_any() else { return };
-        if let Some(path) = seen.message.first.strip_prefix("DELETE /jobs/") {
+        let Some(request) = worker.next_unless_closed() else { return };
+        if let Some(path) = request.message.start_line.strip_prefix("DELETE /jobs/") {
             let reference = path.split(' ').next().unwrap_or_default().to_owned();
             given_up.lock().expect("a lock").push(reference);
         }
-        if !seen.message.first.starts_with("POST ") {
-            seen.answer("200 OK");
+        if !request.message.start_line.starts_with("POST ") {
+            request.respond("200 OK");
             continue;
         }
-        let (at, reference) = (Instant::now(), seen.reference().to_owned());
+        let (at, reference) = (Instant::now(), request.reference().to_owned());
         let arrival = Arrival { at, worker: worker.id.clone(), reference: reference.clone() };
         arrivals.lock().expect("a lock").push(arrival);
         let conduct = *conduct.lock().expect("a lock");
         match conduct {
-            Conduct::TurnsAway => seen.answer("503 Service Unavailable\r\nX-Rejected: 1"),
-            Conduct::Hangs => seen.answer("202 Accepted"),
-            Conduct::Serves => {
-                seen.answer("202 Accepted");
+            WorkerBehaviour::Rejects => request.respond("503 Service Unavailable\r\nX-Rejected: 1"),
+            WorkerBehaviour::Hangs => request.respond("202 Accepted"),
+            WorkerBehaviour::Serves => {
+                request.respond("202 Accepted");
                 let from = worker.id.clone();
-                thread::spawn(move || tell_done(call_back, &reference, &from));
+                thread::spawn(move || report_done(call_back, &reference, &from));
             }
         }
     }
 }
 
-/// Calls until the call is answered with 200; how many calls that took, if it came to that.
-pub fn tell_done(to: SocketAddr, reference: &str, from: &str) -> Option<usize> {
+/// Reports a job as done, repeating the call until it is answered with 200 or 204. Returns the number of calls; `None` if none
+/// was answered so.
+pub fn report_done(to: SocketAddr, reference: &str, from: &str) -> Option<usize> {
     let body = format!(r#"{{"id":"{reference}","from":"{from}","state":"done","result":"a chart"}}"#);
     for call in 1..=CALLS {
         if let Ok(stream) = TcpStream::connect(to) {
-            let mut client = Client::of(stream);
+            let mut client = Client::from_stream(stream);
             client.send("POST /_jobs/news", "", &body);
-            if client.heard().is_some_and(|answer| [200, 204].contains(&answer.status())) {
+            if client.try_read_response().is_some_and(|answer| [200, 204].contains(&answer.status())) {
                 return Some(call);
             }
         }
@@ -131,29 +132,29 @@
     None
 }
 
-/// A dispatcher: what its processes have in common.
+/// What the processes of one dispatcher share.
 pub struct Dispatcher {
     socket: TcpListener,
     pub discovery: Discovery,
     pub workers: Workers,
     name: String,
     settings: String,
-    pub temporary: PathBuf,
+    pub temp_dir: PathBuf,
 }
 
-/// One process of it.
+/// One process of a dispatcher.
 pub struct Process {
     pub rig: Rig,
     pub console: SocketAddr,
 }
 
 impl Dispatcher {
-    /// With so many workers, of this conduct, and the usual settings.
-    pub fn new(workers: usize, conduct: Conduct) -> Dispatcher {
+    /// A dispatcher with the given workers and the default settings.
+    pub fn new(workers: usize, conduct: WorkerBehaviour) -> Dispatcher {
         Dispatcher::with_settings(workers, conduct, SETTINGS)
     }
 
-    pub fn with_settings(workers: usize, conduct: Conduct, settings: &str) -> Dispatcher {
+    pub fn with_settings(workers: usize, conduct: WorkerBehaviour, settings: &str) -> Dispatcher {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let socket = TcpListener::bind("127.0.0.1:0").expect("a port");
         let workers = Workers::start(workers, conduct, socket.local_addr().expect("an address"));
@@ -165,7 +166,7 @@
             workers,
             name: format!("replaced{}x{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed)),
             settings: settings.into(),
-            temporary: folder(),
+            temp_dir: create_temp_dir(),
         }
     }
 
@@ -173,28 +174,32 @@
         self.socket.local_addr().expect("an address")
     }
 
-    /// Starts a process and waits until it says yes.
+    /// Starts a process and waits until it reports ready.
     pub fn start(&self) -> Process {
         let process = self.start_with(Setup::default());
-        process.is_ready();
+        process.wait_until_ready();
         process
     }
 
-    /// Starts a process that dies before it may listen; nobody waits for it.
-    pub fn start_unheard(&self, stops: &str, environment: Vec<(String, String)>) -> std::process::Child {
+    /// Starts a process that may exit before it listens, without waiting for it.
+    pub fn spawn_without_waiting(
+        &self,
+        stops: &str,
+        environment: Vec<(String, String)>,
+    ) -> std::process::Child {
         let setup = self.set_up(console_address(), Setup { stops, environment, ..Setup::default() });
-        super::command(&folder(), &self.workers.listed, &self.settings, setup)
+        super::command(&create_temp_dir(), &self.workers.listed, &self.settings, setup)
             .stderr(std::process::Stdio::null())
             .spawn()
             .expect("the program starts")
     }
 
     fn set_up<'a>(&self, console: SocketAddr, setup: Setup<'a>) -> Setup<'a> {
-        let more = format!(r#"{}"admin_addr": "{console}", "name": "{}","#, setup.more, self.name);
+        let more = format!(r#"{}"admin_addr": "{console}", "name": "{}","#, setup.extra_config, self.name);
         let mut environment = setup.environment.clone();
-        environment.push(("TMPDIR".into(), self.temporary.to_str().expect("letters").to_owned()));
+        environment.push(("TMPDIR".into(), self.temp_dir.to_str().expect("letters").to_owned()));
         Setup {
-            more,
+            extra_config: more,
             environment,
             discovery: Some(self.discovery.addr),
             inherit: Some(self.socket.try_clone().expect("a socket")),
@@ -202,7 +207,7 @@
         }
     }
 
-    /// Starts a process; it listens when this returns, and may not say yes yet.
+    /// Starts a process; on return it listens, but may not be ready yet.
     pub fn start_with(&self, setup: Setup) -> Process {
         let console = console_address();
         let setup = self.set_up(console, setup);
@@ -213,26 +218,26 @@
 
 impl Drop for Dispatcher {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.temporary);
+        let _ = std::fs::remove_dir_all(&self.temp_dir);
     }
 }
 
 impl Process {
-    /// Waits until it says yes.
-    pub fn is_ready(&self) {
-        wait_until("the process says yes", || {
+    /// Waits until the process reports ready.
+    pub fn wait_until_ready(&self) {
+        wait_until("the process reports ready", || {
             call(self.console, "health").is_some_and(|answer| answer.starts_with("OK"))
         });
     }
 
-    /// One call at the console, and its answer.
-    pub fn operator(&self, line: &str) -> String {
+    /// Runs a command on the admin console and returns the reply.
+    pub fn console_command(&self, line: &str) -> String {
         call(self.console, line).expect("an answer")
     }
 }
 
-/// An address for a console at which nobody else listens: a loopback address of this test process alone. A port that the system
-/// chooses and that is free again may be another test's by the time at which it is bound.
+/// An unused address for a console, on a loopback address that only this test process uses. An ephemeral port that was chosen
+/// by the system and released could be taken by another test before it is bound.
 pub fn console_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let (process, number) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
@@ -241,10 +246,10 @@
     ([127, 64 + high % 128, low, 1 + (number % 200) as u8], port).into()
 }
 
-/// One call at a console; nothing where nobody listens or the process ends.
+/// Runs a command on a console; `None` if nothing listens there or the process ends.
 pub fn call(console: SocketAddr, line: &str) -> Option<String> {
     let mut stream = TcpStream::connect(console).ok()?;
-    stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a time-out");
+    stream.set_read_timeout(Some(Duration::from_secs(10))).expect("the time-out is set");
     stream.write_all(format!("{line}\n").as_bytes()).ok()?;
     let mut answer = String::new();
     stream.read_to_string(&mut answer).ok()?;
--- a/dispatcher/tests/pushed.rs
+++ b/dispatcher/tests/pushed.rs
@@ -7,13 +7,13 @@
 use rstest::rstest;
 
 fn rig() -> Rig {
-    Rig::with(2, &SETTINGS.replace(r#""discovery": "ask""#, r#""discovery": "push""#), None)
+    Rig::with_settings(2, &SETTINGS.replace(r#""discovery": "ask""#, r#""discovery": "push""#), None)
 }
 
 /// All of some jobs go to this worker.
 fn all_go_to(rig: &Rig, worker: usize, prefix: &str) {
     for i in 0..6 {
-        assert_eq!(rig.served(&format!("{prefix}{i}"), "quote"), worker);
+        assert_eq!(rig.serve_job(&format!("{prefix}{i}"), "quote"), worker);
     }
 }
 
