--- a/dispatcher/tests/admin.rs
+++ b/dispatcher/tests/admin.rs
@@ -42,7 +42,7 @@
             "pin",
             "they have quote, statement, order",
         ),
-        (order(|o| (o["weight"], o["pin"]) = (Value::Null, json!("quote/zed"))), "pin", "they have acme"),
+        (override_request(|o| (o["weight"], o["pin"]) = (Value::Null, json!("quote/zed"))), "pin", "they have acme"),
     ] {
         let (status, answer) = call(&rig, "POST /overrides", &body);
         assert_eq!((status, &answer["field"]), (400, &json!(field)), "{answer}");
--- a/dispatcher/tests/client_disconnects.rs
+++ b/dispatcher/tests/client_disconnects.rs
@@ -1,4 +1,5 @@
-//! Clients that leave: whoever waits for nobody is not sent on, whatever lies unread behind it and wherever it is.
+//! Client disconnects: a job whose client has disconnected is not sent to workers, at any stage and whatever unread bytes
+//! precede the end of the stream.
 
 mod common;
 
@@ -7,28 +8,28 @@
 
 const DONE: &str = r#","result":"a chart""#;
 
-/// How a client leaves.
+/// The way in which a client disconnects.
 #[derive(Clone, Copy, Debug)]
-enum How {
+enum Disconnect {
     Closed,
     HalfClosed,
     Reset,
 }
 
-/// Leaves, and waits until its kernel has said so: other threads of this test fork, and hold what is closed a while longer.
-/// What is left of the client must be kept.
-fn leave(client: Client, how: How) -> Option<Client> {
+/// Disconnects, and waits until the kernel has processed that: other threads of this test fork, and their children hold closed
+/// sockets open for a while. The caller must hold on to a half-closed client.
+fn disconnect_and_wait(client: Client, disconnect_kind: Disconnect) -> Option<Client> {
     let ends = client.ends();
-    let rest = left(client, how);
-    wait_until("the end is said", || !common::is_established(ends));
-    rest
+    let client_half = disconnect(client, disconnect_kind);
+    wait_until("the disconnect is known to the kernel", || !common::is_established(ends));
+    client_half
 }
 
-fn left(client: Client, how: How) -> Option<Client> {
-    match how {
-        How::Closed => drop(client),
-        How::Reset => client.reset(),
-        How::HalfClosed => {
+fn disconnect(client: Client, disconnect_kind: Disconnect) -> Option<Client> {
+    match disconnect_kind {
+        Disconnect::Closed => drop(client),
+        Disconnect::Reset => client.reset(),
+        Disconnect::HalfClosed => {
             client.half_close();
             return Some(client);
         }
@@ -36,17 +37,18 @@
     None
 }
 
-const ANOTHER: &str =
+const PIPELINED: &str =
     "POST /api HTTP/1.1\r\nHost: app.svc\r\nX-Call-Id: c9\r\nX-Call-Class: quote\r\nX-Caller: acme\r\n\
     Content-Length: 0\r\n\r\n";
 
-/// Seen: the end was looked out for one byte deep. Behind a stray line end it went unseen, and the worker ran on.
+/// Guards against looking only one byte ahead for the end of the stream: a stray line end before it hid the disconnect, and the
+/// worker ran on.
 #[rstest]
-fn who_leaves_while_the_job_is_out_has_it_given_up(
-    #[values("", "\r\n", ANOTHER, "no http at all")] behind: &str,
-    #[values(How::Closed, How::HalfClosed, How::Reset)] how: How,
+fn a_disconnect_during_an_attempt_cancels_it(
+    #[values("", "\r\n", PIPELINED, "no http at all")] trailing: &str,
+    #[values(Disconnect::Closed, Disconnect::HalfClosed, Disconnect::Reset)] disconnect_kind: Disconnect,
 ) {
-    // Nothing else ends this job within the test's patience.
+    // Nothing else ends this job within the test's time-outs.
     let settings = SETTINGS.replace("8000", "60000").replace(r#""aim_ms": 500"#, r#""aim_ms": 50000"#);
     in_time(|| {
         let rig = Rig::with(1, &settings, None);
@@ -57,38 +59,38 @@
         }
         seen.answer("202 Accepted");
         rig.news(0, "c1", "started", "");
-        client.write(behind.as_bytes());
-        // What lies behind has been seen before the end comes.
+        client.write(trailing.as_bytes());
+        // The trailing bytes have been read before the stream ends.
         rig.turn();
         if !rig.workers[0].has_none() {
             return None;
         }
-        let _rest = leave(client, how);
+        let _client_half = disconnect_and_wait(client, disconnect_kind);
         let seen = rig.workers[0].next();
         assert_eq!(seen.message.first, "DELETE /jobs/c1 HTTP/1.1");
         seen.answer("200 OK");
         rig.turn();
-        // It may be told again where its answer was slow; nothing is sent to it.
+        // The cancellation may be repeated if its answer was slow; no job is sent.
         assert!(rig.workers[0].asked().iter().all(|asked| asked.starts_with("DELETE ")));
         Some(())
     });
 }
 
-/// The same while it waits for a worker: it is not sent on when there is one.
+/// The same while the job waits for a worker: it is not sent when a worker comes up.
 #[rstest]
-fn who_leaves_while_the_job_waits_is_not_sent_on(
-    #[values("", "\r\n", ANOTHER, "no http at all")] behind: &str,
-    #[values(How::Closed, How::HalfClosed, How::Reset)] how: How,
+fn a_disconnect_while_the_job_waits_keeps_it_from_being_sent(
+    #[values("", "\r\n", PIPELINED, "no http at all")] trailing: &str,
+    #[values(Disconnect::Closed, Disconnect::HalfClosed, Disconnect::Reset)] disconnect_kind: Disconnect,
 ) {
     let rig = Rig::start(1);
     rig.list(&["draining"]);
     let mut client = rig.post("c1", "quote", "");
     rig.turn();
-    client.write(behind.as_bytes());
+    client.write(trailing.as_bytes());
     rig.turn();
-    let _rest = leave(client, how);
+    let _client_half = disconnect_and_wait(client, disconnect_kind);
     rig.turn();
-    // Behind it in the queue.
+    // Queued after the first job.
     let mut next = rig.post("c2", "quote", "");
     rig.turn();
     rig.list(&["up"]);
@@ -98,9 +100,9 @@
     assert!(rig.workers[0].has_none());
 }
 
-/// Between two attempts: the worker has turned it away, and it waits for the next one.
+/// Between two attempts: the worker has returned the job, and it waits for the next attempt.
 #[test]
-fn who_leaves_between_two_attempts_gets_no_second_one() {
+fn a_disconnect_between_two_attempts_prevents_the_second() {
     let rig = Rig::start(1);
     let mut client = rig.post("c1", "quote", "");
     assert_eq!(rig.workers[0].take(), "c1");
@@ -108,7 +110,7 @@
     rig.list(&["draining"]);
     rig.news(0, "c1", "returned", "");
     rig.turn();
-    leave(client, How::Closed);
+    disconnect_and_wait(client, Disconnect::Closed);
     rig.turn();
     let mut next = rig.post("c2", "quote", "");
     rig.turn();
@@ -119,9 +121,9 @@
     assert!(rig.workers[0].has_none());
 }
 
-/// While its attempt is being given up, for being late: the next one is not made.
+/// While an overdue attempt is being cancelled: there is no further attempt.
 #[test]
-fn who_leaves_while_an_attempt_is_given_up_gets_no_other() {
+fn a_disconnect_during_a_cancellation_prevents_another_attempt() {
     in_time(|| {
         let rig = Rig::with(2, &SETTINGS.replace(r#""aim_ms": 500"#, r#""aim_ms": 50"#), None);
         let mut client = rig.post("c1", "quote", "");
@@ -131,20 +133,20 @@
         }
         seen.answer("202 Accepted");
         rig.news(first, "c1", "started", "");
-        let giving_up = rig.workers[first].next();
-        if !giving_up.message.first.starts_with("DELETE ") {
+        let cancellation = rig.workers[first].next();
+        if !cancellation.message.first.starts_with("DELETE ") {
             return None;
         }
         client.write(b"\r\n");
         rig.turn();
-        leave(client, How::Closed);
+        disconnect_and_wait(client, Disconnect::Closed);
         rig.turn();
-        // Had it taken longer than such a call may, the next attempt might have gone out before.
+        // If the cancellation has timed out, the next attempt may have started already.
         let sent = rig.workers.iter().any(|w| !w.has_none());
         if sent {
             return None;
         }
-        giving_up.answer("200 OK");
+        cancellation.answer("200 OK");
         rig.turn();
         let mut next = rig.post("c2", "quote", "");
         let (worker, seen) = rig.next();
@@ -160,20 +162,21 @@
     });
 }
 
-/// The last byte and the end come in one read: the server took the request, and looked for no end any more.
+/// The last byte and the end of the stream come in one read. Guards against accepting the request and no longer checking for the
+/// end.
 #[rstest]
-fn who_has_left_before_the_request_was_read_is_not_sent_on(
-    #[values("", "\r\n", ANOTHER)] behind: &str,
-    #[values(How::Closed, How::HalfClosed, How::Reset)] how: How,
+fn a_disconnect_before_the_request_is_read_keeps_it_from_being_sent(
+    #[values("", "\r\n", PIPELINED)] trailing: &str,
+    #[values(Disconnect::Closed, Disconnect::HalfClosed, Disconnect::Reset)] disconnect_kind: Disconnect,
 ) {
     let rig = Rig::start(1);
     rig.freeze();
     let mut client = rig.post("c1", "quote", "");
-    client.write(behind.as_bytes());
-    let _rest = leave(client, how);
+    client.write(trailing.as_bytes());
+    let _client_half = disconnect_and_wait(client, disconnect_kind);
     rig.thaw();
     rig.turn();
-    // Whatever else comes is of the next one.
+    // The next request belongs to the next job.
     let _next = rig.post("c2", "quote", "");
     let seen = rig.workers[0].next();
     assert_eq!((&*seen.message.first, seen.reference()), ("POST /api HTTP/1.1", "c2"));
@@ -181,11 +184,11 @@
     assert!(!rig.workers[0].was_sent("c1"));
 }
 
-/// A body that is whole when its client is gone, and one that is not.
+/// The client disconnects after a complete body, or in the middle of one.
 #[rstest]
 #[case::half("payl")]
 #[case::whole("payload")]
-fn who_leaves_with_the_body_on_its_way_is_not_sent_on(#[case] body: &str) {
+fn a_disconnect_while_the_body_arrives_keeps_the_job_from_being_sent(#[case] body: &str) {
     let rig = Rig::start(1);
     let mut client = rig.connect();
     let head =
@@ -194,10 +197,10 @@
     rig.turn();
     rig.freeze();
     client.write(body.as_bytes());
-    leave(client, How::Closed);
+    disconnect_and_wait(client, Disconnect::Closed);
     rig.thaw();
     rig.turn();
-    // Whatever else comes is of the next one.
+    // The next request belongs to the next job.
     let _next = rig.post("c2", "quote", "");
     let seen = rig.workers[0].next();
     assert_eq!((&*seen.message.first, seen.reference()), ("POST /api HTTP/1.1", "c2"));
@@ -205,16 +208,16 @@
     assert!(!rig.workers[0].was_sent("c1"));
 }
 
-/// A burst of leavers where all room is taken: nothing of them stays behind, and their ids are free.
+/// A burst of disconnects while the queue is full: their places and ids are released.
 #[test]
-fn nothing_stays_behind_of_a_burst_of_leavers() {
+fn a_burst_of_disconnects_leaves_nothing_allocated() {
     let rig = Rig::start(1);
     rig.list(&["draining"]);
     let ids: Vec<String> = (0..50).map(|i| format!("c{i}")).collect();
     for round in 0..3 {
         let mut clients: Vec<Client> = ids.iter().map(|id| rig.post(id, "quote", "")).collect();
         rig.turn();
-        // As many as are held at most.
+        // The queue is full.
         let mut one_more = rig.post("more", "quote", "");
         assert_eq!(one_more.answer().status(), 503, "round {round}");
         for (i, client) in clients.iter_mut().enumerate().filter(|(i, _)| i % 2 == 0) {
@@ -222,7 +225,7 @@
         }
         rig.turn();
         for (i, client) in clients.into_iter().enumerate() {
-            drop(leave(client, [How::Closed, How::Reset, How::HalfClosed][i % 3]));
+            drop(disconnect_and_wait(client, [Disconnect::Closed, Disconnect::Reset, Disconnect::HalfClosed][i % 3]));
         }
         rig.turn();
     }
@@ -231,9 +234,9 @@
     assert!(rig.workers[0].has_none());
 }
 
-/// A client that leaves while the connection to the worker comes up: nothing is written on it.
+/// A client that disconnects while the connection to the worker is being established: its job is not written there.
 #[test]
-fn who_leaves_while_the_worker_is_connected_to_is_not_sent_on() {
+fn a_disconnect_while_the_worker_is_connected_to_keeps_the_job_from_being_sent() {
     let mut closed = common::Closed::start();
     let settings = SETTINGS.replace(r#""connect_timeout_ms": 1000"#, r#""connect_timeout_ms": 6000"#);
     let rig = Rig::of(vec![("w0".into(), closed.addr)], &settings, None);
@@ -242,17 +245,17 @@
     client.write(b"\r\n");
     rig.turn();
     drop(client);
-    wait_until("the connection is given up", || closed.coming() == 0);
-    // Whatever comes next is of the next job.
+    wait_until("the connection is abandoned", || closed.coming() == 0);
+    // The next request belongs to the next job.
     let _next = rig.post("c2", "order", "");
     let mut stream = std::io::BufReader::new(closed.let_in());
     let message = common::read_message(&mut stream).expect("a request");
     assert_eq!((&*message.first, &*message.headers["x-call-id"]), ("POST /api HTTP/1.1", "c2"));
 }
 
-/// The same where bodies pass: the body is not read any further while the job waits.
+/// The same for a streamed request: its body is not read any further while the job waits.
 #[test]
-fn who_leaves_behind_a_body_that_waits_is_not_sent_on() {
+fn a_disconnect_after_an_unread_body_keeps_the_job_from_being_sent() {
     let operator = r#"{"workers":[{"kind":"web","protocol":"http"}],
         "classes":[{"name":"page","aim_ms":500,"deadline_ms":8000,"effect":"once","kind":"web"}],
         "routes":[{"path":"/web","match":"prefix","class":"page","stream":true,"max_body":10000000}]}"#;
@@ -263,13 +266,13 @@
     rig.workers = vec![worker];
     rig.list(&["draining"]);
     let mut client = rig.connect();
-    // More than a stream holds, and little enough that its end comes behind what is not read.
+    // More than the stream's buffer, and little enough for the end of the stream to arrive trailing the unread client_half.
     let size = 300_000;
     client
         .write(format!("PUT /web/a HTTP/1.1\r\nHost: app.svc\r\nContent-Length: {size}\r\n\r\n").as_bytes());
     client.write(&vec![b'x'; size]);
     rig.turn();
-    leave(client, How::Closed);
+    disconnect_and_wait(client, Disconnect::Closed);
     rig.turn();
     rig.list(&["up"]);
     let mut next = rig.connect();
--- a/dispatcher/tests/departed_clients.rs
+++ b/dispatcher/tests/departed_clients.rs
@@ -1,5 +1,5 @@
-//! Clients that have gone by the moment in which an attempt for them would begin: none begins. The crossing is forced:
-//! the program stands still while the client leaves and while that comes which lets the attempt go out, in both orders.
+//! Clients that have disconnected by the time an attempt for them would start: no attempt starts. The race is forced: the
+//! process is stopped while the client disconnects and while the event arrives that would start the attempt, in both orders.
 
 mod common;
 
@@ -13,78 +13,79 @@
     "classes":[{"name":"page","aim_ms":500,"deadline_ms":8000,"effect":"once","kind":"web"}],
     "routes":[{"path":"/web","match":"prefix","class":"page","stream":true,"max_body":10000000}]}"#;
 
-/// How a client leaves.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
-enum How {
+enum Disconnect {
     Closed,
     HalfClosed,
     Reset,
 }
 
-/// Which of the two comes first, while the program stands still.
+/// Which of the two comes first, while the process is stopped: the client's disconnect, or the event that would start the
+/// attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum First {
     End,
-    Chance,
+    Trigger,
 }
 
-/// Leaves, and waits until the kernel knows. What is left of the client must be kept.
-fn leave(client: Client, how: How) -> Option<Client> {
+/// Disconnects, and waits until the kernel has processed that. The caller must hold on to a half-closed client.
+fn disconnect(client: Client, disconnect_kind: Disconnect) -> Option<Client> {
     let ends = client.ends();
-    let rest = match how {
-        How::Closed => {
+    let client_half = match disconnect_kind {
+        Disconnect::Closed => {
             drop(client);
             None
         }
-        How::Reset => {
+        Disconnect::Reset => {
             client.reset();
             None
         }
-        How::HalfClosed => {
+        Disconnect::HalfClosed => {
             client.half_close();
             Some(client)
         }
     };
-    wait_until("the end is said", || !common::is_established(ends));
-    rest
+    wait_until("the disconnect is known to the kernel", || !common::is_established(ends));
+    client_half
 }
 
-/// Has the client leave and the chance come, while the program stands still, in this order.
-fn cross(rig: &Rig, client: Client, how: How, first: First, chance: impl FnOnce()) -> Option<Client> {
+/// Disconnects the client and triggers the event, in this order, while the process is stopped.
+fn race(rig: &Rig, client: Client, disconnect_kind: Disconnect, first: First, trigger: impl FnOnce()) -> Option<Client> {
     rig.freeze();
-    let rest = if first == First::End {
-        let rest = leave(client, how);
-        chance();
-        rest
+    let client_half = if first == First::End {
+        let client_half = disconnect(client, disconnect_kind);
+        trigger();
+        client_half
     } else {
-        chance();
-        leave(client, how)
+        trigger();
+        disconnect(client, disconnect_kind)
     };
     rig.thaw();
     rig.turn();
-    rest
+    client_half
 }
 
-/// A worker's call, written and not answered yet.
-fn call(client: &mut Client, worker: &Worker, reference: &str, state: &str) {
+/// Writes a worker's update, without waiting for its answer.
+fn send_update(client: &mut Client, worker: &Worker, reference: &str, state: &str) {
     let body = format!(r#"{{"id":"{reference}","from":"{}","state":"{state}"}}"#, worker.id);
     client.send("POST /_jobs/news", "", &body);
     let mut seen = 0;
-    // What was written lies in the program's kernel.
-    wait_until("the call lies there", || {
+    // The bytes have reached the receive buffer of the program's socket.
+    wait_until("the update is in the receive buffer", || {
         seen += 1;
         client.unread().is_some_and(|unread| unread > body.len()) || seen > 200
     });
 }
 
-/// Opens a connection that the program has accepted and answered on.
+/// Opens a connection that the program has accepted and answered a request on.
 fn connection(rig: &Rig) -> Client {
     let mut client = rig.connect();
     client.is_up();
     client
 }
 
-/// Serves a job, so that a connection to the worker is kept: an attempt on it begins without any wait.
+/// Serves a job per worker, so that each has a kept-alive connection on which an attempt starts without delay.
 fn warm(rig: &Rig) {
     for (i, _) in rig.workers.iter().enumerate() {
         let mut client = rig.post(&format!("warm{i}"), "quote", "");
@@ -95,12 +96,12 @@
     }
 }
 
-/// The worker returns the job in the moment in which its client leaves: there is no further attempt.
+/// The worker returns the job at the moment its client disconnects: there is no further attempt.
 #[rstest]
-fn no_further_attempt_begins_for_a_client_that_leaves_as_its_job_comes_back(
-    #[values("", "\r\n", "no http at all")] behind: &str,
-    #[values(How::Closed, How::HalfClosed, How::Reset)] how: How,
-    #[values(First::End, First::Chance)] first: First,
+fn no_further_attempt_starts_for_a_client_that_disconnects_as_its_job_is_returned(
+    #[values("", "\r\n", "no http at all")] trailing: &str,
+    #[values(Disconnect::Closed, Disconnect::HalfClosed, Disconnect::Reset)] disconnect_kind: Disconnect,
+    #[values(First::End, First::Trigger)] first: First,
 ) {
     let rig = Rig::start(2);
     warm(&rig);
@@ -109,29 +110,29 @@
     let (worker, seen) = rig.next();
     seen.answer("202 Accepted");
     rig.turn();
-    client.write(behind.as_bytes());
+    client.write(trailing.as_bytes());
     rig.turn();
-    let chance = || call(&mut calls, &rig.workers[worker], "c1", "returned");
-    let _rest = cross(&rig, client, how, first, chance);
-    assert!(rig.workers.iter().all(|w| !w.was_sent("c1")), "sent on behind its client's end");
+    let trigger = || send_update(&mut calls, &rig.workers[worker], "c1", "returned");
+    let _client_half = race(&rig, client, disconnect_kind, first, trigger);
+    assert!(rig.workers.iter().all(|w| !w.was_sent("c1")), "sent after its client disconnected");
     assert_ne!(rig.served("c2", "quote"), usize::MAX);
 }
 
-/// A worker comes up in the moment in which the client of a waiting job leaves: it gets no first attempt.
+/// A worker comes up at the moment the client of a waiting job disconnects: there is no first attempt.
 #[rstest]
-fn no_first_attempt_begins_for_a_client_that_leaves_as_a_worker_comes_up(
-    #[values("", "\r\n", "no http at all")] behind: &str,
-    #[values(How::Closed, How::HalfClosed, How::Reset)] how: How,
-    #[values(First::End, First::Chance)] first: First,
+fn no_first_attempt_starts_for_a_client_that_disconnects_as_a_worker_comes_up(
+    #[values("", "\r\n", "no http at all")] trailing: &str,
+    #[values(Disconnect::Closed, Disconnect::HalfClosed, Disconnect::Reset)] disconnect_kind: Disconnect,
+    #[values(First::End, First::Trigger)] first: First,
 ) {
     let rig = Rig::start(1);
     warm(&rig);
     rig.list(&["draining"]);
     let mut client = rig.post("c1", "quote", "");
     rig.turn();
-    client.write(behind.as_bytes());
+    client.write(trailing.as_bytes());
     rig.turn();
-    let _rest = cross(&rig, client, how, first, || rig.list_unheard(&["up"]));
+    let _client_half = race(&rig, client, disconnect_kind, first, || rig.list_unheard(&["up"]));
     rig.list(&["up"]);
     let mut next = rig.post("c2", "quote", "");
     let seen = rig.workers[0].next_of_job();
@@ -141,10 +142,10 @@
     assert_eq!(next.answer().status(), 200);
 }
 
-/// Fifty clients wait while all workers are full, leave, and then a worker has room: none of them is sent on.
+/// 49 of fifty waiting clients disconnect as the only worker, which was draining, comes up: no job of theirs is sent.
 #[test]
-fn of_a_burst_of_leavers_none_is_sent_on_when_workers_have_room() {
-    // Fifty clients may take long to leave, on a machine with much to do: who stays has the time.
+fn no_job_of_a_burst_of_disconnected_clients_is_sent_when_a_worker_comes_up() {
+    // Disconnecting all clients may take long on a busy machine; the job of the one that stays has the time for that.
     let rig = Rig::with(1, &SETTINGS.replace("8000", "60000"), None);
     warm(&rig);
     rig.list(&["draining"]);
@@ -157,8 +158,8 @@
     rig.turn();
     rig.freeze();
     rig.list_unheard(&["up"]);
-    let hows = [How::Closed, How::Reset, How::HalfClosed];
-    let _rests: Vec<_> = clients.into_iter().enumerate().map(|(i, c)| leave(c, hows[i % 3])).collect();
+    let kinds = [Disconnect::Closed, Disconnect::Reset, Disconnect::HalfClosed];
+    let _client_halves: Vec<_> = clients.into_iter().enumerate().map(|(i, c)| disconnect(c, kinds[i % 3])).collect();
     rig.thaw();
     let seen = rig.workers[0].next_of_job();
     assert_eq!((&*seen.message.first, seen.reference()), ("POST /api HTTP/1.1", "stays"));
@@ -170,31 +171,31 @@
     assert!(sent.iter().all(|first| !first.starts_with("POST ")), "{sent:?}");
 }
 
-/// The worker's late connection comes up in the moment in which the client leaves: nothing is written on it.
+/// A slow connection to the worker is established at the moment the client disconnects: nothing is written on it.
 #[rstest]
-fn nothing_is_written_on_a_late_connection_that_comes_up_as_the_client_leaves(
-    #[values("", "\r\n", "no http at all")] behind: &str,
-    #[values(How::Closed, How::HalfClosed, How::Reset)] how: How,
-    #[values(First::End, First::Chance)] first: First,
+fn nothing_is_written_on_a_slow_connection_established_as_the_client_disconnects(
+    #[values("", "\r\n", "no http at all")] trailing: &str,
+    #[values(Disconnect::Closed, Disconnect::HalfClosed, Disconnect::Reset)] disconnect_kind: Disconnect,
+    #[values(First::End, First::Trigger)] first: First,
 ) {
     let mut closed = Closed::start();
     let settings = SETTINGS.replace(r#""connect_timeout_ms": 1000"#, r#""connect_timeout_ms": 6000"#);
     let rig = Rig::of(vec![("w0".into(), closed.addr)], &settings, None);
     let mut client = rig.post("c1", "order", "");
     wait_until("the worker is connected to", || closed.coming() > 0);
-    client.write(behind.as_bytes());
+    client.write(trailing.as_bytes());
     rig.turn();
     let mut stream = None;
-    let _rest = cross(&rig, client, how, first, || stream = Some(closed.let_in()));
+    let _client_half = race(&rig, client, disconnect_kind, first, || stream = Some(closed.let_in()));
     assert_eq!(first_line(stream.expect("a connection")), None);
 }
 
-/// The same where bodies pass: whole ones, and one that still comes.
+/// The same for streamed requests, with a complete body and with one that is still arriving.
 #[rstest]
-fn no_passing_request_goes_out_on_a_late_connection_that_comes_up_as_the_client_leaves(
+fn no_streamed_request_is_sent_on_a_slow_connection_established_as_the_client_disconnects(
     #[values(0, 7)] missing: usize,
-    #[values(How::Closed, How::HalfClosed, How::Reset)] how: How,
-    #[values(First::End, First::Chance)] first: First,
+    #[values(Disconnect::Closed, Disconnect::HalfClosed, Disconnect::Reset)] disconnect_kind: Disconnect,
+    #[values(First::End, First::Trigger)] first: First,
 ) {
     let mut closed = Closed::start();
     let settings = SETTINGS.replace(r#""connect_timeout_ms": 1000"#, r#""connect_timeout_ms": 6000"#);
@@ -206,12 +207,11 @@
     wait_until("the worker is connected to", || closed.coming() > 0);
     rig.turn();
     let mut stream = None;
-    let _rest = cross(&rig, client, how, first, || stream = Some(closed.let_in()));
+    let _client_half = race(&rig, client, disconnect_kind, first, || stream = Some(closed.let_in()));
     assert_eq!(first_line(stream.expect("a connection")), None);
 }
 
-/// The first line that comes on a connection; nothing where it ends before, or says nothing until the program has
-/// taken a turn behind it.
+/// The first line received on a connection; `None` if it ends before, or if nothing arrives within a fortieth of `PATIENCE`.
 fn first_line(stream: TcpStream) -> Option<String> {
     stream.set_read_timeout(Some(PATIENCE / 40)).expect("a time-out");
     let mut line = String::new();
@@ -219,24 +219,24 @@
     (count > 0).then(|| line.trim_end().to_owned())
 }
 
-fn front() -> String {
+fn beanstalkd_operator() -> String {
     r#"{"workers": [{"kind": "q"}], "beanstalkd": {"listen": "127.0.0.1:0", "tubes": [
      {"tube": "quotes", "class": "quote", "tenant": "acme", "answers": "done"}]}}"#
         .to_owned()
 }
 
 fn put(rig: &Rig) -> (Client, u64) {
-    let mut client = Client::new(rig.front.expect("the front is on"));
+    let mut client = Client::new(rig.front.expect("the beanstalkd listener is on"));
     assert_eq!(client.say("use quotes"), "USING quotes");
     let reply = client.say("put 0 0 60 7\r\npayload");
     let id = reply.strip_prefix("INSERTED ").and_then(|id| id.parse().ok());
     (client, id.unwrap_or_else(|| panic!("{reply}")))
 }
 
-/// A client of the beanstalkd front takes its job back while it waits: there is no first attempt.
+/// A client of the beanstalkd listener deletes its job while it waits: there is no first attempt.
 #[test]
-fn a_job_deleted_while_it_waits_is_not_sent_on() {
-    let rig = Rig::with(1, SETTINGS, Some(&front()));
+fn a_job_deleted_while_it_waits_is_not_sent() {
+    let rig = Rig::with(1, SETTINGS, Some(&beanstalkd_operator()));
     warm(&rig);
     rig.list(&["draining"]);
     let (mut client, id) = put(&rig);
@@ -247,11 +247,10 @@
     assert!(rig.workers[0].asked().iter().all(|asked| !asked.starts_with("POST ")));
 }
 
-/// The same between two attempts, its delete and the worker's word on their way at once. Whatever comes first, no
-/// attempt begins once the delete is answered.
+/// The same between two attempts: no attempt starts once the delete is answered.
 #[test]
-fn a_job_deleted_as_it_comes_back_gets_no_further_attempt() {
-    let rig = Rig::with(1, SETTINGS, Some(&front()));
+fn a_job_deleted_after_its_return_gets_no_further_attempt() {
+    let rig = Rig::with(1, SETTINGS, Some(&beanstalkd_operator()));
     let (mut client, id) = put(&rig);
     let seen = rig.workers[0].next();
     let reference = seen.reference().to_owned();
@@ -264,17 +263,17 @@
     assert!(rig.workers[0].asked().iter().all(|asked| !asked.starts_with("POST ")));
 }
 
-/// The same while the worker is connected to.
+/// The same while the connection to the worker is being established.
 #[test]
-fn a_job_deleted_while_the_worker_is_connected_to_is_not_sent_on() {
+fn a_job_deleted_while_the_worker_is_connected_to_is_not_sent() {
     let mut closed = Closed::start();
     let settings = SETTINGS.replace(r#""connect_timeout_ms": 1000"#, r#""connect_timeout_ms": 6000"#);
-    let rig = Rig::of(vec![("w0".into(), closed.addr)], &settings, Some(&front()));
+    let rig = Rig::of(vec![("w0".into(), closed.addr)], &settings, Some(&beanstalkd_operator()));
     let (mut client, id) = put(&rig);
     wait_until("the worker is connected to", || closed.coming() > 0);
     assert_eq!(client.say(&format!("delete {id}")), "DELETED");
-    wait_until("the connection is given up", || closed.coming() == 0);
-    // Whatever comes next is of the next job.
+    wait_until("the connection is abandoned", || closed.coming() == 0);
+    // The next request belongs to the next job.
     assert!(client.say("put 0 0 60 4\r\nnext").starts_with("INSERTED "));
     let message = common::read_message(&mut BufReader::new(closed.let_in())).expect("a request");
     assert_eq!((&*message.first, &*message.body), ("POST /api HTTP/1.1", "next"));
--- a/dispatcher/tests/fleet.rs
+++ b/dispatcher/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Three dispatchers, each a process, with a relay between them that loses, doubles and reorders.
+//! Three dispatcher processes, with a relay between them that drops, duplicates and reorders datagrams.
 
 mod common;
 
@@ -20,7 +20,7 @@
     keys: PathBuf,
 }
 
-fn bad() -> UdpWeather {
+fn lossy() -> UdpWeather {
     UdpWeather { lost: 30, doubled: 10, late: 10, ..UdpWeather::default() }
 }
 
@@ -37,7 +37,7 @@
         fleet
     }
 
-    /// Starts a dispatcher from nothing, or from its `state_dir`.
+    /// Starts a dispatcher without state, or with that in its `state_dir`.
     fn dispatcher(&self, at: usize, more: &str) -> Rig {
         let settings = SETTINGS.replace(r#""cancel": true"#, r#""cancel": true, "peers": true"#);
         let operator = operator(&format!(r#", "peers": {{"key_file": {:?}}}{more}"#, self.keys));
@@ -67,7 +67,7 @@
 
 #[test]
 fn an_override_is_in_force_everywhere_and_ends_everywhere() {
-    let fleet = Fleet::start(bad());
+    let fleet = Fleet::start(lossy());
     let (id, until) = set(&fleet.rigs[1], "w0", json!({"out_of_service": true}), Duration::from_millis(2500));
     wait_for("in force on all", || fleet.all(|r| standing(r, &id).as_deref() == Some("in force")));
     wait_for("ended on all", || {
@@ -75,7 +75,7 @@
         assert!(!ended || unix_ms() >= until, "ended before its time");
         ended
     });
-    // And cleared elsewhere than it was set.
+    // An override can be cleared at another dispatcher than the one where it was set.
     let (id, _) = set(&fleet.rigs[0], "w0", json!({"weight": 0.5}), HOUR);
     wait_for("known to all", || fleet.all(|r| standing(r, &id).is_some()));
     assert_eq!(clear(&fleet.rigs[2], &id).0, 200);
@@ -83,17 +83,17 @@
 }
 
 #[test]
-fn conflicts_set_while_cut_off_end_the_same_on_all_once_the_cut_heals() {
-    let fleet = Fleet::start(bad());
+fn conflicts_set_during_a_partition_are_resolved_equally_once_it_ends() {
+    let fleet = Fleet::start(lossy());
     let (known, _) = set(&fleet.rigs[0], "w1", json!({"pin": "quote"}), HOUR);
     wait_for("known to all", || fleet.all(|r| standing(r, &known).is_some()));
-    fleet.relay.set(UdpWeather { cut: vec![0, 1, 2], ..bad() });
+    fleet.relay.set(UdpWeather { cut: vec![0, 1, 2], ..lossy() });
     let (first, _) = set(&fleet.rigs[0], "w0", json!({"weight": 0.5}), HOUR);
     let (second, _) = set(&fleet.rigs[1], "w0", json!({"weight": 3}), HOUR);
     assert_eq!(clear(&fleet.rigs[1], &known).0, 200);
     assert_eq!(standing(&fleet.rigs[0], &first).as_deref(), Some("in force"));
     assert_eq!((standing(&fleet.rigs[2], &first), standing(&fleet.rigs[2], &second)), (None, None));
-    fleet.relay.set(bad());
+    fleet.relay.set(lossy());
     let lines = wait_for("the third knows", || standing(&fleet.rigs[2], &second).is_some());
     println!("healed after {lines:?}");
     let lines = fleet.agreed();
@@ -105,17 +105,17 @@
 }
 
 #[test]
-fn what_a_dead_dispatcher_has_set_lives_on_and_a_restarted_one_learns_it() {
-    let mut fleet = Fleet::start(bad());
+fn overrides_of_a_killed_dispatcher_stay_and_a_restarted_one_learns_them() {
+    let mut fleet = Fleet::start(lossy());
     let (id, _) = set(&fleet.rigs[0], "w0", json!({"out_of_service": true}), HOUR);
     wait_for("known to all", || fleet.all(|r| standing(r, &id).is_some()));
-    // Killed outright: one is gone, another comes back without anything.
+    // Two are killed: one stays away, the other is restarted without state.
     drop(fleet.rigs.remove(0));
     drop(fleet.rigs.remove(0));
     let again = fleet.dispatcher(1, "");
     fleet.rigs.insert(0, again);
     wait_for("learnt", || standing(&fleet.rigs[0], &id).as_deref() == Some("in force"));
-    // It steers what it learnt of.
+    // It applies the override that it learnt.
     let rig = &fleet.rigs[0];
     let client = rig.post("c1", "quote", "");
     assert_eq!(fleet.workers[1].take(), "c1");
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn keys_are_replaced_while_dispatchers_talk() {
+fn keys_are_replaced_while_dispatchers_exchange_datagrams() {
     let fleet = Fleet::start(UdpWeather::default());
     for (step, text) in [format!("{OLD}\n{NEW}"), format!("{NEW}\n{OLD}"), NEW.into()].iter().enumerate() {
         for (at, rig) in fleet.rigs.iter().enumerate() {
@@ -132,7 +132,7 @@
             wait_for("known to all", || fleet.all(|r| standing(r, &id).is_some()));
         }
     }
-    // A file that can't be used changes nothing.
+    // An invalid key file changes nothing.
     std::fs::write(&fleet.keys, "no key").expect("a file");
     let rig = &fleet.rigs[0];
     rig.rekeyed(&fleet.keys, "no key");
@@ -142,8 +142,8 @@
     assert!(fleet.all(unauthentic));
 }
 
-/// So many datagrams from nobody's hand, ten thousand a second: every length from none to too long, in every
-/// form, without a head and with one and a wrong tag.
+/// Sends this many forged datagrams at ten thousand a second: of every length from empty to too long, half of them with a
+/// valid header and a wrong tag.
 fn forge(relay: &UdpRelay, count: u32) {
     let start = Instant::now();
     for i in 0..count {
@@ -157,7 +157,7 @@
     }
 }
 
-/// A job at the first dispatcher, from its post to its answer; how long that took.
+/// Serves a job at the first dispatcher, and returns the time from its request to its answer.
 fn serve(fleet: &Fleet, id: &str) -> Duration {
     let (rig, start) = (&fleet.rigs[0], Instant::now());
     let mut client = rig.post(id, "quote", "");
@@ -173,9 +173,9 @@
     start.elapsed()
 }
 
-/// Ten thousand a second for two seconds: clients are served as ever, nothing changes, all is counted.
+/// Ten thousand a second for two seconds: clients are served, the overrides do not change, and the datagrams are counted.
 #[test]
-fn a_flood_of_forged_datagrams_changes_nothing_and_holds_up_no_client() {
+fn a_flood_of_forged_datagrams_changes_nothing_and_delays_no_client() {
     let fleet = Fleet::start(UdpWeather::default());
     let (id, _) = set(&fleet.rigs[0], "w0", json!({"weight": 0.5}), HOUR);
     wait_for("known to all", || fleet.all(|r| standing(r, &id).is_some()));
@@ -202,7 +202,7 @@
 #[test]
 #[ignore = "a measurement"]
 fn measure_how_soon_overrides_take_effect_and_end() {
-    let fleet = Fleet::start(bad());
+    let fleet = Fleet::start(lossy());
     let (mut effect, mut end) = (Vec::new(), Vec::new());
     for round in 0..30 {
         let span = Duration::from_millis(2500);
@@ -236,7 +236,7 @@
     }
 }
 
-/// How long jobs take with and without ten thousand forged datagrams a second, in turn.
+/// Duration of jobs without and with ten thousand forged datagrams a second, alternately.
 #[test]
 #[ignore = "a measurement"]
 fn measure_what_a_flood_costs_clients() {
@@ -249,15 +249,15 @@
             times.sort_unstable();
             times[times.len() / 2]
         };
-        let calm = run("calm");
-        let flooded = std::thread::scope(|scope| {
+        let without_flood = run("calm");
+        let with_flood = std::thread::scope(|scope| {
             let flood = scope.spawn(|| forge(relay, 30_000));
-            let flooded = run("flood");
+            let with_flood = run("flood");
             assert!(!flood.is_finished(), "the flood lasts longer");
-            flooded
+            with_flood
         });
-        ratios.push(flooded.as_secs_f64() / calm.as_secs_f64());
-        println!("median of 2,500 jobs: {calm:?} without, {flooded:?} with the flood");
+        ratios.push(with_flood.as_secs_f64() / without_flood.as_secs_f64());
+        println!("median of 2,500 jobs: {without_flood:?} without, {with_flood:?} with the flood");
     }
     ratios.sort_by(f64::total_cmp);
     println!("ratio: median {:.3}, from {:.3} to {:.3}", ratios[3], ratios[0], ratios[6]);
--- a/dispatcher/tests/load.rs
+++ b/dispatcher/tests/load.rs
@@ -1,19 +1,19 @@
-//! Workers' accounts of their load and clients' guesses at the work, over the wire: where they stand, and what
-//! the program makes of them. The workers tell neither of starts nor of what they hold.
+//! Workers' load reports and clients' cost hints on the wire: where they are sent, and their effect on placement. The workers
+//! report neither starts nor the jobs that they hold.
 
 mod common;
 
 use common::{Rig, SETTINGS};
 use rstest::rstest;
 
-/// Answers carry free slots alone; worth is by work, so that held jobs go by their slack.
+/// Answers carry free slots only; worth is by work, so that held jobs are ordered by their slack.
 fn settings() -> String {
     let thin = r#""report": {"source": "piggyback", "fields": ["x0", "load_share"]}, "worth_by": "work","#;
     let silent = SETTINGS.replace(r#""tells_start": true"#, r#""tells_start": false"#);
     silent.replace(r#""discovery": "ask","#, &format!(r#""discovery": "ask", {thin}"#))
 }
 
-/// Connections are served in the order they came: whoever is answered knows that those before were read.
+/// Waits until earlier requests have been read: connections are served in the order in which they arrived.
 fn settle(rig: &Rig) {
     let mut client = rig.connect();
     client.is_up();
@@ -22,7 +22,7 @@
 #[rstest]
 #[case::in_a_call(true)]
 #[case::in_the_header_of_an_answer(false)]
-fn a_report_says_how_many_jobs_go_to_a_worker_at_once(#[case] call: bool) {
+fn a_report_limits_how_many_jobs_go_to_a_worker_at_once(#[case] call: bool) {
     let rig = Rig::with(1, &settings(), None);
     let mut first = rig.post("first", "quote", "");
     let seen = rig.workers[0].next();
@@ -35,7 +35,7 @@
         rig.news(0, "first", "done", r#","result":"a chart""#);
     }
     assert_eq!(first.answer().status(), 200);
-    // Two slots: two jobs go out, the third waits here until one of them ends.
+    // Two slots: two jobs are sent, and the third waits in the dispatcher until one of them ends.
     let mut clients: Vec<_> = ["a", "b", "c"].iter().map(|id| rig.post(id, "quote", "")).collect();
     settle(&rig);
     let mut out = [rig.workers[0].take(), rig.workers[0].take()];
@@ -49,9 +49,9 @@
     clients.iter_mut().for_each(|client| assert_eq!(client.answer().status(), 200));
 }
 
-/// The guess says how long a job can wait: the longest comes last. One that can't be read is no error.
+/// The cost hint determines how long a job can wait: the longest job goes last. A malformed hint is not an error.
 #[test]
-fn a_guess_at_the_work_orders_what_waits() {
+fn a_cost_hint_orders_waiting_jobs() {
     let rig = Rig::with(1, &settings(), None);
     let mut first = rig.post("first", "quote", "");
     assert_eq!(rig.workers[0].take(), "first");
@@ -73,7 +73,7 @@
     clients.iter_mut().for_each(|client| assert_eq!(client.answer().status(), 200));
 }
 
-/// Fleets are of unlike workers: each gets as many at once as it has shown slots.
+/// Workers differ in size: each gets as many jobs at once as it has reported slots.
 #[test]
 fn workers_of_unequal_size_are_filled_by_what_they_report() {
     let rig = Rig::with(2, &settings(), None);
@@ -88,7 +88,7 @@
     let small = rig.workers[0].take();
     let large = [rig.workers[1].take(), rig.workers[1].take(), rig.workers[1].take()];
     assert!(rig.workers.iter().all(|w| w.has_none()), "the fifth one waits");
-    // Room at either worker is room for it.
+    // The fifth job may go to either worker.
     rig.news(1, &large[0], "done", r#","result":"a chart""#);
     let last = rig.workers[1].take();
     rig.news(0, &small, "done", r#","result":"a chart""#);
@@ -98,9 +98,9 @@
     clients.iter_mut().for_each(|client| assert_eq!(client.answer().status(), 200));
 }
 
-/// It takes the request and says nothing, not even that it has it. In doubt the job ran.
+/// The worker reads the request and sends no answer, not even that it accepted the job. The job may have run.
 #[test]
-fn what_may_not_run_twice_stays_with_a_worker_that_takes_it_and_is_silent() {
+fn a_job_that_may_not_run_twice_stays_with_a_worker_that_reads_it_and_is_silent() {
     let rig = Rig::with(2, &settings(), None);
     let mut client = rig.post("c1", "order", "X-Budget-Ms: 3000\r\n");
     let (silent, seen) = rig.next();
--- a/dispatcher/tests/load_gossip.rs
+++ b/dispatcher/tests/load_gossip.rs
@@ -1,4 +1,4 @@
-//! A dispatcher of a large tier, as a process, and a peer that keeps the count of its zone and says what the test wants.
+//! A dispatcher process of a large tier, and a peer that acts as its zone's aggregator and answers as the test directs.
 
 mod common;
 
@@ -11,32 +11,32 @@
 
 const DONE: &str = r#", "result": "x""#;
 
-/// What the aggregator does with a question.
+/// How the aggregator answers a query.
 #[derive(Clone, Copy)]
 enum Aggregator {
-    /// Says that a worker has just refused a job.
+    /// With a snapshot in which this worker has just refused a job.
     Refused(&'static str),
-    /// Sends rubbish, pictures that nobody asked for, and no answer.
-    Rude,
+    /// With malformed datagrams and snapshots for other queries, but no answer.
+    Invalid,
 }
 
-/// A dispatcher with two workers, and what its peer hears.
+/// A dispatcher with two workers, and the reports that its peer receives.
 fn rig(aggregator: Aggregator) -> (Rig, Receiver<LoadReport>) {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let at = socket.local_addr().expect("an address");
-    // The peer is whoever both hold to be the aggregator.
-    let first = ZoneAggregators::new(2).query(Tag::of("a"), 0).expect("a aggregator");
-    let nobody = UdpSocket::bind("127.0.0.1:0").and_then(|s| s.local_addr()).expect("an address");
-    let peers = if first == 0 { [at, nobody] } else { [nobody, at] };
+    // The peer takes the position that the dispatcher's own choice makes the aggregator.
+    let first = ZoneAggregators::new(2).query(Tag::of("a"), 0).expect("an aggregator");
+    let unused = UdpSocket::bind("127.0.0.1:0").and_then(|s| s.local_addr()).expect("an address");
+    let peers = if first == 0 { [at, unused] } else { [unused, at] };
     let settings = SETTINGS
         .replace(r#""instances": 1"#, &format!(r#""instances": 100, "self_index": {}"#, 1 - first))
         .replace(r#""cancel": true"#, r#""cancel": true, "peers": true"#);
     let more = format!(r#""peer_listen": "127.0.0.1:0", "peers": ["{}", "{}"], "#, peers[0], peers[1]);
-    let (reports, heard) = channel();
+    let (reports, reports_received) = channel();
     std::thread::spawn(move || {
         let mut bytes = [0; 512];
         while let Ok((size, from)) = socket.recv_from(&mut bytes) {
-            // What is said of discovery is for all peers, aggregators or not.
+            // Discovery reports go to all peers, whether aggregators or not.
             if DiscoveryReport::decode(&bytes[..size]).is_some() {
                 continue;
             }
@@ -53,29 +53,29 @@
     let listed = workers.iter().map(|w| (w.id.clone(), w.addr)).collect();
     let mut rig = Rig::set_up(listed, &settings, Setup { more, ..Setup::default() });
     rig.workers = workers;
-    (rig, heard)
+    (rig, reports_received)
 }
 
 fn answer(socket: &UdpSocket, to: SocketAddr, asked: &LoadReport, aggregator: Aggregator) {
     let refused = |name: &str| vec![Tag::of(name)];
-    let picture = |turn, name| LoadReport {
+    let snapshot = |turn, name| LoadReport {
         purpose: Purpose::Snapshot,
         sequence: turn,
         zone: asked.zone,
         in_flight: Vec::new(),
         refused: refused(name),
     };
-    let said = match aggregator {
-        Aggregator::Refused(name) => vec![picture(asked.sequence, name).encode()],
-        Aggregator::Rude => vec![
+    let datagrams = match aggregator {
+        Aggregator::Refused(name) => vec![snapshot(asked.sequence, name).encode()],
+        Aggregator::Invalid => vec![
             vec![],
             vec![7; 5],
             vec![0x20; MAX_DATAGRAM + 3],
-            picture(asked.sequence.wrapping_sub(1) & 15, "w0").encode(),
-            picture(asked.sequence.wrapping_sub(2) & 15, "w1").encode(),
+            snapshot(asked.sequence.wrapping_sub(1) & 15, "w0").encode(),
+            snapshot(asked.sequence.wrapping_sub(2) & 15, "w1").encode(),
         ],
     };
-    for bytes in said {
+    for bytes in datagrams {
         socket.send_to(&bytes, to).expect("sent");
     }
 }
@@ -90,48 +90,48 @@
 }
 
 #[test]
-fn a_flow_is_placed_by_what_the_aggregator_says_and_the_aggregator_is_sent_reports() {
-    let (rig, heard) = rig(Aggregator::Refused("w0"));
+fn jobs_are_placed_by_the_aggregators_snapshot_and_reported_to_it() {
+    let (rig, reports_received) = rig(Aggregator::Refused("w0"));
     for i in 0..6 {
         assert_eq!(serve(&rig, &format!("c{i}")), 1);
     }
     let await_report = |out: &[(Tag, u8)]| {
         let wait = Duration::from_secs(20);
-        while heard.recv_timeout(wait).expect("a report").in_flight != out {}
+        while reports_received.recv_timeout(wait).expect("a report").in_flight != out {}
     };
     await_report(&[(Tag::of("w1"), 1)]);
     await_report(&[]);
 }
 
-/// Nothing that comes from the socket stops flows, and who is silent is not waited for.
+/// Malformed datagrams do not stop jobs, and a silent aggregator is not waited for.
 #[test]
-fn a_aggregator_that_talks_rubbish_holds_nothing_up() {
-    let (rig, heard) = rig(Aggregator::Rude);
+fn an_aggregator_that_sends_malformed_datagrams_delays_nothing() {
+    let (rig, reports_received) = rig(Aggregator::Invalid);
     let at: Vec<usize> = (0..12).map(|i| serve(&rig, &format!("c{i}"))).collect();
-    assert!(at.contains(&0) && at.contains(&1), "pictures that nobody asked for count for nothing: {at:?}");
-    assert!(heard.try_iter().any(|h| h.purpose == Purpose::Query));
+    assert!(at.contains(&0) && at.contains(&1), "unrequested snapshots must be ignored: {at:?}");
+    assert!(reports_received.try_iter().any(|h| h.purpose == Purpose::Query));
 }
 
-/// A worker that fails fast looks idle to counts alone: the aggregator is sent reports.
+/// A worker that fails fast looks idle by its job count alone, so failures are reported to the aggregator.
 #[test]
-fn a_failure_is_told_and_then_no_more() {
-    let (rig, heard) = rig(Aggregator::Refused("w0"));
+fn a_failure_is_reported_once() {
+    let (rig, reports_received) = rig(Aggregator::Refused("w0"));
     let mut client = rig.post("c1", "order", "");
     let (at, seen) = rig.next();
     seen.answer("202 Accepted");
     rig.news(at, "c1", "failed", "");
     assert!(client.answer().status() >= 500);
     let wait = Duration::from_secs(20);
-    while heard.recv_timeout(wait).expect("a report").refused != [Tag::of("w1")] {}
+    while reports_received.recv_timeout(wait).expect("a report").refused != [Tag::of("w1")] {}
     serve(&rig, "c2");
-    assert!(heard.try_iter().all(|h| h.refused.is_empty()));
+    assert!(reports_received.try_iter().all(|h| h.refused.is_empty()));
 }
 
-/// Its time is shorter than what an answer takes, and the aggregator has nothing to say. Seen: such a job was answered as
-/// failed, which promises nothing, and 10 ms later than need be; an error in the log each time.
+/// The job's budget is shorter than an answer of the aggregator takes, and none comes. Guards against answering such a job as
+/// failed, which does not tell the client that it never ran, 10 ms later than necessary, and with an error in the log.
 #[test]
-fn a_job_with_hardly_any_time_is_refused_although_the_aggregator_is_silent() {
-    let (rig, _heard) = rig(Aggregator::Rude);
+fn a_job_with_a_tiny_budget_is_refused_although_the_aggregator_is_silent() {
+    let (rig, _heard) = rig(Aggregator::Invalid);
     for (i, budget) in [0, 1, 20].iter().enumerate() {
         let mut client = rig.post(&format!("c{i}"), "order", &format!("X-Budget-Ms: {budget}\r\n"));
         let answer = client.answer();
--- a/dispatcher/tests/old_lists.rs
+++ b/dispatcher/tests/old_lists.rs
@@ -1,5 +1,5 @@
-//! Processes that hold a worker list of unknown age, or one that nothing has confirmed for long: incident 38, and what else
-//! belongs to its class. What counts is what workers were sent.
+//! Processes that hold a worker list of unknown age, or one that has not been confirmed for long: incident 38 and similar
+//! cases. The tests check which jobs the workers receive.
 
 mod common;
 
@@ -9,29 +9,29 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A change counts as told so long after discovery had it, and sends may go on for the grace behind that.
-const TOLD_AFTER: Duration = Duration::from_secs(6);
-/// The longest watch of a tier of one, and what it may be late.
+/// A change counts as known this long after discovery had it; jobs may still be sent for the drain grace period after that.
+const KNOWN_AFTER: Duration = Duration::from_secs(6);
+/// The longest watch of a tier of one, with a margin.
 const SHORT_WATCH: Duration = Duration::from_millis(2500);
-/// An agent's answer that there is nothing new comes within this time.
+/// An agent answers within this time when there is nothing new.
 const AGENT_CALL: Duration = Duration::from_millis(300);
-/// The same time after SIGHUP has moved discovery.
-const TOLD_AFTER_MOVE: Duration = Duration::from_secs(4);
+/// As `KNOWN_AFTER`, but after SIGHUP has changed the address of discovery.
+const KNOWN_AFTER_MOVE: Duration = Duration::from_secs(4);
 const DRAIN_GRACE: Duration = Duration::from_millis(750);
-/// Processes that go on, and those that are killed and started again, of a tier that the settings say is large.
-const STAYING: usize = 4;
+/// Processes that keep running, and processes that are killed and restarted, of a tier that is large by its settings.
+const KEPT_RUNNING: usize = 4;
 const RESTARTED: usize = 8;
 const TIER: &str = r#""instances": 300"#;
-/// A client's time that outlasts a process that stands still: it runs on meanwhile.
+/// A client's budget that outlasts the stop of the process; it keeps running meanwhile.
 const LONG_BUDGET: &str = "X-Budget-Ms: 20000\r\n";
-/// Each answer of discovery takes so long when the processes are back: they all ask at once.
-const CROWDED: Duration = Duration::from_millis(1500);
+/// How long each answer of discovery takes when all restarted processes ask at once.
+const OVERLOADED_DELAY: Duration = Duration::from_millis(1500);
 
-/// Processes of one tier, with one worker that leaves and one that stays.
+/// Processes of one tier, with one worker that is removed and one that remains.
 struct Tier {
     rigs: Vec<Option<Rig>>,
     is_large: bool,
-    /// How lists come, as the settings name it.
+    /// The discovery mode of the settings.
     mode: &'static str,
     discovery: Discovery,
     workers: ServingWorkers,
@@ -39,18 +39,18 @@
 
 /// The workers' names, and their positions.
 const NAMES: [&str; 2] = ["s-leaving", "s-staying"];
-const LEAVING: usize = 0;
-const STAYING_ONE: usize = 1;
+const REMOVED: usize = 0;
+const REMAINING: usize = 1;
 
 impl Tier {
-    /// A tier of one is a small one by its settings, others a large one.
+    /// Starts a tier; by its settings, a tier of one is small and any other is large.
     fn start(size: usize) -> Tier {
         Tier::start_with(size, "ask")
     }
 
     fn start_with(size: usize, mode: &'static str) -> Tier {
         let workers = ServingWorkers::start(&NAMES);
-        let entries = [LEAVING, STAYING_ONE].map(|position| workers.entry(position, "up"));
+        let entries = [REMOVED, REMAINING].map(|position| workers.entry(position, "up"));
         let discovery = Discovery::start(&entries, Behaviour::Up);
         let mut tier = Tier { rigs: Vec::new(), is_large: size > 1, mode, discovery, workers };
         for process in 0..size {
@@ -62,7 +62,7 @@
         tier
     }
 
-    /// A process that is told both workers at its start.
+    /// Starts a process whose initial list has both workers.
     fn process(&self) -> Rig {
         let tier = if self.is_large { TIER } else { r#""instances": 1"# };
         let mode = format!(r#""discovery": "{}""#, self.mode);
@@ -88,32 +88,32 @@
         self.rigs[process].as_ref().expect("it runs")
     }
 
-    /// The first worker leaves; the version that says so.
-    fn first_leaves(&self) -> u64 {
-        let entries = [self.workers.entry(LEAVING, "removed"), self.workers.entry(STAYING_ONE, "up")];
+    /// Removes the first worker and returns the version of the list without it.
+    fn remove_first(&self) -> u64 {
+        let entries = [self.workers.entry(REMOVED, "removed"), self.workers.entry(REMAINING, "up")];
         self.discovery.list(&entries)
     }
 
-    /// Jobs that came after an instant to the worker that leaves.
-    fn to_leaving(&self, from: Instant) -> Vec<String> {
-        self.workers.since(NAMES[LEAVING], from)
+    /// Jobs that the removed worker received after an instant.
+    fn to_removed(&self, from: Instant) -> Vec<String> {
+        self.workers.since(NAMES[REMOVED], from)
     }
 
-    /// Jobs that came after an instant to the worker that stays.
-    fn to_staying(&self, from: Instant) -> Vec<String> {
-        self.workers.since(NAMES[STAYING_ONE], from)
+    /// Jobs that the remaining worker received after an instant.
+    fn to_remaining(&self, from: Instant) -> Vec<String> {
+        self.workers.since(NAMES[REMAINING], from)
     }
 
-    /// A job waits, and is sent to nobody before this discovery answers; then the worker that stays gets it.
+    /// Asserts that the job is sent to no worker before this discovery answers, and to the remaining worker then.
     fn sends_nothing_until_answered(&self, mut client: Client, late: Instant, discovery: &Discovery) {
         thread::sleep(Duration::from_millis(500));
-        assert!(self.to_leaving(late).is_empty() && self.to_staying(late).is_empty());
+        assert!(self.to_removed(late).is_empty() && self.to_remaining(late).is_empty());
         discovery.behave(Behaviour::Up);
         assert_eq!(client.answer().status(), 200);
-        assert_eq!((self.to_leaving(late).len(), self.to_staying(late).len()), (0, 1));
+        assert_eq!((self.to_removed(late).len(), self.to_remaining(late).len()), (0, 1));
     }
 
-    /// A job for each of these processes from a client of its own; all answers, in order.
+    /// Sends a job to each of these processes, each from its own client, and returns the status codes in order.
     fn answers(&self, processes: impl Iterator<Item = usize>, name: &str) -> Vec<u16> {
         let clients: Vec<Client> = processes
             .map(|process| self.rig(process).post(&format!("{process}-{name}"), "quote", ""))
@@ -122,82 +122,82 @@
     }
 }
 
-/// Half of a tier is killed and comes back 7 s later with the list that it had; a worker has left meanwhile, and its address
-/// answers again. Discovery is crowded by all that ask. Seen: 284 requests to removed workers within 3.5 s.
+/// Part of a tier is killed and restarted 7 s later with its old list; a worker was removed meanwhile, and its address answers
+/// again. Discovery is overloaded by all the calls. In incident 38, this caused 284 requests to removed workers within 3.5 s.
 #[test]
-fn restarted_processes_send_nothing_to_workers_that_left() {
-    let mut tier = Tier::start(STAYING + RESTARTED);
-    let all = 0..STAYING + RESTARTED;
+fn restarted_processes_send_nothing_to_removed_workers() {
+    let mut tier = Tier::start(KEPT_RUNNING + RESTARTED);
+    let all = 0..KEPT_RUNNING + RESTARTED;
     assert!(tier.answers(all.clone(), "before").iter().all(|status| *status == 200));
-    (STAYING..STAYING + RESTARTED).for_each(|process| tier.kill(process));
-    tier.first_leaves();
-    thread::sleep(TOLD_AFTER + DRAIN_GRACE);
-    tier.discovery.behave(Behaviour::Slow(CROWDED));
+    (KEPT_RUNNING..KEPT_RUNNING + RESTARTED).for_each(|process| tier.kill(process));
+    tier.remove_first();
+    thread::sleep(KNOWN_AFTER + DRAIN_GRACE);
+    tier.discovery.behave(Behaviour::Slow(OVERLOADED_DELAY));
     let back = Instant::now();
-    (STAYING..STAYING + RESTARTED).for_each(|process| tier.start_again(process));
+    (KEPT_RUNNING..KEPT_RUNNING + RESTARTED).for_each(|process| tier.start_again(process));
     for round in 0..3 {
         let answers = tier.answers(all.clone(), &format!("back-{round}"));
         assert!(answers.iter().all(|status| matches!(status, 200 | 503)), "{answers:?}");
     }
-    assert_eq!(tier.to_leaving(back), Vec::<String>::new());
-    assert!(!tier.to_staying(back).is_empty());
+    assert_eq!(tier.to_removed(back), Vec::<String>::new());
+    assert!(!tier.to_remaining(back).is_empty());
 }
 
-/// Discovery falls silent, and a worker leaves meanwhile. The list is acted on for the time until changes count as told, and no
-/// longer; requests wait, and go out once discovery answers.
+/// Discovery stops answering, and a worker is removed meanwhile. The list is used until changes count as known, and no longer;
+/// then requests wait until discovery answers.
 #[test]
-fn a_list_that_nothing_confirms_is_not_acted_on_for_long() {
+fn an_unconfirmed_list_is_not_used_for_long() {
     let tier = Tier::start(1);
     assert_eq!(tier.answers(0..1, "before"), [200]);
     tier.discovery.behave(Behaviour::Silent);
-    tier.first_leaves();
-    // The watch of a single process waits for a second at most: it has ended in silence well before.
-    thread::sleep(TOLD_AFTER + SHORT_WATCH + DRAIN_GRACE);
+    tier.remove_first();
+    // The watch of a single process waits for a second at most, so it has timed out well before.
+    thread::sleep(KNOWN_AFTER + SHORT_WATCH + DRAIN_GRACE);
     let late = Instant::now();
     let client = tier.rig(0).post("0-late", "quote", "");
     tier.sends_nothing_until_answered(client, late, &tier.discovery);
 }
 
-/// A process is stopped while a worker leaves, for longer than changes take to count as told, and its watch with it. What comes
-/// to it at once when it goes on is not sent by the list that it had.
+/// A process, and its watch with it, is stopped while a worker is removed, for longer than until changes count as known. Jobs
+/// that arrive as it resumes are not placed by its old list.
 #[test]
-fn a_process_that_stood_still_does_not_act_on_its_old_list() {
-    goes_on_by_no_old_list(Duration::ZERO);
+fn a_process_that_was_stopped_does_not_use_its_old_list() {
+    assert_old_list_unused_after_stop(Duration::ZERO);
 }
 
-/// The same where the watch was answered with nothing new before the worker left: the answer stands unread meanwhile, and says
-/// nothing of the time since.
+/// The same with a watch that was answered with no change before the worker was removed: the answer waits unread meanwhile, and
+/// confirms nothing about the time since.
 #[test]
-fn an_answer_that_stood_unread_does_not_confirm_the_list_anew() {
-    goes_on_by_no_old_list(SHORT_WATCH);
+fn an_answer_that_waited_unread_does_not_confirm_the_list() {
+    assert_old_list_unused_after_stop(SHORT_WATCH);
 }
 
-/// The worker leaves so long after the process was stopped, and discovery is silent from then on.
-fn goes_on_by_no_old_list(leaves_after: Duration) {
+/// Removes the worker this long after the process was stopped; discovery does not answer from then on.
+fn assert_old_list_unused_after_stop(removed_after: Duration) {
     let tier = Tier::start(1);
     assert_eq!(tier.answers(0..1, "before"), [200]);
     let rig = tier.rig(0);
     rig.freeze();
-    thread::sleep(leaves_after);
+    thread::sleep(removed_after);
     tier.discovery.behave(Behaviour::Silent);
-    tier.first_leaves();
-    thread::sleep(TOLD_AFTER + SHORT_WATCH + DRAIN_GRACE - leaves_after);
+    tier.remove_first();
+    thread::sleep(KNOWN_AFTER + SHORT_WATCH + DRAIN_GRACE - removed_after);
     let client = rig.post("0-late", "quote", LONG_BUDGET);
     let back = Instant::now();
     rig.thaw();
     tier.sends_nothing_until_answered(client, back, &tier.discovery);
 }
 
-/// The same where lists are pushed to an agent: what that has counts as told at once.
+/// The same where lists are pushed to an agent: changes that the agent has count as known at once.
 #[test]
-fn a_process_that_stood_still_asks_its_agent_first() {
+fn a_process_that_was_stopped_asks_its_agent_first() {
     let tier = Tier::start_with(1, "push");
     assert_eq!(tier.answers(0..1, "before"), [200]);
     let rig = tier.rig(0);
     rig.freeze();
-    // The call that is out is answered with nothing new, and that stands unread.
+    // The pending call is answered with no change, and the answer waits unread.
     thread::sleep(AGENT_CALL);
-    tier.first_leaves();
+    tier.remove_first();
     thread::sleep(DRAIN_GRACE * 2);
     let clients: Vec<Client> =
         (0..8).map(|job| rig.post(&format!("0-late-{job}"), "quote", LONG_BUDGET)).collect();
@@ -206,19 +206,19 @@
     for mut client in clients {
         assert_eq!(client.answer().status(), 200);
     }
-    assert_eq!((tier.to_leaving(back).len(), tier.to_staying(back).len()), (0, 8));
+    assert_eq!((tier.to_removed(back).len(), tier.to_remaining(back).len()), (0, 8));
 }
 
-/// SIGHUP moves discovery to one that never answers: the list of the old one is acted on for as long as the platform leaves until
-/// what the new one has to tell counts, and no longer.
+/// SIGHUP changes to a discovery that never answers: the list of the previous one is used until changes at the new one count as
+/// known, and no longer.
 #[test]
-fn a_move_to_a_discovery_that_is_silent_ends_the_old_list() {
+fn a_change_to_a_silent_discovery_ends_the_use_of_the_old_list() {
     let tier = Tier::start(1);
     assert_eq!(tier.answers(0..1, "before"), [200]);
-    let other = Discovery::start(&[tier.workers.entry(STAYING_ONE, "up")], Behaviour::Silent);
+    let other = Discovery::start(&[tier.workers.entry(REMAINING, "up")], Behaviour::Silent);
     tier.rig(0).hang_up(other.addr);
     other.called(0, |call| call.wants_all());
-    thread::sleep(TOLD_AFTER_MOVE + DRAIN_GRACE);
+    thread::sleep(KNOWN_AFTER_MOVE + DRAIN_GRACE);
     let late = Instant::now();
     let client = tier.rig(0).post("0-late", "quote", "");
     tier.sends_nothing_until_answered(client, late, &other);
--- a/dispatcher/tests/race_conditions.rs
+++ b/dispatcher/tests/race_conditions.rs
@@ -1,5 +1,5 @@
-//! Events of workers and clients that come in the same turn: a worker that is back at once, clients that leave in the moment of
-//! an answer, calls that give a job up and come to nothing, and bytes that arrive where none are awaited.
+//! Worker and client events in the same turn of the event loop: a worker that restarts at once, clients that disconnect as their
+//! answer arrives, cancellations that time out, and unexpected bytes.
 
 mod common;
 
@@ -15,8 +15,8 @@
 const DONE: &str = r#","result":"a chart""#;
 const TAKEN: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
 
-/// Nothing gives a job up but its client.
-fn patient() -> String {
+/// Settings by which only its client cancels a job.
+fn settings_without_timeouts() -> String {
     SETTINGS.replace("8000", "60000").replace(r#""aim_ms": 500"#, r#""aim_ms": 50000"#)
 }
 
@@ -38,7 +38,7 @@
     read_message(&mut BufReader::new(stream.try_clone().expect("a socket"))).expect("a request")
 }
 
-fn say(mut stream: &TcpStream, text: &str) {
+fn send(mut stream: &TcpStream, text: &str) {
     stream.write_all(text.as_bytes()).expect("a connection");
 }
 
@@ -46,32 +46,32 @@
     socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("a socket");
 }
 
-/// How a client leaves; what it was is gone when this returns.
-fn leave(client: Client, with_a_reset: bool) {
+/// Disconnects a client; the kernel has processed that when this returns.
+fn disconnect(client: Client, with_a_reset: bool) {
     let ends = client.ends();
     match with_a_reset {
         true => client.reset(),
         false => drop(client),
     }
-    wait_until("the end is said", || !is_established(ends));
+    wait_until("the disconnect is known to the kernel", || !is_established(ends));
 }
 
-/// The process of a worker dies with a job and is back at once under its name and address: the connection is reset, the list
-/// tells of a new start, and the machine's agent tells that the job is lost; in either order, and once more. What may be repeated
-/// is sent to it anew on a new connection, once; what must not be is failed.
+/// A worker process dies with a job and restarts at once under the same name and address: the connection is reset, the list has
+/// a new start time, and the machine's agent reports the job as lost, in either order. A job that may be repeated is sent to it
+/// again once, on a new connection; one that must not be is failed.
 #[rstest]
-fn a_worker_that_is_back_at_once_gets_a_lost_job_again_and_once(
+fn a_worker_that_restarts_at_once_gets_a_lost_job_again_once(
     #[values("quote", "order")] class: &str,
     #[values(true, false)] listed_first: bool,
 ) {
     let (socket, addr) = raw_worker();
     let discovery = Discovery::start(&[entry("w0", addr, "up", 0)], Behaviour::Up);
     let setup = Setup { discovery: Some(discovery.addr), ..Setup::default() };
-    let rig = Rig::set_up(vec![("w0".into(), addr)], &patient(), setup);
+    let rig = Rig::set_up(vec![("w0".into(), addr)], &settings_without_timeouts(), setup);
     let mut client = rig.post("c1", class, "");
     let before = accept(&socket);
     assert_eq!(read(&before).headers["x-call-id"], "c1");
-    say(&before, TAKEN);
+    send(&before, TAKEN);
     rig.tell("w0", "c1", "started", "");
     rig.freeze();
     reset(before);
@@ -95,50 +95,51 @@
         assert_eq!(client.answer().status(), 504);
         rig.turn();
         socket.set_nonblocking(true).expect("a socket");
-        assert!(socket.accept().is_err(), "sent again");
+        assert!(socket.accept().is_err(), "the job was sent again");
         return;
     }
     let again = accept(&socket);
     assert_eq!(read(&again).first, "POST /api HTTP/1.1");
-    say(&again, TAKEN);
+    send(&again, TAKEN);
     rig.tell("w0", "c1", "done", DONE);
     assert_eq!(client.answer().status(), 200);
 }
 
-/// The client leaves in the turn in which its answer comes: the worker's call is answered, nothing is sent on, and the id is free.
+/// The client disconnects in the turn in which its answer arrives: the worker's update is answered, no attempt starts, and the id
+/// is released.
 #[rstest]
-fn who_leaves_in_the_moment_of_the_answer_leaves_nothing_behind(
+fn a_client_that_disconnects_as_its_answer_arrives_leaves_nothing_allocated(
     #[values(false, true)] with_a_reset: bool,
-    #[values("done", "failed", "returned")] word: &str,
+    #[values("done", "failed", "returned")] state: &str,
 ) {
-    let rig = Rig::with(2, &patient(), None);
+    let rig = Rig::with(2, &settings_without_timeouts(), None);
     let client = rig.post("c1", "quote", "");
     let (worker, seen) = rig.next();
     seen.answer("202 Accepted");
-    // A worker's connection that was there before.
+    // A worker's connection, opened before.
     let mut call = rig.connect();
     call.is_up();
     rig.freeze();
-    let more = if word == "done" { DONE } else { "" };
+    let more = if state == "done" { DONE } else { "" };
     call.send(
         "POST /_jobs/news",
         "",
-        &format!(r#"{{"id":"c1","from":"{}","state":"{word}"{more}}}"#, rig.workers[worker].id),
+        &format!(r#"{{"id":"c1","from":"{}","state":"{state}"{more}}}"#, rig.workers[worker].id),
     );
-    leave(client, with_a_reset);
+    disconnect(client, with_a_reset);
     rig.thaw();
     assert_eq!(call.answer().status(), 200);
     rig.turn();
-    // A next attempt may have gone out before the end was seen; then it is given up at once.
+    // The next attempt may have started before the disconnect was detected; then it is cancelled at once.
     let sent: Vec<String> = rig.workers.iter().flat_map(|w| w.asked()).collect();
     assert!(!sent.iter().any(|asked| asked.starts_with("POST ")), "{sent:?}");
     assert!([0, 1].contains(&rig.served("c1", "quote")));
 }
 
-/// The worker hangs with a job that is overdue: both calls that give it up come to no answer. Only then does it go elsewhere, and
-/// what the first worker says in the end changes nothing.
+/// The worker hangs with an overdue job: both cancellations time out. Only then does the job go to another worker, and a late
+/// update of the first worker changes nothing.
 #[test]
-fn a_job_whose_giving_up_times_out_twice_goes_elsewhere_once() {
+fn a_job_whose_cancellation_times_out_twice_goes_to_another_worker_once() {
     in_time(|| {
         let rig = Rig::with(2, &SETTINGS.replace(r#""aim_ms": 500"#, r#""aim_ms": 200"#), None);
         let mut client = rig.post("c1", "quote", "");
@@ -151,7 +152,7 @@
             .map(|_| {
                 let seen = rig.workers[first].next();
                 assert_eq!(seen.message.first, "DELETE /jobs/c1 HTTP/1.1");
-                assert!(rig.workers[other].has_none(), "two attempts are out");
+                assert!(rig.workers[other].has_none(), "two attempts at once");
                 seen
             })
             .collect();
@@ -164,7 +165,7 @@
         unanswered.into_iter().for_each(|seen| seen.answer("200 OK"));
         rig.turn();
         let asked: Vec<String> = rig.workers.iter().flat_map(|w| w.asked()).collect();
-        // The second one was overdue as well before this test had its turn.
+        // The second attempt became overdue as well, because this test ran late.
         if asked.iter().any(|asked| asked.starts_with("DELETE ")) {
             return None;
         }
@@ -173,18 +174,18 @@
     });
 }
 
-/// Half a line comes from a worker on a resting connection in the moment in which the next job is to be written there. The
-/// connection is left, and the job goes on a new one, whatever its class.
+/// Unexpected bytes arrive from a worker on an idle connection just before the next job is written there. The connection is
+/// abandoned, and the job goes out on a new one, whatever its class.
 #[rstest]
-fn bytes_on_a_resting_connection_at_the_write_do_not_answer_the_next_job(
+fn bytes_on_an_idle_connection_before_the_write_do_not_answer_the_next_job(
     #[values("HTTP/1.1 5", "\r\n", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")] bytes: &str,
 ) {
     let (socket, addr) = raw_worker();
     let setup = Setup { stops: "post.look:2:stop", ..Setup::default() };
-    let rig = Rig::set_up(vec![("w0".into(), addr)], &patient(), setup);
+    let rig = Rig::set_up(vec![("w0".into(), addr)], &settings_without_timeouts(), setup);
     let serve = |stream: &TcpStream| {
         let id = read(stream).headers["x-call-id"].clone();
-        say(stream, TAKEN);
+        send(stream, TAKEN);
         rig.tell("w0", &id, "done", DONE);
     };
     let mut client = rig.post("c1", "order", "");
@@ -193,39 +194,39 @@
     assert_eq!(client.answer().status(), 200);
     let mut client = rig.post("c2", "order", "");
     rig.is_frozen();
-    say(&kept, bytes);
+    send(&kept, bytes);
     rig.thaw();
     serve(&accept(&socket));
     assert_eq!(client.answer().status(), 200);
-    // Not a byte of the second job on the first connection.
+    // No byte of the second job was written on the first connection.
     assert!(!matches!((&kept).read(&mut [0]), Ok(1)));
 }
 
-/// A worker floods: an endless head, an endless body. The job that may be repeated is served elsewhere in time.
+/// A worker sends an endless head or body. The job, which may be repeated, is served by another worker in time.
 #[rstest]
 #[case::head("HTTP/1.1 500 No\r\nX-More: ")]
 #[case::body("HTTP/1.1 500 No\r\nTransfer-Encoding: chunked\r\n\r\nffffff\r\n")]
-fn an_endless_answer_is_cut_short(#[case] beginning: &str) {
+fn an_endless_answer_is_aborted(#[case] beginning: &str) {
     let (socket, addr) = raw_worker();
     let worker = Worker::start("w1");
     let listed = vec![("w0".into(), addr), (worker.id.clone(), worker.addr)];
-    let mut rig = Rig::of(listed, &patient(), None);
+    let mut rig = Rig::of(listed, &settings_without_timeouts(), None);
     rig.workers = vec![worker];
     rig.list(&["up", "draining"]);
     let mut client = rig.post("c1", "quote", "");
     let mut stream = accept(&socket);
     assert_eq!(read(&stream).first, "POST /api HTTP/1.1");
     rig.list(&["draining", "up"]);
-    say(&stream, beginning);
+    send(&stream, beginning);
     let since = Instant::now();
     while stream.write_all(&[b'x'; 4096]).is_ok() {
         assert!(since.elapsed() < Duration::from_secs(3), "it goes on reading");
     }
-    // Where the end was not said before, it is told that the job is given up; every call is answered.
+    // The worker may still be sent a cancellation; every such request is answered.
     std::thread::spawn(move || {
         for stream in socket.incoming().flatten() {
             while read_message(&mut BufReader::new(&stream)).is_some() {
-                say(&stream, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+                send(&stream, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
             }
         }
     });
@@ -235,15 +236,15 @@
     assert_eq!(client.answer().status(), 200);
 }
 
-/// Clients that send much at once and go: none of it is sent on, and usual clients are served behind them.
+/// Clients that send many requests and disconnect: no job of theirs is sent, and other clients are served afterwards.
 #[rstest]
-fn a_flood_of_those_who_have_gone_is_not_sent_on(#[values(false, true)] with_a_reset: bool) {
-    let rig = Rig::with(1, &patient(), None);
+fn a_flood_of_requests_from_disconnected_clients_is_not_sent(#[values(false, true)] with_a_reset: bool) {
+    let rig = Rig::with(1, &settings_without_timeouts(), None);
     rig.freeze();
     for i in 0..40 {
         let mut client = rig.connect();
         (0..20).for_each(|j| client.post(&format!("f{i}-{j}"), "quote", ""));
-        leave(client, with_a_reset);
+        disconnect(client, with_a_reset);
     }
     rig.thaw();
     rig.turn();
@@ -251,10 +252,10 @@
     assert!(rig.workers[0].has_none());
 }
 
-/// Requests and workers' calls in pieces of any size, on one connection.
+/// Requests and worker updates are written in pieces of several sizes.
 #[rstest]
 fn requests_in_pieces_are_read_as_if_whole(#[values(1, 2, 3, 7, 64)] size: usize) {
-    let rig = Rig::with(1, &patient(), None);
+    let rig = Rig::with(1, &settings_without_timeouts(), None);
     let (mut client, mut call) = (rig.connect(), rig.connect());
     for (id, framing, body) in [
         ("c1", "Content-Length: 7", "payload"),
@@ -265,9 +266,9 @@
         let seen = rig.workers[0].next();
         assert_eq!((seen.reference(), &*seen.message.body), (id, "payload"));
         seen.answer("202 Accepted");
-        let news = format!(r#"{{"id":"{id}","from":"w0","state":"done"{DONE}}}"#);
-        let head = format!("POST /_jobs/news HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n", news.len());
-        call.write_in_pieces(format!("{head}{news}").as_bytes(), size);
+        let update = format!(r#"{{"id":"{id}","from":"w0","state":"done"{DONE}}}"#);
+        let head = format!("POST /_jobs/news HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n", update.len());
+        call.write_in_pieces(format!("{head}{update}").as_bytes(), size);
         assert_eq!(call.answer().status(), 200);
         assert_eq!(client.answer().status(), 200);
     }
