--- a/dispatcher/tests/admin.rs
+++ b/dispatcher/tests/admin.rs
@@ -20,7 +20,9 @@
 #[test]
 fn an_invalid_override_is_answered_with_its_field_and_changes_nothing() {
     let rig = rig(1, SETTINGS, r#", "overrides": {"longest": "2h"}"#);
-    let without = |key: &'static str| override_request(move |o| drop(o.as_object_mut().expect("an object").remove(key)));
+    let without = |key: &'static str| {
+        override_request(move |o| drop(o.as_object_mut().expect("an object").remove(key)))
+    };
     let with = |key: &'static str, value: Value| override_request(move |o| o[key] = value.clone());
     for (body, field, words) in [
         (without("worker"), "worker", "missing field"),
@@ -42,7 +44,11 @@
             "pin",
             "they have quote, statement, order",
         ),
-        (override_request(|o| (o["weight"], o["pin"]) = (Value::Null, json!("quote/zed"))), "pin", "they have acme"),
+        (
+            override_request(|o| (o["weight"], o["pin"]) = (Value::Null, json!("quote/zed"))),
+            "pin",
+            "they have acme",
+        ),
     ] {
         let (status, answer) = call(&rig, "POST /overrides", &body);
         assert_eq!((status, &answer["field"]), (400, &json!(field)), "{answer}");
--- a/dispatcher/tests/client_disconnects.rs
+++ b/dispatcher/tests/client_disconnects.rs
@@ -225,7 +225,10 @@
         }
         rig.turn();
         for (i, client) in clients.into_iter().enumerate() {
-            drop(disconnect_and_wait(client, [Disconnect::Closed, Disconnect::Reset, Disconnect::HalfClosed][i % 3]));
+            drop(disconnect_and_wait(
+                client,
+                [Disconnect::Closed, Disconnect::Reset, Disconnect::HalfClosed][i % 3],
+            ));
         }
         rig.turn();
     }
@@ -266,7 +269,7 @@
     rig.workers = vec![worker];
     rig.list(&["draining"]);
     let mut client = rig.connect();
-    // More than the stream's buffer, and little enough for the end of the stream to arrive trailing the unread client_half.
+    // More than the stream's buffer, and little enough for the end of the stream to arrive after unread bytes.
     let size = 300_000;
     client
         .write(format!("PUT /web/a HTTP/1.1\r\nHost: app.svc\r\nContent-Length: {size}\r\n\r\n").as_bytes());
--- a/dispatcher/tests/command_line.rs
+++ b/dispatcher/tests/command_line.rs
@@ -173,7 +173,10 @@
     assert_eq!(set(&["--out-of-service"]).0, Some(0));
     assert_eq!(set(&["--pin", "quote/acme"]).0, Some(0));
     let (code, _, stderr_text) = set(&["--pin", "chart"]);
-    assert!(code == Some(1) && stderr_text.contains("pin:") && stderr_text.contains("quote, statement, order"), "{stderr_text}");
+    assert!(
+        code == Some(1) && stderr_text.contains("pin:") && stderr_text.contains("quote, statement, order"),
+        "{stderr_text}"
+    );
     let (_, out, _) = call(&["overrides", "list"]);
     assert_eq!(out.lines().count(), 4, "{out}");
     for words in ["w0", "weight 0.25", "out-of-service", "pinned quote/acme", "ama", "loud fan", "29m", &id] {
--- a/dispatcher/tests/departed_clients.rs
+++ b/dispatcher/tests/departed_clients.rs
@@ -51,7 +51,13 @@
 }
 
 /// Disconnects the client and triggers the event, in this order, while the process is stopped.
-fn race(rig: &Rig, client: Client, disconnect_kind: Disconnect, first: First, trigger: impl FnOnce()) -> Option<Client> {
+fn race(
+    rig: &Rig,
+    client: Client,
+    disconnect_kind: Disconnect,
+    first: First,
+    trigger: impl FnOnce(),
+) -> Option<Client> {
     rig.freeze();
     let client_half = if first == First::End {
         let client_half = disconnect(client, disconnect_kind);
@@ -159,7 +165,8 @@
     rig.freeze();
     rig.list_unheard(&["up"]);
     let kinds = [Disconnect::Closed, Disconnect::Reset, Disconnect::HalfClosed];
-    let _client_halves: Vec<_> = clients.into_iter().enumerate().map(|(i, c)| disconnect(c, kinds[i % 3])).collect();
+    let _client_halves: Vec<_> =
+        clients.into_iter().enumerate().map(|(i, c)| disconnect(c, kinds[i % 3])).collect();
     rig.thaw();
     let seen = rig.workers[0].next_of_job();
     assert_eq!((&*seen.message.first, seen.reference()), ("POST /api HTTP/1.1", "stays"));
--- a/dispatcher/tests/invalid_requests.rs
+++ b/dispatcher/tests/invalid_requests.rs
@@ -27,7 +27,10 @@
 /// (request smuggling).
 #[rstest]
 #[case::both_lengths("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400)]
-#[case::both_lengths_in_reverse_order("Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n", 400)]
+#[case::both_lengths_in_reverse_order(
+    "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n",
+    400
+)]
 #[case::several_lengths("Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello", 400)]
 #[case::the_same_length_twice("Content-Length: 5\r\nContent-Length: 5\r\n\r\nhello", 400)]
 #[case::two_lengths_in_one_field("Content-Length: 5, 5\r\n\r\nhello", 400)]
--- a/dispatcher/tests/overrides.rs
+++ b/dispatcher/tests/overrides.rs
@@ -1,4 +1,4 @@
-//! Overrides as clients and workers meet them: one dispatcher, set through its admin listener.
+//! The effect of overrides on clients and workers: one dispatcher, with overrides set through its admin listener.
 
 mod common;
 
@@ -16,9 +16,9 @@
 }
 
 #[test]
-fn a_worker_out_of_service_finishes_what_it_has_gets_nothing_new_and_comes_back_by_itself() {
+fn a_worker_out_of_service_finishes_its_jobs_gets_no_new_ones_and_returns_when_the_override_expires() {
     let rig = rig(2, SETTINGS, "");
-    // In flight while it goes out of service.
+    // This job is in flight while the worker goes out of service.
     let mut client = rig.post("c0", "order", "");
     let (at, seen) = rig.next();
     seen.answer("202 Accepted");
@@ -29,7 +29,7 @@
     }
     rig.news(at, "c0", "done", DONE);
     assert_eq!(client.answer().status(), 200);
-    // The list changes meanwhile, and names it again at a new address.
+    // A new list in which the worker is up does not end the override.
     rig.list(&["up", "up"]);
     assert_eq!(served(&rig, "c6", "quote"), 1 - at);
     wait_for("the end", || standing(&rig, &id).is_none());
@@ -41,9 +41,9 @@
     });
 }
 
-/// Bound to the name: it leaves, and returns under its name at another address.
+/// Overrides apply to the worker's name: the worker is removed, and returns under its name at another address.
 #[test]
-fn an_override_outlasts_what_the_list_does_to_its_worker() {
+fn an_override_outlasts_list_changes_of_its_worker() {
     let mut rig = rig(2, SETTINGS, "");
     let (id, _) = set(&rig, "w0", json!({"out_of_service": true}), HOUR);
     rig.list(&["removed", "up"]);
@@ -55,7 +55,7 @@
     for i in 2..6 {
         assert_eq!(served(&rig, &format!("c{i}"), "quote"), 1);
     }
-    // The other one leaves too: nobody is left.
+    // Once the override is cleared and the other worker removed, the first one is used again.
     assert_eq!(clear(&rig, &id).0, 200);
     rig.list(&["up", "removed"]);
     assert_eq!(served(&rig, "c9", "quote"), 0);
@@ -65,7 +65,7 @@
 #[case::repeatable("quote")]
 #[case::keyed("statement")]
 #[case::once("order")]
-fn with_all_out_of_service_a_job_is_refused_at_once_and_told_when_to_come_back(#[case] class: &str) {
+fn with_all_out_of_service_a_job_is_refused_at_once_with_retry_after(#[case] class: &str) {
     let rig = rig(2, SETTINGS, "");
     set(&rig, "w0", json!({"out_of_service": true}), HOUR);
     let (id, _) = set(&rig, "w1", json!({"out_of_service": true}), HOUR);
@@ -84,11 +84,11 @@
     set(&rig, "w0", json!({"pin": "quote/acme"}), Duration::from_millis(2000));
     let mut first = rig.post("c1", "quote", "");
     assert_eq!(rig.workers[0].take(), "c1");
-    // The worker has not begun the first: the second waits for it, in the dispatcher.
+    // The worker has not started the first job, so the second waits in the dispatcher.
     let mut second = rig.post("c2", "quote", "");
     assert_eq!(served(&rig, "c3", "order"), 1, "others go as ever");
     assert!(rig.workers[0].has_none() && rig.workers[1].has_none());
-    // The pin ends: the second goes where there is room.
+    // The pin ends: the second job goes to the worker with a free slot.
     assert_eq!(rig.workers[1].take(), "c2");
     rig.news(1, "c2", "done", DONE);
     rig.news(0, "c1", "done", DONE);
@@ -99,24 +99,24 @@
 #[case::never_listed("nobody", &["up", "up"], "no such worker")]
 #[case::draining("w0", &["draining", "up"], "in force")]
 #[case::gone("w0", &["removed", "up"], "no such worker")]
-fn a_pin_to_a_worker_that_may_not_be_sent_to_falls_back_and_says_so(
+fn a_pin_to_an_unavailable_worker_falls_back_and_is_shown_as_such(
     #[case] worker: &str,
     #[case] states: &[&str],
-    #[case] said: &str,
+    #[case] expected: &str,
 ) {
     let rig = rig(2, SETTINGS, "");
     let (id, _) = set(&rig, worker, json!({"pin": "quote"}), HOUR);
     rig.list(states);
-    wait_for("the list is taken in", || standing(&rig, &id).as_deref() == Some(said));
+    wait_for("the list is taken in", || standing(&rig, &id).as_deref() == Some(expected));
     let at = served(&rig, "c1", "quote");
     assert!(worker == "nobody" || at == 1);
 }
 
-/// An override that is set and ends between two looks leaves no trace.
+/// An override that starts and expires between two polls has no lasting effect.
 #[test]
 fn a_very_short_override_ends_too() {
     let rig = rig(1, SETTINGS, "");
-    // On a busy machine a short one is over before it comes, and is turned down: a longer one is tried.
+    // On a busy machine a short one expires before it arrives, and is refused; then a longer one is tried.
     let spans = (0..10).map(|i| Duration::from_millis(30 << i));
     let taken =
         spans.into_iter().find_map(|span| try_to_set(&rig, "w0", json!({"out_of_service": true}), span).ok());
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn overrides_outlast_a_kill_where_there_is_a_state_dir_and_a_torn_log_costs_what_was_torn_alone() {
+fn overrides_in_a_state_dir_outlast_a_kill_and_a_torn_log_loses_only_torn_records() {
     let dir = folder().join("state");
     let more = format!(r#", "state_dir": {dir:?}"#);
     let first = rig(2, SETTINGS, &more);
@@ -144,7 +144,7 @@
     assert_eq!(standing(&second, &cleared), None);
     assert_eq!(served(&second, "c1", "quote"), 1);
     drop(second);
-    // Of three lines the first is whole.
+    // Of three lines only the first is left complete.
     let log = dir.join("overrides.log");
     let text = std::fs::read(&log).expect("a log");
     std::fs::write(&log, &text[..text.len() / 2]).expect("a file");
@@ -155,15 +155,15 @@
     let (added, _) = set(&third, "w1", json!({"weight": 2}), HOUR);
     assert_eq!(added.split('-').count(), 2);
     drop(third);
-    // What is written behind the torn line is read again, and nothing of that line.
+    // Records written after the torn line are read, and the torn line is ignored.
     let fourth = rig(2, SETTINGS, &more);
     let standings = [&kept, &added, &cleared].map(|id| standing(&fourth, id));
     assert_eq!(standings, [Some("in force".into()), Some("in force".into()), None]);
 }
 
-/// A dispatcher that is told nothing of overrides has none of it: no listener, no socket, no file.
+/// Without an operator's file, a dispatcher has no admin listener and no peer socket.
 #[test]
-fn without_the_operators_file_nothing_of_it_is_there() {
+fn without_the_operators_file_there_is_no_admin_listener_or_peer_socket() {
     let rig = Rig::start(1);
     assert_eq!((rig.admin, rig.peer), (None, None));
     assert_eq!(served(&rig, "c1", "quote"), 0);
--- a/dispatcher/tests/race_conditions.rs
+++ b/dispatcher/tests/race_conditions.rs
@@ -16,7 +16,7 @@
 const TAKEN: &str = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
 
 /// Settings by which only its client cancels a job.
-fn settings_without_timeouts() -> String {
+fn long_deadline_settings() -> String {
     SETTINGS.replace("8000", "60000").replace(r#""aim_ms": 500"#, r#""aim_ms": 50000"#)
 }
 
@@ -67,7 +67,7 @@
     let (socket, addr) = raw_worker();
     let discovery = Discovery::start(&[entry("w0", addr, "up", 0)], Behaviour::Up);
     let setup = Setup { discovery: Some(discovery.addr), ..Setup::default() };
-    let rig = Rig::set_up(vec![("w0".into(), addr)], &settings_without_timeouts(), setup);
+    let rig = Rig::set_up(vec![("w0".into(), addr)], &long_deadline_settings(), setup);
     let mut client = rig.post("c1", class, "");
     let before = accept(&socket);
     assert_eq!(read(&before).headers["x-call-id"], "c1");
@@ -112,7 +112,7 @@
     #[values(false, true)] with_a_reset: bool,
     #[values("done", "failed", "returned")] state: &str,
 ) {
-    let rig = Rig::with(2, &settings_without_timeouts(), None);
+    let rig = Rig::with(2, &long_deadline_settings(), None);
     let client = rig.post("c1", "quote", "");
     let (worker, seen) = rig.next();
     seen.answer("202 Accepted");
@@ -182,7 +182,7 @@
 ) {
     let (socket, addr) = raw_worker();
     let setup = Setup { stops: "post.look:2:stop", ..Setup::default() };
-    let rig = Rig::set_up(vec![("w0".into(), addr)], &settings_without_timeouts(), setup);
+    let rig = Rig::set_up(vec![("w0".into(), addr)], &long_deadline_settings(), setup);
     let serve = |stream: &TcpStream| {
         let id = read(stream).headers["x-call-id"].clone();
         send(stream, TAKEN);
@@ -210,7 +210,7 @@
     let (socket, addr) = raw_worker();
     let worker = Worker::start("w1");
     let listed = vec![("w0".into(), addr), (worker.id.clone(), worker.addr)];
-    let mut rig = Rig::of(listed, &settings_without_timeouts(), None);
+    let mut rig = Rig::of(listed, &long_deadline_settings(), None);
     rig.workers = vec![worker];
     rig.list(&["up", "draining"]);
     let mut client = rig.post("c1", "quote", "");
@@ -239,7 +239,7 @@
 /// Clients that send many requests and disconnect: no job of theirs is sent, and other clients are served afterwards.
 #[rstest]
 fn a_flood_of_requests_from_disconnected_clients_is_not_sent(#[values(false, true)] with_a_reset: bool) {
-    let rig = Rig::with(1, &settings_without_timeouts(), None);
+    let rig = Rig::with(1, &long_deadline_settings(), None);
     rig.freeze();
     for i in 0..40 {
         let mut client = rig.connect();
@@ -255,7 +255,7 @@
 /// Requests and worker updates are written in pieces of several sizes.
 #[rstest]
 fn requests_in_pieces_are_read_as_if_whole(#[values(1, 2, 3, 7, 64)] size: usize) {
-    let rig = Rig::with(1, &settings_without_timeouts(), None);
+    let rig = Rig::with(1, &long_deadline_settings(), None);
     let (mut client, mut call) = (rig.connect(), rig.connect());
     for (id, framing, body) in [
         ("c1", "Content-Length: 7", "payload"),
@@ -267,7 +267,8 @@
         assert_eq!((seen.reference(), &*seen.message.body), (id, "payload"));
         seen.answer("202 Accepted");
         let update = format!(r#"{{"id":"{id}","from":"w0","state":"done"{DONE}}}"#);
-        let head = format!("POST /_jobs/news HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n", update.len());
+        let head =
+            format!("POST /_jobs/news HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n", update.len());
         call.write_in_pieces(format!("{head}{update}").as_bytes(), size);
         assert_eq!(call.answer().status(), 200);
         assert_eq!(client.answer().status(), 200);
--- a/dispatcher/tests/readiness.rs
+++ b/dispatcher/tests/readiness.rs
@@ -1,5 +1,5 @@
-//! A process that is started, or started again, while discovery is well, down, silent or slow: when it says that it is up, what
-//! it does with the first request, and when it first asks for the list.
+//! A process that starts or restarts while discovery is up, down, silent or slow: when it reports readiness, how it handles the
+//! first request, and when it first asks for the list.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use std::time::{Duration, Instant};
 
-/// The stricter of the two bounds that the platform sets for nine in ten restarts.
+/// The stricter of the platform's two limits for nine in ten restarts.
 const READY_WITHIN: Duration = Duration::from_secs(6);
 const SLOW: Behaviour = Behaviour::Slow(Duration::from_secs(3));
 
@@ -17,7 +17,7 @@
     settings.replace(r#""instances": 1"#, &format!(r#""instances": {tier}"#))
 }
 
-/// A process that has just been started, with one worker, and how long it took to say that it is up.
+/// Starts a process with one worker, and measures the time until it is ready.
 fn start(settings: &str, behaviour: Behaviour, knows_nothing: bool) -> (Rig, Discovery, Duration) {
     let worker = Worker::start("w0");
     let discovery = Discovery::start(&[entry("w0", worker.addr, "up", 0)], behaviour);
@@ -31,9 +31,9 @@
     (rig, discovery, took)
 }
 
-/// Readiness waits for the list, and no longer than the bound where none comes, whatever the tier and the mode.
+/// Readiness waits for the list, but no longer than the limit if none arrives, for every tier size and mode.
 #[rstest]
-fn it_is_up_whatever_discovery_does(
+fn it_is_ready_whatever_discovery_does(
     #[values(Behaviour::Up, Behaviour::Down, Behaviour::Silent, SLOW)] behaviour: Behaviour,
     #[values("ask", "push")] mode: &str,
     #[values(1, 300)] tier: u32,
@@ -44,18 +44,18 @@
     assert!(took < READY_WITHIN, "{took:?}");
 }
 
-/// A restarted process is told the list that it had before, and asks for what is newer although nobody has come.
+/// A restarted process has its previous list, and asks for newer versions before any request arrives.
 #[rstest]
-fn a_process_that_knows_an_old_list_asks_without_a_request(#[values(1, 8, 9)] tier: u32) {
+fn a_process_with_an_old_list_asks_for_updates_without_a_request(#[values(1, 8, 9)] tier: u32) {
     let (_rig, discovery, _) = start(&settings("ask", tier), Behaviour::Up, false);
     let first = discovery.called(0, |_| true);
     assert!(!first.wants_all(), "{first:?}");
-    // And goes on: a watch stands.
+    // Then it starts a watch.
     discovery.called(0, |call| call.path.contains("wait_ms=") && !call.path.contains("wait_ms=0"));
 }
 
-/// The list that it was told may be of any age: its first request waits until discovery has answered, and goes out then, also
-/// where discovery comes back only later.
+/// The initial list may be of any age: the first request waits until discovery has answered, even if discovery recovers only
+/// later.
 #[rstest]
 fn the_first_request_waits_until_the_known_list_is_confirmed(
     #[values(Behaviour::Down, Behaviour::Silent, SLOW)] behaviour: Behaviour,
@@ -66,7 +66,7 @@
     let mut client = rig.post("c1", "quote", "");
     if !answers_in_time {
         std::thread::sleep(Duration::from_secs(1));
-        assert!(rig.workers[0].has_none(), "sent by a list of unknown age");
+        assert!(rig.workers[0].has_none(), "sent with a list of unknown age");
         discovery.behave(Behaviour::Up);
     }
     assert_eq!(rig.workers[0].take(), "c1");
@@ -74,9 +74,9 @@
     assert_eq!(client.answer().status(), 200);
 }
 
-/// Where discovery never answers, the request has its one answer all the same, and trying again is harmless.
+/// If discovery never answers, the request is refused in a way that makes a retry safe.
 #[rstest]
-fn a_request_that_no_list_comes_for_is_refused_in_time(
+fn a_request_without_a_list_is_refused_in_time(
     #[values(Behaviour::Down, Behaviour::Silent)] behaviour: Behaviour,
     #[values("ask", "push")] mode: &str,
 ) {
@@ -84,17 +84,15 @@
     let answer = rig.post("c1", "order", "X-Budget-Ms: 1500\r\n").answer();
     assert_eq!(answer.status(), 503);
     assert!(answer.headers.contains_key("retry-after"));
-    assert!(rig.workers[0].has_none(), "sent by a list of unknown age");
+    assert!(rig.workers[0].has_none(), "sent with a list of unknown age");
 }
 
-/// A process that was told no list: its first request waits for one, also where discovery comes back only then.
+/// A process without an initial list: the first request waits for one, even if discovery recovers only then.
 #[rstest]
-#[case::well(Behaviour::Up)]
+#[case::up(Behaviour::Up)]
 #[case::down(Behaviour::Down)]
 #[case::silent(Behaviour::Silent)]
-fn a_process_that_knows_nothing_serves_its_first_request_once_the_list_has_come(
-    #[case] behaviour: Behaviour,
-) {
+fn a_process_without_a_list_serves_its_first_request_once_the_list_arrives(#[case] behaviour: Behaviour) {
     let (rig, discovery, _) = start(&settings("ask", 1), behaviour, true);
     let mut client = rig.post("c1", "quote", "");
     assert!(discovery.called(0, |_| true).wants_all());
@@ -104,17 +102,17 @@
     assert_eq!(client.answer().status(), 200);
 }
 
-/// The same with a discovery that takes 3 s for each answer. Seen: calls were given up after 2.5 s, and it was never heard.
+/// The same with a discovery that takes 3 s for each answer. Guards against calls that time out after 2.5 s, so that no answer
+/// is ever received.
 #[test]
 fn a_slow_list_is_waited_for() {
     let (rig, _discovery, _) = start(&settings("ask", 1), SLOW, true);
     rig.served("c1", "quote");
 }
 
-/// A process that was told no list asks for it without a request, so that the first one finds it there. Seen: it never
-/// asked before.
+/// A process without an initial list asks for one before any request arrives. Guards against asking only with the first request.
 #[rstest]
-fn a_process_that_knows_nothing_asks_without_a_request(#[values(1, 9, 300)] tier: u32) {
+fn a_process_without_a_list_asks_for_it_without_a_request(#[values(1, 9, 300)] tier: u32) {
     let (_rig, discovery, _) = start(&settings("ask", tier), Behaviour::Up, true);
     assert!(discovery.called(0, |_| true).wants_all());
 }
--- a/dispatcher/tests/signals.rs
+++ b/dispatcher/tests/signals.rs
@@ -1,5 +1,5 @@
-//! Signals that cross what the process does: SIGTERM before it listens and while it reads its configuration again, SIGHUP twice,
-//! SIGKILL right after a connection was accepted, and a drain right behind a reload.
+//! Signals at critical moments: SIGTERM before the process listens and during a reload, two SIGHUPs, SIGKILL right after a
+//! connection was accepted, and a drain right after a reload.
 
 mod common;
 
@@ -10,10 +10,10 @@
 use std::time::{Duration, Instant};
 
 const DONE: &str = r#","result":"a chart""#;
-/// After SIGHUP a change counts as told so much later.
-const TOLD_AFTER_RELOAD: Duration = Duration::from_secs(4);
+/// After SIGHUP, a change counts as known this much later.
+const KNOWN_AFTER_RELOAD: Duration = Duration::from_secs(4);
 
-/// The program with two workers and a discovery that lists them, stopped at these points.
+/// Starts the program with two workers and a discovery that lists them, with these stops.
 fn start(stops: &str) -> (Rig, Discovery) {
     let workers = vec![Worker::start("w0"), Worker::start("w1")];
     let discovery = Discovery::start(&entries(&workers, ["up", "up"]), Behaviour::Up);
@@ -28,22 +28,23 @@
     workers.iter().zip(states).map(|(w, state)| entry(&w.id, w.addr, state, 0)).collect()
 }
 
-/// It is heeded once there is something to end: the process listens, takes what comes within its time, and ends well.
+/// The signal is handled once the process listens: it accepts requests for the regular time, and exits successfully.
 #[test]
-fn sigterm_before_the_first_listener_ends_the_process_well() {
-    let terminated = |pid| {
-        wait_until("it stands still", || process_state(pid) == Some('T'));
+fn sigterm_before_the_first_listener_ends_the_process_successfully() {
+    let terminate_while_stopped = |pid| {
+        wait_until("it is stopped", || process_state(pid) == Some('T'));
         signal(pid, "-TERM");
         signal(pid, "-CONT");
     };
-    let setup = Setup { stops: "start.listen:1:stop", on_start: Some(&terminated), ..Setup::default() };
+    let setup =
+        Setup { stops: "start.listen:1:stop", on_start: Some(&terminate_while_stopped), ..Setup::default() };
     let mut rig = Rig::set_up(vec![("w0".into(), ([127, 0, 0, 1], 9).into())], SETTINGS, setup);
     rig.logged("SIGTERM");
     assert!(rig.ends().success());
 }
 
 #[test]
-fn sigterm_during_a_reload_ends_the_process_well() {
+fn sigterm_during_a_reload_ends_the_process_successfully() {
     let (mut rig, _before) = start("reload.read:1:stop");
     let mut client = rig.post("c1", "quote", "");
     let (worker, seen) = rig.next();
@@ -54,16 +55,16 @@
     rig.terminate();
     rig.thaw();
     rig.logged("SIGTERM");
-    // What was in hand is answered, and discovery has moved.
+    // The job in progress is answered, and the new discovery is in use.
     next.called(0, |_| true);
     rig.news(worker, "c1", "done", DONE);
     assert_eq!(client.answer().status(), 200);
     assert!(rig.ends().success());
 }
 
-/// The second one comes when the file has been read for the first: it must not be lost.
+/// The second signal arrives after the file has been read for the first: it must not be lost.
 #[test]
-fn the_second_of_two_sighups_in_one_turn_is_heeded() {
+fn the_second_of_two_sighups_in_one_turn_is_handled() {
     let (rig, _before) = start("reload.read:1:stop");
     let first = Discovery::start(&entries(&rig.workers, ["up", "up"]), Behaviour::Silent);
     let second = Discovery::start(&entries(&rig.workers, ["draining", "up"]), Behaviour::Up);
@@ -75,7 +76,7 @@
     assert_eq!(rig.served("c1", "quote"), 1);
 }
 
-/// Both before the program has a turn: one reload, of what stands there then.
+/// Both signals arrive before the event loop runs: there is one reload, of the current file.
 #[test]
 fn two_sighups_before_a_turn_are_one_reload() {
     let (rig, _before) = start("");
@@ -89,12 +90,12 @@
     assert_eq!(rig.served("c1", "quote"), 1);
 }
 
-/// The new discovery tells of a drain right behind the reload, while the old one goes on with what it has.
+/// The new discovery reports a drain right after the reload, while the old one still has the previous list.
 #[rstest]
 #[case::at_once(None)]
-#[case::behind_a_silent_call(Some(Behaviour::Silent))]
-#[case::behind_a_failed_call(Some(Behaviour::Down))]
-fn a_drain_right_behind_a_reload_is_heeded_in_time(#[case] first: Option<Behaviour>) {
+#[case::after_a_silent_call(Some(Behaviour::Silent))]
+#[case::after_a_failed_call(Some(Behaviour::Down))]
+fn a_drain_right_after_a_reload_takes_effect_in_time(#[case] first: Option<Behaviour>) {
     let (rig, _before) = start("");
     let next = Discovery::start(&entries(&rig.workers, ["up", "up"]), first.unwrap_or(Behaviour::Up));
     let since = Instant::now();
@@ -105,14 +106,14 @@
     }
     let version = next.list(&entries(&rig.workers, ["draining", "up"]));
     next.is_known(version);
-    assert!(since.elapsed() < TOLD_AFTER_RELOAD, "{:?}", since.elapsed());
+    assert!(since.elapsed() < KNOWN_AFTER_RELOAD, "{:?}", since.elapsed());
     for i in 0..4 {
         assert_eq!(rig.served(&format!("c{i}"), "quote"), 1);
     }
 }
 
-/// Killed with a connection accepted and not read: its client is reset and comes again, and the next process at the same address
-/// is up at once.
+/// The process is killed with a connection accepted and not read: the client's connection is closed, and the next process at the
+/// same address serves its retry at once.
 #[test]
 fn a_process_killed_right_after_an_accept_is_followed_by_the_next() {
     let listen = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address");
@@ -120,8 +121,8 @@
     let listed = vec![(worker.id.clone(), worker.addr)];
     let setup = Setup { stops: "http.accepted:2:kill", listen: Some(listen), ..Setup::default() };
     let mut rig = Rig::set_up(listed.clone(), SETTINGS, setup);
-    let mut usual = rig.connect();
-    usual.is_up();
+    let mut regular = rig.connect();
+    regular.is_up();
     let mut client = Client::new(listen);
     client.post("c1", "quote", "");
     assert!(client.heard().is_none());
--- a/dispatcher/tests/staleness.rs
+++ b/dispatcher/tests/staleness.rs
@@ -1,5 +1,5 @@
-//! How long a dispatcher may go without what discovery has to tell: whatever became of the calls before, a change counts as
-//! told 6 s after discovery had it and could be reached.
+//! How long a dispatcher may miss a change: whatever the outcome of earlier calls, a change counts as known 6 s after discovery
+//! had it and was reachable.
 
 mod common;
 
@@ -8,12 +8,12 @@
 use rstest::rstest;
 use std::time::{Duration, Instant};
 
-/// The platform's figure.
-const TOLD_AFTER: Duration = Duration::from_secs(6);
-/// Discovery is out of reach for so long: longer than a call is waited for, so that calls fail and are made again.
+/// The platform's limit.
+const KNOWN_AFTER: Duration = Duration::from_secs(6);
+/// Duration of the discovery outage: longer than the time-out of a call, so that calls fail and are retried.
 const OUTAGE: Duration = Duration::from_millis(4000);
 
-/// A dispatcher of a tier of this size, with a worker that drains and one that stays.
+/// A dispatcher of a tier, with a worker that drains and one that remains.
 struct Tier {
     rig: Rig,
     discovery: Discovery,
@@ -28,35 +28,35 @@
         let setup = Setup { discovery: Some(discovery.addr), ..Setup::default() };
         let mut rig = Rig::set_up(listed, &settings, setup);
         rig.workers = workers;
-        // What it was told at its start serves only once discovery has confirmed it.
+        // The initial list is used only once discovery has confirmed it.
         rig.connect().is_up();
         discovery.is_known(1);
         Tier { rig, discovery }
     }
 
-    /// The list with the first worker in this state.
+    /// The entries of the list, with the first worker in this state.
     fn entries(workers: &[Worker], state: &str) -> Vec<String> {
         let states = [state, "up"];
         workers.iter().zip(states).map(|(w, state)| entry(&w.id, w.addr, state, 0)).collect()
     }
 
-    /// The first worker begins to drain; until when the program knew, at the longest from `since`.
-    fn drains_and_is_known(&self, since: Instant) -> Duration {
+    /// Drains the first worker, and returns the time from `since` until the program knows.
+    fn drain_until_known(&self, since: Instant) -> Duration {
         let version = self.discovery.list(&Tier::entries(&self.rig.workers, "draining"));
         self.discovery.is_known(version);
         since.elapsed()
     }
 
-    /// All jobs go to the worker that stays.
-    fn leaves_the_drained_worker(&self) {
+    /// Asserts that all jobs go to the remaining worker.
+    fn assert_drained_worker_unused(&self) {
         for i in 0..4 {
             assert_eq!(self.rig.served(&format!("job-{i}"), "quote"), 1);
         }
     }
 }
 
-/// The worker drains in the moment in which discovery comes back. Seen: calls that failed were put off by 15 to 30 s in
-/// tiers of hundreds.
+/// The worker drains at the moment discovery returns. Guards against delaying the retry of failed calls by 15 to 30 s in tiers
+/// of hundreds.
 #[rstest]
 fn a_change_at_the_end_of_an_outage_is_known_in_time(
     #[values(2, 9, 30, 300)] dispatchers: u32,
@@ -67,32 +67,32 @@
     std::thread::sleep(OUTAGE);
     let since = Instant::now();
     tier.discovery.behave(Behaviour::Up);
-    let known_after = tier.drains_and_is_known(since);
-    assert!(known_after < TOLD_AFTER, "{known_after:?}");
-    tier.leaves_the_drained_worker();
+    let known_after = tier.drain_until_known(since);
+    assert!(known_after < KNOWN_AFTER, "{known_after:?}");
+    tier.assert_drained_worker_unused();
 }
 
-/// A worker drains again and again behind other changes. Seen: the pause behind news took up to 8.4 s.
+/// A worker drains after several other changes. Guards against the pause after an update, which took up to 8.4 s.
 #[rstest]
-fn a_change_behind_others_is_known_at_once(#[values(2, 9, 30, 300)] dispatchers: u32) {
+fn a_change_after_others_is_known_at_once(#[values(2, 9, 30, 300)] dispatchers: u32) {
     let tier = Tier::start(dispatchers);
     for _ in 0..5 {
         let version = tier.discovery.list(&Tier::entries(&tier.rig.workers, "up"));
         tier.discovery.is_known(version);
     }
-    let known_after = tier.drains_and_is_known(Instant::now());
+    let known_after = tier.drain_until_known(Instant::now());
     // No call has to wait for its turn here.
     assert!(known_after < Duration::from_secs(1), "{known_after:?}");
-    tier.leaves_the_drained_worker();
+    tier.assert_drained_worker_unused();
 }
 
-/// An answer that breaks off changes nothing: the last good list serves, and what it would have told is asked for again.
+/// A truncated answer changes nothing: the last good list stays in use, and the update is requested again.
 #[rstest]
-fn an_answer_that_breaks_off_is_asked_for_again(
-    #[values(Behaviour::HalfBody, Behaviour::HalfBodyReset, Behaviour::HalfChunk)] cut: Behaviour,
+fn a_truncated_answer_is_requested_again(
+    #[values(Behaviour::HalfBody, Behaviour::HalfBodyReset, Behaviour::HalfChunk)] truncation: Behaviour,
 ) {
     let tier = Tier::start(2);
-    tier.discovery.behave(cut);
+    tier.discovery.behave(truncation);
     let before = tier.discovery.calls().len();
     let version = tier.discovery.list(&Tier::entries(&tier.rig.workers, "draining"));
     // The second call shows that the first one came to nothing.
@@ -104,6 +104,6 @@
     let since = Instant::now();
     tier.discovery.behave(Behaviour::Up);
     tier.discovery.is_known(version);
-    assert!(since.elapsed() < TOLD_AFTER, "{:?}", since.elapsed());
-    tier.leaves_the_drained_worker();
+    assert!(since.elapsed() < KNOWN_AFTER, "{:?}", since.elapsed());
+    tier.assert_drained_worker_unused();
 }
--- a/dispatcher/tests/stopping.rs
+++ b/dispatcher/tests/stopping.rs
@@ -1,5 +1,5 @@
-//! The end of the process while clients and workers go on as if there were none: what was taken is answered whole, and what
-//! was not is refused, or closed with not a byte read.
+//! Shutdown of the process while clients and workers continue: accepted requests are answered completely, and others are refused,
+//! or their connections are closed without reading a byte.
 
 mod common;
 
@@ -11,11 +11,11 @@
 use std::time::Duration;
 
 const DONE: &str = r#","result":"a chart""#;
-/// Longer than jobs are taken after SIGTERM.
-const SHUT: Duration = Duration::from_millis(900);
+/// Longer than the time in which jobs are accepted after SIGTERM.
+const AFTER_ACCEPTANCE: Duration = Duration::from_millis(900);
 
-/// A client whose connection stands idle after an answer.
-fn usual(rig: &Rig) -> Client {
+/// A client whose connection is idle after an answer.
+fn regular(rig: &Rig) -> Client {
     let mut client = rig.post("c0", "quote", "");
     assert_eq!(rig.workers[0].take(), "c0");
     rig.news(0, "c0", "done", DONE);
@@ -29,15 +29,15 @@
     )
 }
 
-/// The program stands still while the time runs out in which jobs are taken, and wakes to the end of that time and to a
-/// request at once. Seen: what had come was read, thrown away and never answered.
+/// The process is stopped while the time runs out in which jobs are accepted, and resumes with that time over and a request to
+/// read. Guards against reading and discarding such a request without an answer.
 #[rstest]
 #[case::whole("X-Budget-Ms: 1500\r\nContent-Length: 7\r\n\r\npayload", "")]
 #[case::half_a_head("X-Budget-Ms: 15", "00\r\nContent-Length: 7\r\n\r\npayload")]
 #[case::half_a_body("X-Budget-Ms: 1500\r\nContent-Length: 7\r\n\r\npay", "load")]
-fn what_comes_in_the_moment_of_the_end_is_answered(#[case] first: &str, #[case] rest: &str) {
+fn a_request_that_arrives_as_acceptance_ends_is_answered(#[case] first: &str, #[case] rest: &str) {
     let mut rig = Rig::start(1);
-    let mut client = usual(&rig);
+    let mut client = regular(&rig);
     // A job that is out keeps the process.
     let mut other = rig.post("c1", "quote", "");
     assert_eq!(rig.workers[0].take(), "c1");
@@ -47,7 +47,7 @@
     rig.logged("SIGTERM");
     rig.freeze();
     client.write(format!("{}{first}", head("c2")).as_bytes());
-    std::thread::sleep(SHUT);
+    std::thread::sleep(AFTER_ACCEPTANCE);
     rig.thaw();
     rig.turn();
     client.write(rest.as_bytes());
@@ -59,11 +59,11 @@
     assert!(rig.ends().success());
 }
 
-/// A request begun before the end of taking is let come whole, and refused.
+/// A request that is half read when acceptance ends is read completely, and refused.
 #[test]
-fn a_request_that_is_half_read_at_the_end_is_let_come_and_refused() {
+fn a_request_that_is_half_read_as_acceptance_ends_is_refused() {
     let mut rig = Rig::start(1);
-    let mut client = usual(&rig);
+    let mut client = regular(&rig);
     let mut other = rig.post("c1", "quote", "");
     assert_eq!(rig.workers[0].take(), "c1");
     rig.news(0, "c1", "started", "");
@@ -71,7 +71,7 @@
     rig.logged("SIGTERM");
     client.write(head("c2").as_bytes());
     rig.turn();
-    std::thread::sleep(SHUT);
+    std::thread::sleep(AFTER_ACCEPTANCE);
     rig.turn();
     client.write(b"Content-Length: 7\r\n\r\npayload");
     assert_eq!(client.answer().status(), 503);
@@ -80,10 +80,10 @@
     assert!(rig.ends().success());
 }
 
-/// The same where requests pass to plain workers. Seen: it was looked at before its body came, and sent on when the process
-/// was about to end.
+/// The same for requests forwarded to plain HTTP workers. Guards against checking a request only before its body arrives, and
+/// sending it when the process is about to end.
 #[test]
-fn a_request_that_passes_and_is_half_read_at_the_end_is_refused() {
+fn a_forwarded_request_that_is_half_read_as_acceptance_ends_is_refused() {
     let operator = r#"{"workers":[{"kind":"web","protocol":"http"}],
         "classes":[{"name":"page","aim_ms":500,"deadline_ms":8000,"effect":"once","kind":"web"}],
         "routes":[{"path":"/web","match":"prefix","class":"page","max_body":1000}]}"#;
@@ -101,7 +101,7 @@
     rig.turn();
     rig.terminate();
     rig.logged("SIGTERM");
-    std::thread::sleep(SHUT);
+    std::thread::sleep(AFTER_ACCEPTANCE);
     rig.turn();
     client.write(b"load");
     rig.turn();
@@ -112,17 +112,17 @@
     assert!(rig.ends().success());
 }
 
-/// Connections at rest end; a request that crosses that end is not read. Its client can send it elsewhere.
+/// Idle connections are closed; a request that crosses the close is not read, so its client can safely send it elsewhere.
 #[test]
-fn a_request_that_crosses_the_end_of_its_connection_is_left_unread() {
+fn a_request_that_crosses_the_close_of_its_connection_is_left_unread() {
     let mut rig = Rig::start(1);
-    let mut client = usual(&rig);
+    let mut client = regular(&rig);
     let mut other = rig.post("c1", "quote", "");
     assert_eq!(rig.workers[0].take(), "c1");
     rig.news(0, "c1", "started", "");
     rig.terminate();
     rig.logged("SIGTERM");
-    // It has ended the connection, and waits for this side's end.
+    // The process has closed its side of the connection, and waits for the client to close the other.
     assert!(client.is_ended());
     client.post("c2", "quote", "");
     wait_until("the request lies unread, or its connection is gone", || client.unread() != Some(0));
@@ -133,9 +133,9 @@
     assert!(rig.ends().success());
 }
 
-/// Those who stand in the queue of the socket in the moment in which it closes.
+/// Clients in the accept queue at the moment the listener closes are refused.
 #[test]
-fn whoever_stands_at_the_door_when_it_closes_is_refused() {
+fn clients_in_the_accept_queue_are_refused_when_the_listener_closes() {
     let setup = Setup { stops: "stop.over:1:stop", ..Setup::default() };
     let mut rig = Rig::set_up(vec![("w0".into(), ([127, 0, 0, 1], 9).into())], common::SETTINGS, setup);
     rig.terminate();
@@ -146,14 +146,14 @@
     for client in &mut clients {
         assert_eq!(client.answer().status(), 503);
     }
-    // One that says nothing is not waited for.
+    // A silent client is not waited for.
     assert!(late.is_ended());
     assert!(rig.ends().success());
 }
 
-/// A socket that others accept from as well: who stands in its queue is theirs.
+/// With a listener that other processes share, clients in the accept queue are left to them.
 #[test]
-fn whoever_stands_at_a_shared_door_is_left_to_the_next_process() {
+fn clients_in_the_accept_queue_of_a_shared_listener_are_left_to_the_next_process() {
     let socket = TcpListener::bind("127.0.0.1:0").expect("a port");
     let next = socket.try_clone().expect("a descriptor");
     let setup = Setup { stops: "stop.over:1:stop", inherit: Some(socket), ..Setup::default() };
@@ -169,54 +169,54 @@
     assert_eq!(message.headers["x-call-id"], "c1");
 }
 
-/// Clients that send on every connection that stays open, again and again, up to the end: each is answered or ended, and
-/// the process does not stay for them.
+/// Clients keep sending on every open connection until shutdown: each request is answered or its connection closed, and the
+/// process exits without waiting for them.
 #[test]
-fn clients_that_never_stop_do_not_keep_it() {
+fn clients_that_keep_sending_do_not_delay_the_exit() {
     let mut rig = Rig::start(1);
     rig.list(&["draining"]);
     let addr = rig.addr;
-    let heard = Arc::new(AtomicU32::new(0));
-    let going: Vec<_> = (0..8)
+    let answered_clients = Arc::new(AtomicU32::new(0));
+    let senders: Vec<_> = (0..8)
         .map(|i| {
-            let heard = heard.clone();
+            let answered_clients = answered_clients.clone();
             std::thread::spawn(move || {
-                let (mut whole, mut n) = (0, 0);
+                let (mut complete_answers, mut n) = (0, 0);
                 while let Ok(stream) = std::net::TcpStream::connect(addr) {
                     let mut client = Client::of(stream);
                     loop {
                         n += 1;
                         client.post(&format!("g{i}-{n}"), "quote", "X-Budget-Ms: 100\r\n");
                         match client.heard() {
-                            Some(_) => whole += 1,
+                            Some(_) => complete_answers += 1,
                             None => break,
                         }
-                        heard.fetch_add(u32::from(whole == 1), Ordering::SeqCst);
+                        answered_clients.fetch_add(u32::from(complete_answers == 1), Ordering::SeqCst);
                     }
-                    // What it leaves to the kernel would slow down whoever reads the table of connections.
+                    // Connections left in TIME_WAIT would slow down reading the kernel's connection table.
                     client.reset();
                 }
-                whole
+                complete_answers
             })
         })
         .collect();
-    wait_until("each has had an answer", || heard.load(Ordering::SeqCst) == 8);
+    wait_until("each has had an answer", || answered_clients.load(Ordering::SeqCst) == 8);
     rig.terminate();
     assert!(rig.ends().success());
-    let whole: Vec<u32> = going.into_iter().map(|g| g.join().expect("a client")).collect();
-    assert!(whole.iter().all(|w| *w > 0), "{whole:?}");
+    let complete_answers: Vec<u32> = senders.into_iter().map(|g| g.join().expect("a client")).collect();
+    assert!(complete_answers.iter().all(|w| *w > 0), "{complete_answers:?}");
 }
 
-/// Said twice, and before anything was asked of it.
+/// SIGTERM arrives twice, while a job is accepted and not started.
 #[test]
-fn sigterm_twice_is_one_and_the_last_word_of_a_worker_is_heard() {
+fn a_second_sigterm_changes_nothing_and_the_final_update_of_a_worker_is_processed() {
     let mut rig = Rig::start(1);
     let mut client = rig.post("c1", "quote", "");
     assert_eq!(rig.workers[0].take(), "c1");
     rig.terminate();
     rig.terminate();
     rig.logged("SIGTERM");
-    std::thread::sleep(SHUT);
+    std::thread::sleep(AFTER_ACCEPTANCE);
     rig.news(0, "c1", "done", DONE);
     assert_eq!(client.answer().status(), 200);
     assert!(rig.ends().success());
--- a/dispatcher/tests/system_calls.rs
+++ b/dispatcher/tests/system_calls.rs
@@ -1,5 +1,5 @@
-//! System calls of the program that fail for a while, in ways that Linux documents. What fails on this machine says nothing of
-//! the machine at the other end.
+//! System calls of the program that fail temporarily, in ways that Linux documents. A local failure says nothing about the remote
+//! machine.
 
 mod common;
 
@@ -12,17 +12,17 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A change counts as told so long after discovery had it, and sends may go on for the grace behind that.
-const TOLD_AFTER: Duration = Duration::from_secs(6);
+/// A change counts as known this long after discovery had it; jobs may still be sent for the drain grace period after that.
+const KNOWN_AFTER: Duration = Duration::from_secs(6);
 const DRAIN_GRACE: Duration = Duration::from_millis(750);
-/// What a busy machine may be late by.
-const LATE: Duration = Duration::from_millis(250);
-/// Between two jobs that keep the connections to workers in use.
+/// Tolerance for a busy machine.
+const TOLERANCE: Duration = Duration::from_millis(250);
+/// Interval between jobs that keep the connections to workers alive.
 const JOB_EVERY: Duration = Duration::from_millis(250);
-/// How long calls fail in a burst.
+/// Duration of a burst of failures.
 const BURST: Duration = Duration::from_millis(1500);
 
-/// A process with two workers that serve every job, and nothing that fails yet.
+/// A process with two workers that serve every job, and no faults yet.
 fn serving() -> (Rig, Faults) {
     let workers = ServingWorkers::start(&["s-one", "s-two"]);
     let faults = Faults::none();
@@ -32,24 +32,24 @@
     (rig, faults)
 }
 
-/// The process makes no sockets for a while, so that it can't call discovery, which is there all the time. A worker leaves. Jobs
-/// could still go out on connections that are kept.
+/// The process cannot create sockets for a while, and so cannot call discovery, which is up all the time. A worker is removed.
+/// Kept-alive connections would still allow jobs to be sent to it.
 #[test]
-fn a_call_that_this_machine_could_not_make_confirms_no_list() {
+fn a_call_that_fails_locally_confirms_no_list() {
     thread::scope(|scope| {
         for call in [Call::Socket, Call::Connect] {
-            scope.spawn(move || sends_by_no_old_list_while_it_fails(call, "ask", TOLD_AFTER));
+            scope.spawn(move || assert_no_old_list_is_used_while_it_fails(call, "ask", KNOWN_AFTER));
         }
     });
 }
 
-/// The same where lists are pushed to an agent: what that has counts as told at once.
+/// The same where lists are pushed to an agent: changes that the agent has count as known at once.
 #[test]
-fn an_agent_that_this_machine_could_not_call_confirms_no_list() {
-    sends_by_no_old_list_while_it_fails(Call::Socket, "push", Duration::ZERO);
+fn an_agent_call_that_fails_locally_confirms_no_list() {
+    assert_no_old_list_is_used_while_it_fails(Call::Socket, "push", Duration::ZERO);
 }
 
-fn sends_by_no_old_list_while_it_fails(call: Call, mode: &str, told_after: Duration) {
+fn assert_no_old_list_is_used_while_it_fails(call: Call, mode: &str, known_after: Duration) {
     let workers = ServingWorkers::start(&["s-leaving", "s-staying"]);
     let discovery = Discovery::start(&[workers.entry(0, "up"), workers.entry(1, "up")], Behaviour::Up);
     let mut faults = Faults::none();
@@ -60,12 +60,12 @@
     workers.call_back(rig.addr);
     assert_eq!(rig.post("0-first", "quote", "").answer().status(), 200);
     faults.fail(call, ALWAYS);
-    // The watch ends, and none can be begun anew.
+    // The watch ends, and no new one can be started.
     discovery.behave(Behaviour::Up);
     discovery.list(&[workers.entry(0, "removed"), workers.entry(1, "up")]);
     let left = Instant::now();
     for job in 0.. {
-        if left.elapsed() >= told_after + DRAIN_GRACE + LATE {
+        if left.elapsed() >= known_after + DRAIN_GRACE + TOLERANCE {
             break;
         }
         rig.post(&format!("0-kept-{job}"), "quote", "X-Budget-Ms: 200\r\n").answer();
@@ -82,13 +82,13 @@
     assert_eq!(workers.since("s-leaving", late).len(), 0);
 }
 
-/// What fails here is held against no worker: as soon as it fails no more, jobs are served.
+/// Local failures do not count against workers: jobs are served as soon as the failures stop.
 #[test]
-fn a_worker_is_not_blamed_for_what_this_machine_lacks() {
-    [Call::Socket, Call::Connect].into_iter().for_each(serves_at_once_behind_a_burst);
+fn local_failures_do_not_count_against_a_worker() {
+    [Call::Socket, Call::Connect].into_iter().for_each(assert_served_at_once_after_a_burst);
 }
 
-fn serves_at_once_behind_a_burst(call: Call) {
+fn assert_served_at_once_after_a_burst(call: Call) {
     let (rig, mut faults) = serving();
     faults.fail(call, ALWAYS);
     let began = Instant::now();
@@ -103,9 +103,9 @@
     assert!(again.elapsed() < Duration::from_millis(400), "{:?}", again.elapsed());
 }
 
-/// Accepting fails again and again, also in the moment in which the socket closes: whoever stands in its queue is refused.
+/// Accepting fails repeatedly, also while the listener closes: clients in the accept queue are refused all the same.
 #[test]
-fn whoever_stands_in_the_queue_is_refused_although_accepting_fails() {
+fn clients_in_the_accept_queue_are_refused_although_accepting_fails() {
     let mut faults = Faults::none();
     let setup = Setup { stops: "stop.over:1:stop", environment: faults.environment(), ..Setup::default() };
     let mut rig = Rig::set_up(vec![("w0".into(), ([127, 0, 0, 1], 9).into())], SETTINGS, setup);
@@ -120,10 +120,10 @@
     assert!(rig.ends().success());
 }
 
-/// Three of four accepts fail, and clients come together: each of them is let in, served and answered while there is time. Seen in
-/// the soak: twelve connections let in a second, and clients that left from the queue.
+/// Three of four accepts fail, and clients connect at the same time: each is accepted, served and answered in time. Guards against
+/// a failure of the soak, in which twelve connections a second were accepted and clients in the queue disconnected.
 #[test]
-fn clients_are_let_in_in_time_although_most_accepts_fail() {
+fn clients_are_accepted_in_time_although_most_accepts_fail() {
     let (rig, mut faults) = serving();
     faults.fail(Call::Accept, ALWAYS * 3 / 4);
     let clients: Vec<_> =
@@ -132,13 +132,13 @@
     assert!(answers.iter().all(|status| *status == 200), "{answers:?}");
 }
 
-/// A process that is started while there are no descriptors or buffers for sockets waits for them.
+/// A process that starts while descriptors or socket buffers are exhausted waits for them.
 #[test]
-fn a_process_starts_although_sockets_are_short_for_a_while() {
+fn a_process_starts_although_sockets_are_exhausted_for_a_while() {
     let mut faults = Faults::none();
     let environment = faults.environment();
     faults.fail(Call::Socket, ALWAYS);
-    let mended = thread::spawn(move || {
+    let repair = thread::spawn(move || {
         thread::sleep(BURST);
         faults.fail(Call::Socket, 0);
     });
@@ -146,10 +146,10 @@
     let rig = Rig::set_up(Vec::new(), SETTINGS, Setup { environment, ..Setup::default() });
     assert!(began.elapsed() >= BURST);
     rig.connect().is_up();
-    mended.join().expect("it is mended");
+    repair.join().expect("the faults have ended");
 }
 
-/// Reads and writes that move a part, and waits that are interrupted, cost nobody his answer.
+/// Partial reads and writes, and interrupted waits, lose no answer.
 #[test]
 fn short_reads_and_writes_and_interrupted_waits_lose_nothing() {
     let (rig, mut faults) = serving();
@@ -164,7 +164,7 @@
     assert_eq!(malformed.answer().status(), 400);
 }
 
-/// The next job that comes to a worker, which takes it; calls that give one up are answered on the way.
+/// Has the worker accept its next job, and returns the job's id; cancellations before it are answered.
 fn next_job(worker: &Worker) -> String {
     loop {
         let seen = worker.next();
@@ -177,13 +177,13 @@
     }
 }
 
-/// The wall clock is stepped while jobs are out: all that is awaited is a span of real time.
+/// The wall clock is stepped while jobs are in flight: time-outs are measured by the monotonic clock.
 #[rstest]
 #[case(3_600_000)]
 #[case(-3_600_000)]
 #[case(5000)]
 #[case(-5000)]
-fn a_step_of_the_wall_clock_changes_no_wait(#[case] step_ms: i64) {
+fn a_step_of_the_wall_clock_changes_no_timeout(#[case] step_ms: i64) {
     let mut faults = Faults::none();
     let worker = Worker::start("s-silent");
     let setup = Setup { environment: faults.environment(), ..Setup::default() };
