--- a/dispatcher/tests/admin.rs
+++ b/dispatcher/tests/admin.rs
@@ -10,20 +10,18 @@
 use std::os::unix::net::UnixStream;
 use std::time::{Duration, Instant};
 
-fn override_request(change: impl Fn(&mut Value)) -> String {
-    let mut request =
+fn body(change: impl Fn(&mut Value)) -> String {
+    let mut body =
         json!({"worker": "w0", "weight": 2, "until_ms": unix_ms() + 60_000, "by": "ama", "why": "test"});
-    change(&mut request);
-    request.to_string()
+    change(&mut body);
+    body.to_string()
 }
 
 #[test]
 fn an_invalid_override_is_answered_with_its_field_and_changes_nothing() {
     let rig = rig(1, SETTINGS, r#", "overrides": {"longest": "2h"}"#);
-    let without = |key: &'static str| {
-        override_request(move |o| drop(o.as_object_mut().expect("an object").remove(key)))
-    };
-    let with = |key: &'static str, value: Value| override_request(move |o| o[key] = value.clone());
+    let without = |key: &'static str| body(move |o| drop(o.as_object_mut().expect("an object").remove(key)));
+    let with = |key: &'static str, value: Value| body(move |o| o[key] = value.clone());
     for (body, field, words) in [
         (without("worker"), "worker", "missing field"),
         (without("until_ms"), "until_ms", "missing field"),
@@ -40,15 +38,11 @@
         (with("by", json!("a\nb")), "by", "1 to 64"),
         (with("why", json!("")), "why", "line of text"),
         (
-            override_request(|o| (o["weight"], o["pin"]) = (Value::Null, json!("chart"))),
+            body(|o| (o["weight"], o["pin"]) = (Value::Null, json!("chart"))),
             "pin",
             "they have quote, statement, order",
         ),
-        (
-            override_request(|o| (o["weight"], o["pin"]) = (Value::Null, json!("quote/zed"))),
-            "pin",
-            "they have acme",
-        ),
+        (body(|o| (o["weight"], o["pin"]) = (Value::Null, json!("quote/zed"))), "pin", "they have acme"),
     ] {
         let (status, answer) = call(&rig, "POST /overrides", &body);
         assert_eq!((status, &answer["field"]), (400, &json!(field)), "{answer}");
--- a/dispatcher/tests/signals.rs
+++ b/dispatcher/tests/signals.rs
@@ -112,7 +112,7 @@
     }
 }
 
-/// The process is killed with a connection accepted and not read: the client's connection is closed, and the next process at the
+/// The process is killed with a connection accepted and not read: the client's connection is reset, and the next process at the
 /// same address serves its retry at once.
 #[test]
 fn a_process_killed_right_after_an_accept_is_followed_by_the_next() {
--- a/dispatcher/tests/stopping.rs
+++ b/dispatcher/tests/stopping.rs
@@ -193,7 +193,7 @@
                         }
                         answered_clients.fetch_add(u32::from(complete_answers == 1), Ordering::SeqCst);
                     }
-                    // Connections left in TIME_WAIT would slow down reading the kernel's connection table.
+                    // Connections that stay in the kernel's connection table would slow down reading it.
                     client.reset();
                 }
                 complete_answers
