--- a/dispatcher/tests/stopping.rs
+++ b/dispatcher/tests/stopping.rs
@@ -38,7 +38,7 @@
 fn a_request_that_arrives_as_acceptance_ends_is_answered(#[case] first: &str, #[case] rest: &str) {
     let mut rig = Rig::start(1);
     let mut client = regular(&rig);
-    // A job that is out keeps the process.
+    // A job in flight keeps the process running.
     let mut other = rig.post("c1", "quote", "");
     assert_eq!(rig.workers[0].take(), "c1");
     rig.news(0, "c1", "started", "");
@@ -92,7 +92,7 @@
     let listed = workers.iter().map(|w| (w.id.clone(), w.addr)).collect();
     let mut rig = Rig::set_up(listed, common::SETTINGS, setup);
     rig.workers = workers.into();
-    // A job that is out keeps the process; the other worker has room.
+    // A job in flight keeps the process running; the other worker has a free slot.
     let mut first = rig.connect();
     first.send("PUT /web/a", "", "payload");
     let (_, kept) = rig.next();
