--- a/lab/src/fault_plans.rs
+++ b/lab/src/fault_plans.rs
@@ -1,4 +1,4 @@
-//! The fault plans of all processes of a run: a file each, which the shim in the process looks at with each call.
+//! Fault plans: one file per process, which the preloaded shim in the process reads at each system call.
 
 use crate::scenario::CallTrouble;
 use crate::trace::{Recorder, What};
@@ -10,37 +10,37 @@
 use std::sync::Mutex;
 use tokio::process::Command;
 
-/// The shim's file, which lies beside the program.
+/// File name of the shim, which is in the same directory as the program.
 const SHIM: &str = "liblineroute_fault_shim.so";
 
-/// The shim that belongs to a program.
+/// Finds the shim in the program's directory.
 ///
 /// # Errors
-/// It was not built.
+/// The shim has not been built.
 pub fn shim_beside(program: &Path) -> Result<PathBuf, String> {
     let path = program.with_file_name(SHIM);
     if path.is_file() {
         Ok(path)
     } else {
-        Err(format!("{}: there is no shim; build it: cargo build -p lineroute-fault-shim", path.display()))
+        Err(format!("{}: shim not found; build it with: cargo build -p lineroute-fault-shim", path.display()))
     }
 }
 
-struct Kept {
+struct PlanFile {
     plan: FaultPlan,
     file: File,
     path: PathBuf,
 }
 
-/// The plans, by member. They outlast the processes: a machine's clock does not change with a restart.
+/// The plans, by member. They outlive the processes, since a restart does not change a machine's clock.
 pub struct FaultPlans {
     shim: Option<PathBuf>,
-    kept: Vec<Mutex<Kept>>,
+    files: Vec<Mutex<PlanFile>>,
     recorder: Recorder,
 }
 
 impl FaultPlans {
-    /// Plans under which nothing fails, as files of this folder.
+    /// Creates plans without faults as files in `dir`.
     ///
     /// # Errors
     /// A file can't be written.
@@ -55,21 +55,21 @@
             let file = OpenOptions::new().create(true).truncate(true).write(true).open(&path)?;
             let plan = FaultPlan::default();
             file.write_all_at(&plan.to_bytes(), 0)?;
-            Ok(Mutex::new(Kept { plan, file, path }))
+            Ok(Mutex::new(PlanFile { plan, file, path }))
         };
-        let kept = (0..members).map(create).collect::<io::Result<_>>()?;
-        Ok(FaultPlans { shim, kept, recorder })
+        let files = (0..members).map(create).collect::<io::Result<_>>()?;
+        Ok(FaultPlans { shim, files, recorder })
     }
 
-    /// Has a process started under its plan, where there is a shim.
+    /// Sets up a command to start under its plan, if there is a shim.
     pub fn apply(&self, member: usize, command: &mut Command) {
         if let Some(shim) = &self.shim {
-            let path = &self.kept[member].lock().expect("no holder panics").path;
+            let path = &self.files[member].lock().expect("no holder panics").path;
             command.env("LD_PRELOAD", shim).env(PLAN_VARIABLE, path);
         }
     }
 
-    /// So many of a thousand calls of a member go wrong from now on.
+    /// Sets how many of a thousand calls of a member fail from now on.
     pub fn set_trouble(&self, member: usize, trouble: CallTrouble, per_mille: u64) {
         let call = match trouble {
             CallTrouble::Accept => Call::Accept,
@@ -91,10 +91,10 @@
     }
 
     fn change(&self, member: usize, change: impl FnOnce(&mut FaultPlan)) {
-        let mut kept = self.kept[member].lock().expect("no holder panics");
-        change(&mut kept.plan);
-        // A plan that can't be written shows in the trace as it is meant; the file was written before.
-        let written = kept.file.write_all_at(&kept.plan.to_bytes(), 0);
-        self.recorder.note(What::Link { text: format!("member {member}: {:?} {written:?}", kept.plan) });
+        let mut file = self.files[member].lock().expect("no holder panics");
+        change(&mut file.plan);
+        // A failed write is recorded in the trace along with the intended plan; the file still has the previous plan.
+        let written = file.file.write_all_at(&file.plan.to_bytes(), 0);
+        self.recorder.note(What::Link { text: format!("member {member}: {:?} {written:?}", file.plan) });
     }
 }
--- a/lab/src/faults.rs
+++ b/lab/src/faults.rs
@@ -1,4 +1,4 @@
-//! The injector that breaks things, by the scenario's timeline.
+//! Injects the faults of a scenario's timeline.
 
 use crate::member::{Members, Start};
 use crate::relay::{DirectionConditions, LinkConditions, UdpConditions};
@@ -10,10 +10,10 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// Between two signals in a row.
+/// Interval between repeated signals.
 const BETWEEN_SIGNALS: Duration = Duration::from_millis(30);
 
-/// Plays troubles against members and workers.
+/// Injects faults into members, links, workers and discovery.
 #[derive(Clone)]
 pub struct FaultInjector {
     pub members: Arc<Members>,
@@ -21,40 +21,40 @@
 }
 
 impl FaultInjector {
-    /// Plays the whole timeline, counted from now, and waits until all it broke is mended.
+    /// Runs the whole timeline, starting now, and waits until every fault has ended.
     pub async fn play(self, seed: u64) {
         let mut rng = fastrand::Rng::with_seed(seed);
         let began = Instant::now();
         let end = Duration::from_secs_f64(self.members.scenario.seconds);
-        let mut moments = Vec::new();
+        let mut schedule = Vec::new();
         for trouble in &self.members.scenario.timeline {
             let Trouble { at_ms, every_ms, jitter_ms, fault } = trouble;
             let mut at = Duration::from_millis(*at_ms);
             while at < end {
                 let jitter = Duration::from_micros(rng.u64(0..=jitter_ms * 1000));
-                moments.push((at + jitter, fault.clone(), rng.fork()));
+                schedule.push((at + jitter, fault.clone(), rng.fork()));
                 let Some(every) = every_ms else { break };
                 at += Duration::from_millis(*every);
             }
         }
-        moments.sort_by_key(|(at, ..)| *at);
-        let mut open = JoinSet::new();
-        for (at, fault, rng) in moments {
+        schedule.sort_by_key(|(at, ..)| *at);
+        let mut tasks = JoinSet::new();
+        for (at, fault, rng) in schedule {
             sleep_until(began + at).await;
-            open.spawn(self.clone().strike(fault, rng));
+            tasks.spawn(self.clone().inject(fault, rng));
         }
-        while open.join_next().await.is_some() {}
+        while tasks.join_next().await.is_some() {}
     }
 
-    /// The member that is meant, if there is one at present.
-    fn find(&self, who: &Who, rng: &mut fastrand::Rng) -> Option<usize> {
+    /// The member that `who` selects, if there is one at present.
+    fn select_member(&self, who: &Who, rng: &mut fastrand::Rng) -> Option<usize> {
         match who {
             Who::Number(member) => Some(*member),
             Who::Any => {
                 let all = 0..self.members.scenario.members;
                 rng.choice(all.filter(|m| self.members.is_running(*m)).collect::<Vec<_>>())
             }
-            // Whoever was last seen to act for it: nobody else is asked.
+            // The owner is the member whose action for it was accepted last, according to the trace alone.
             Who::Owner(thing) => self.members.recorder.latest(|what| match what {
                 What::Acted { member, fence, accepted: true, .. } if fence.resource == *thing => {
                     Some(*member)
@@ -64,43 +64,43 @@
         }
     }
 
-    async fn strike(self, fault: Fault, mut rng: fastrand::Rng) {
+    async fn inject(self, fault: Fault, mut rng: fastrand::Rng) {
         let members = &self.members;
         match fault {
             Fault::Kill { member, back_ms, wipe, disk_kb } => {
-                let Some(member) = self.find(&member, &mut rng) else { return };
+                let Some(member) = self.select_member(&member, &mut rng) else { return };
                 if members.kill(member).await {
-                    self.back(member, back_ms, Start { wipe, disk_kb }).await;
+                    self.restart_after(member, back_ms, Start { wipe, disk_kb }).await;
                 }
             }
             Fault::KillAll { back_ms } => {
                 let all = 0..members.scenario.members;
-                let mut open = JoinSet::new();
+                let mut tasks = JoinSet::new();
                 for member in all {
                     let injector = self.clone();
-                    open.spawn(async move {
+                    tasks.spawn(async move {
                         if injector.members.kill(member).await {
-                            injector.back(member, Some(back_ms), Start::default()).await;
+                            injector.restart_after(member, Some(back_ms), Start::default()).await;
                         }
                     });
                 }
-                while open.join_next().await.is_some() {}
+                while tasks.join_next().await.is_some() {}
             }
             Fault::Terminate { member, back_ms } => {
-                let Some(member) = self.find(&member, &mut rng) else { return };
+                let Some(member) = self.select_member(&member, &mut rng) else { return };
                 if members.terminate(member).await {
-                    self.back(member, back_ms, Start::default()).await;
+                    self.restart_after(member, back_ms, Start::default()).await;
                 }
             }
             Fault::Stop { member, for_ms } => {
-                let Some(member) = self.find(&member, &mut rng) else { return };
+                let Some(member) = self.select_member(&member, &mut rng) else { return };
                 if members.stop(member) {
                     sleep(Duration::from_millis(for_ms)).await;
                     members.resume(member);
                 }
             }
             Fault::Reload { member, times } => {
-                let Some(member) = self.find(&member, &mut rng) else { return };
+                let Some(member) = self.select_member(&member, &mut rng) else { return };
                 for _ in 0..times {
                     members.reload(member);
                     sleep(BETWEEN_SIGNALS).await;
@@ -113,11 +113,11 @@
             }
             Fault::Vanish { worker, for_ms, late_ms } => {
                 let late = Duration::from_millis(late_ms);
-                self.reachable(worker, false);
+                self.set_reachable(worker, false);
                 sleep(late).await;
                 members.discovery.set(worker, "removed");
                 sleep(Duration::from_millis(for_ms).saturating_sub(late)).await;
-                self.reachable(worker, true);
+                self.set_reachable(worker, true);
                 sleep(late).await;
                 members.discovery.set(worker, "up");
             }
@@ -132,24 +132,24 @@
                 self.workers[worker].hang(false);
             }
             Fault::Calls { member, trouble, per_mille, for_ms } => {
-                let Some(member) = self.find(&member, &mut rng) else { return };
+                let Some(member) = self.select_member(&member, &mut rng) else { return };
                 members.fault_plans.set_trouble(member, trouble, per_mille);
                 sleep(Duration::from_millis(for_ms)).await;
                 members.fault_plans.set_trouble(member, trouble, 0);
             }
             Fault::Clock { member, step_ms } => {
-                let Some(member) = self.find(&member, &mut rng) else { return };
+                let Some(member) = self.select_member(&member, &mut rng) else { return };
                 members.fault_plans.step_clock(member, step_ms);
             }
             Fault::Link { ref member, .. } => {
-                let Some(member) = self.find(member, &mut rng) else { return };
-                self.link(member, &fault).await;
+                let Some(member) = self.select_member(member, &mut rng) else { return };
+                self.inject_link(member, &fault).await;
             }
         }
     }
 
-    /// A worker can be reached by all members, or by none.
-    fn reachable(&self, worker: usize, reachable: bool) {
+    /// Makes a worker reachable or unreachable for all members.
+    fn set_reachable(&self, worker: usize, reachable: bool) {
         for member in 0..self.members.scenario.members {
             self.members.links.work[member][worker].set(|w| w.reset = !reachable);
             if !reachable {
@@ -158,14 +158,14 @@
         }
     }
 
-    async fn back(&self, member: usize, after_ms: Option<u64>, how: Start) {
+    async fn restart_after(&self, member: usize, after_ms: Option<u64>, start: Start) {
         let Some(after) = after_ms else { return };
         sleep(Duration::from_millis(after)).await;
-        // What it says stands in the trace.
-        let _ = self.members.start(member, how).await;
+        // A failed start is recorded in the trace.
+        let _ = self.members.start(member, start).await;
     }
 
-    async fn link(&self, member: usize, fault: &Fault) {
+    async fn inject_link(&self, member: usize, fault: &Fault) {
         let Fault::Link { to, direction, for_ms, cut, reset, delay_ms, loss, reorder, trickle, .. } = fault
         else {
             return;
@@ -177,16 +177,16 @@
             trickle: *trickle,
         };
         let (out, back) = (*direction != Direction::In, *direction != Direction::Out);
-        let bad = |w: &mut LinkConditions, member_connects: bool| {
-            let (ahead, behind) = if member_connects { (out, back) } else { (back, out) };
+        let apply = |w: &mut LinkConditions, member_connects: bool| {
+            let (ahead, connector_ward) = if member_connects { (out, back) } else { (back, out) };
             w.toward_listener = if ahead { way } else { w.toward_listener };
-            w.toward_connector = if behind { way } else { w.toward_connector };
+            w.toward_connector = if connector_ward { way } else { w.toward_connector };
             w.reset = *reset;
         };
         let links = &self.members.links;
         let text = serde_json::to_string(fault).unwrap_or_default();
         self.members.recorder.note(What::Link { text: format!("member {member}: {text}") });
-        links.set(member, to, &bad);
+        links.set(member, to, &apply);
         let workers = match to {
             Peer::Worker(worker) => *worker..*worker + 1,
             Peer::Workers => 0..self.workers.len(),
@@ -203,12 +203,12 @@
             let shut = *cut || *reset;
             let outward = others.iter().filter(|_| shut && out).map(|o| (member, *o));
             let inward = others.iter().filter(|_| shut && back).map(|o| (*o, member));
-            let ways = outward.chain(inward).collect();
+            let cut_directions = outward.chain(inward).collect();
             talk.set(UdpConditions {
                 lost: *loss,
                 late: *reorder,
                 delay: way.delay,
-                ways,
+                cut_directions,
                 ..UdpConditions::default()
             });
         }
@@ -222,6 +222,6 @@
         }
         links.set(member, to, &|w, _| *w = LinkConditions::default());
         links.peer_relay.iter().for_each(|talk| talk.set(UdpConditions::default()));
-        self.members.recorder.note(What::Link { text: format!("member {member}: calm again") });
+        self.members.recorder.note(What::Link { text: format!("member {member}: restored") });
     }
 }
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,6 +1,7 @@
-//! A world of our own around `lineroute`: many processes of it, workers with finite slots, clients that come
-//! again, a discovery, and a relay on every link between them. A scenario says what is there and what breaks
-//! when; a checker that asks nobody but workers, clients and relays says which rules were kept.
+//! Fault-injection test bed for `lineroute`: several dispatcher processes, workers with a limited number of slots,
+//! clients that retry, a discovery service, and a relay on every link. A scenario describes the set-up and the
+//! timeline of faults. The checker decides which rules were kept, using only what workers, clients, relays and
+//! discovery recorded.
 #![forbid(unsafe_code)]
 
 pub mod checker;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! `lineroute-lab`: plays scenarios against processes of the program.
+//! `lineroute-lab`: runs scenarios against lineroute processes.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
@@ -11,10 +11,12 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Plays scenarios against processes of lineroute, and says which rules were kept.
+/// Runs scenarios against lineroute processes and reports which rules were kept
 #[derive(Debug, Parser)]
 #[command(name = "lineroute-lab", version)]
-#[command(after_help = "Exit codes: 0 all rules kept, 1 a rule broken, 2 wrong usage, 3 it can't be played.")]
+#[command(
+    after_help = "Exit codes: 0 all rules kept, 1 a rule was broken, 2 usage error, 3 the run could not be started."
+)]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -22,52 +24,52 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Start the processes of a scenario, break them by its timeline, and check what was seen
+    /// Run a scenario: start its processes, inject the faults of its timeline, and check the recorded events
     Faults {
         scenario: PathBuf,
-        /// The same seed asks the same jobs and breaks the same things
+        /// The same seed gives the same jobs and the same faults
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Play so many seeds, one after the other, from --seed on
+        /// Number of seeds to run in sequence, starting at --seed
         #[arg(long, value_name = "COUNT")]
         seeds: Option<u64>,
         /// Print JSON
         #[arg(long)]
         json: bool,
-        /// Keep logs, files and the trace there
+        /// Keep logs, files and the trace in this directory
         #[arg(long, value_name = "DIR")]
         keep: Option<PathBuf>,
-        /// The program; beside this one unless it is said
+        /// The lineroute binary [default: next to this one]
         #[arg(long, value_name = "FILE")]
         program: Option<PathBuf>,
     },
-    /// Start processes and break them, their links, workers and discovery by faults drawn from a seed
+    /// Run processes under random faults of processes, links, workers and discovery, generated from a seed
     Soak {
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Play so many seeds, one after the other, from --seed on
+        /// Number of seeds to run in sequence, starting at --seed
         #[arg(long, value_name = "COUNT", default_value_t = 1)]
         seeds: u64,
-        /// Processes of the program, 2 to 40
+        /// Number of lineroute processes, 2 to 40
         #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u64).range(2..=40))]
         processes: u64,
-        /// How long clients ask
+        /// How long clients send requests, in seconds
         #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(8..=600))]
         secs: u64,
-        /// Take faults out of the scenario of a bad seed, one by one, while it still breaks the rule
+        /// Minimise the scenario of a failing seed: remove faults one by one while it still breaks the rule
         #[arg(long, requires = "keep")]
         shrink: bool,
         /// Print JSON
         #[arg(long)]
         json: bool,
-        /// Keep logs, traces and the scenarios of bad seeds there
+        /// Keep logs, traces and the scenarios of failing seeds in this directory
         #[arg(long, value_name = "DIR")]
         keep: Option<PathBuf>,
-        /// The program; beside this one unless it is said
+        /// The lineroute binary [default: next to this one]
         #[arg(long, value_name = "FILE")]
         program: Option<PathBuf>,
     },
-    /// Play a scenario with its fleet and without, in turn, and compare what processes used
+    /// Run a scenario alternately with and without its fleet and compare resource usage
     Cost {
         scenario: PathBuf,
         #[arg(long, default_value_t = 1)]
@@ -77,11 +79,11 @@
         /// Print JSON
         #[arg(long)]
         json: bool,
-        /// The program; beside this one unless it is said
+        /// The lineroute binary [default: next to this one]
         #[arg(long, value_name = "FILE")]
         program: Option<PathBuf>,
     },
-    /// Play a fleet in virtual time with nothing broken: bytes and processor time of a member that idles
+    /// Simulate a fleet without faults in virtual time: traffic and CPU time of an idle member
     Idle {
         #[arg(long, value_delimiter = ',', default_values_t = [5, 50, 300])]
         members: Vec<u16>,
@@ -89,7 +91,7 @@
         #[arg(long)]
         json: bool,
     },
-    /// Play the fleet's ownership in virtual time over many seeds
+    /// Simulate the fleet's ownership protocol in virtual time over many seeds
     Ownership {
         #[arg(long, default_value_t = 1)]
         seed: u64,
@@ -99,48 +101,48 @@
         #[arg(long)]
         json: bool,
     },
-    /// Measure what each role costs by the size of the fleet, and hold it against the budgets at full size
+    /// Measure the cost of each role by fleet size and compare it with the budgets at full size
     Scale {
-        /// One scenario; all of them unless it is named
+        /// Run only this scenario [default: all]
         name: Option<String>,
-        /// Small sizes only, in less than a minute
+        /// Small sizes only; takes less than a minute
         #[arg(long)]
         quick: bool,
-        /// The same seed gives the same rows, times of this machine aside
+        /// The same seed gives the same rows, except for times measured on this machine
         #[arg(long, default_value_t = 1)]
         seed: u64,
         /// Print JSON
         #[arg(long)]
         json: bool,
-        /// Keep the report, its rows as JSON and as a Markdown table there
+        /// Write the report and its rows, as JSON and as a Markdown table, to this directory
         #[arg(long, value_name = "DIR")]
         out: Option<PathBuf>,
     },
-    /// The part of `scale` that runs in a process of its own: memory of hollow dispatchers
+    /// The part of `scale` that runs in a separate process: memory of simulated dispatchers
     #[command(hide = true)]
     ScaleMemory { plan: String },
-    /// Judge a kept trace again
+    /// Check a saved trace again
     Check { scenario: PathBuf, trace: PathBuf },
     /// Print the JSON Schema of a scenario file
     Schema,
 }
 
 fn main() -> ExitCode {
-    match play(Cli::parse().command) {
+    match run(Cli::parse().command) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
-        Err(words) => {
-            eprintln!("{words}");
+        Err(message) => {
+            eprintln!("{message}");
             ExitCode::from(3)
         }
     }
 }
 
-fn play(command: Command) -> Result<bool, String> {
+fn run(command: Command) -> Result<bool, String> {
     match command {
         Command::Faults { scenario, seed, seeds, json, keep, program } => {
             let scenario = Scenario::read(&scenario)?;
-            let setup = Setup { program: find(program)?, keep, seed };
+            let setup = Setup { program: find_program(program)?, keep, seed };
             match seeds {
                 Some(count) => {
                     let summary = sweep(&scenario, &setup, seed, count);
@@ -155,7 +157,7 @@
             }
         }
         Command::Soak { seed, seeds, processes, secs, shrink, json, keep, program } => {
-            let setup = Setup { program: find(program)?, keep, seed };
+            let setup = Setup { program: find_program(program)?, keep, seed };
             let options = soak::Options { processes: processes as usize, seconds: secs };
             let summary = soak::soak(options, &setup, seed..seed + seeds, shrink);
             print(&summary, json)?;
@@ -163,7 +165,7 @@
         }
         Command::Cost { scenario, seed, pairs, json, program } => {
             let scenario = Scenario::read(&scenario)?;
-            let setup = Setup { program: find(program)?, keep: None, seed };
+            let setup = Setup { program: find_program(program)?, keep: None, seed };
             let cost = cost(&scenario, &setup, pairs)?;
             print(&cost, json)?;
             Ok(cost.broken == 0)
@@ -205,34 +207,34 @@
     }
 }
 
-fn find(program: Option<PathBuf>) -> Result<PathBuf, String> {
+fn find_program(program: Option<PathBuf>) -> Result<PathBuf, String> {
     let path = match program {
         Some(path) => path,
         None => std::env::current_exe().map_err(|e| e.to_string())?.with_file_name("lineroute"),
     };
     match path.is_file() {
         true => Ok(path),
-        false => Err(format!("{}: there is no program; build it, or name it by --program", path.display())),
+        false => Err(format!("{}: program not found; build it or pass --program", path.display())),
     }
 }
 
-/// For people the same as for scripts, but a key a line and without what is empty.
-fn print(what: &impl serde::Serialize, json: bool) -> Result<(), String> {
-    let value = serde_json::to_value(what).map_err(|e| e.to_string())?;
+/// Prints JSON, or one `key: value` pair per line without zero values.
+fn print(summary: &impl serde::Serialize, json: bool) -> Result<(), String> {
+    let value = serde_json::to_value(summary).map_err(|e| e.to_string())?;
     if json {
         println!("{value}");
         return Ok(());
     }
-    lines("", &value);
+    print_lines("", &value);
     Ok(())
 }
 
-fn lines(key: &str, value: &serde_json::Value) {
+fn print_lines(key: &str, value: &serde_json::Value) {
     use serde_json::Value;
     match value {
         Value::Object(map) => {
             for (name, value) in map {
-                lines(&if key.is_empty() { name.clone() } else { format!("{key}.{name}") }, value);
+                print_lines(&if key.is_empty() { name.clone() } else { format!("{key}.{name}") }, value);
             }
         }
         Value::Array(items) => items.iter().for_each(|item| match item {
--- a/lab/src/relay/mod.rs
+++ b/lab/src/relay/mod.rs
@@ -1,4 +1,4 @@
-//! A relay on every link: what passes over it can be cut off, held up, slowed, lost and put out of order.
+//! Relays for all links, which can cut, delay, throttle, lose and reorder the traffic.
 
 mod tcp;
 mod udp;
@@ -8,24 +8,24 @@
 
 use std::time::Duration;
 
-/// How one direction of a link is at present.
+/// Current conditions of one direction of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DirectionConditions {
-    /// Nothing passes; what was sent passes once the cut is over, as it does on a real network.
+    /// Nothing passes. Data sent meanwhile is delivered after the cut, as on a real network, where TCP retransmits it.
     pub cut: bool,
     pub delay: Duration,
-    /// Parts of 100 pieces that are lost and sent again after a time that doubles.
+    /// Percentage of chunks that are lost and retransmitted, with a timeout that doubles.
     pub loss: u32,
-    /// Bytes a second at most.
+    /// Maximum rate in bytes per second.
     pub trickle: Option<u32>,
 }
 
-/// How a link is at present.
+/// Current conditions of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkConditions {
-    /// From the side that connects to the side that listens.
+    /// From the connecting side to the listening side.
     pub toward_listener: DirectionConditions,
     pub toward_connector: DirectionConditions,
-    /// Open connections are reset and new ones end at once.
+    /// Open connections are reset and new ones are closed at once.
     pub reset: bool,
 }
--- a/lab/src/relay/tcp.rs
+++ b/lab/src/relay/tcp.rs
@@ -1,4 +1,4 @@
-//! Connections: bytes are neither lost nor reordered, since TCP would not; a lost piece is one that comes late.
+//! TCP relay. Bytes are neither lost nor reordered, as with TCP: packet loss shows as delay.
 
 use super::{DirectionConditions, LinkConditions};
 use std::io;
@@ -12,43 +12,43 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// After so long a lost piece is sent again; each further loss of it doubles that.
-const AGAIN: Duration = Duration::from_millis(200);
-/// Pieces under way in one direction of one connection; what comes behind them waits at its sender.
-const UNDER_WAY: usize = 64;
-/// A trickle lets bytes out this often.
-const DRIP: Duration = Duration::from_millis(20);
+/// Initial retransmission timeout of a lost chunk; doubles with each further loss of the chunk.
+const RETRANSMIT_AFTER: Duration = Duration::from_millis(200);
+/// Maximum number of chunks in flight per direction of a connection; beyond that the sender is blocked.
+const MAX_IN_FLIGHT: usize = 64;
+/// Interval between writes on a throttled link.
+const TRICKLE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Sees what the side that connects writes, in the moment in which it is read and before the link holds any of it up, and
-/// whether the link is cut then.
+/// Callback for data from the connecting side, called when the relay reads it and before any delay. The flag tells whether the
+/// link is cut at that time.
 pub type Tap = Arc<dyn Fn(&[u8], bool) + Send + Sync>;
 
-/// One link: an address that stands for somebody else's.
+/// One link: a local address that forwards connections to a target.
 pub struct TcpRelay {
     pub addr: SocketAddr,
     conditions: watch::Sender<LinkConditions>,
     target: Arc<Mutex<Option<SocketAddr>>>,
-    /// Bytes that it has passed on, of both directions.
+    /// Bytes forwarded in both directions.
     carried: Arc<AtomicU64>,
 }
 
 impl TcpRelay {
-    /// Listens at a port of its own.
+    /// Starts a relay on a free port.
     ///
     /// # Errors
-    /// There is no port.
+    /// No port is available.
     pub async fn start(target: Option<SocketAddr>, seed: u64) -> io::Result<TcpRelay> {
-        TcpRelay::tapped(target, seed, Arc::new(|_, _| {})).await
+        TcpRelay::start_with_tap(target, seed, Arc::new(|_, _| {})).await
     }
 
-    /// The same, with a tap.
+    /// As [`TcpRelay::start`], with a tap.
     ///
     /// # Errors
-    /// There is no port.
-    pub async fn tapped(target: Option<SocketAddr>, seed: u64, tap: Tap) -> io::Result<TcpRelay> {
+    /// No port is available.
+    pub async fn start_with_tap(target: Option<SocketAddr>, seed: u64, tap: Tap) -> io::Result<TcpRelay> {
         let socket = TcpListener::bind("127.0.0.1:0").await?;
         let addr = socket.local_addr()?;
-        let (conditions, seen) = watch::channel(LinkConditions::default());
+        let (conditions, conditions_rx) = watch::channel(LinkConditions::default());
         let target = Arc::new(Mutex::new(target));
         let (to, carried) = (target.clone(), Arc::<AtomicU64>::default());
         let count = carried.clone();
@@ -56,18 +56,24 @@
             let mut rng = fastrand::Rng::with_seed(seed);
             while let Ok((stream, _)) = socket.accept().await {
                 let to = *to.lock().expect("no holder panics");
-                tokio::spawn(pass(stream, to, seen.clone(), (count.clone(), tap.clone()), rng.fork()));
+                tokio::spawn(relay_connection(
+                    stream,
+                    to,
+                    conditions_rx.clone(),
+                    (count.clone(), tap.clone()),
+                    rng.fork(),
+                ));
             }
         });
         Ok(TcpRelay { addr, conditions, target, carried })
     }
 
-    /// Bytes that it has passed on so far.
+    /// Bytes forwarded so far.
     pub fn carried(&self) -> u64 {
         self.carried.load(Ordering::Relaxed)
     }
 
-    /// Where connections go from now on; nowhere, and they are reset.
+    /// Sets the target of new connections; with `None` they are reset.
     pub fn set_target(&self, target: Option<SocketAddr>) {
         *self.target.lock().expect("no holder panics") = target;
     }
@@ -77,17 +83,17 @@
     }
 }
 
-/// One connection, until it ends on both sides or is reset.
-async fn pass(
+/// Relays one connection until it ends on both sides or is reset.
+async fn relay_connection(
     near: TcpStream,
     to: Option<SocketAddr>,
-    mut seen: watch::Receiver<LinkConditions>,
+    mut conditions_rx: watch::Receiver<LinkConditions>,
     (carried, tap): (Arc<AtomicU64>, Tap),
     mut rng: fastrand::Rng,
 ) {
-    // Ended without more, a connection is reset: nobody may take it for a calm end.
+    // With zero linger, dropping the stream resets the connection, so that the peer can't receive it for an orderly close.
     let _ = near.set_zero_linger();
-    if seen.borrow().reset {
+    if conditions_rx.borrow().reset {
         return;
     }
     let Some(to) = to else { return };
@@ -96,56 +102,68 @@
     let (near_in, near_out) = near.into_split();
     let (far_in, far_out) = far.into_split();
     let untapped: Tap = Arc::new(|_, _| {});
-    let ahead = direction(near_in, far_out, seen.clone(), |w| w.toward_listener, (&carried, tap, rng.fork()));
-    let back =
-        direction(far_in, near_out, seen.clone(), |w| w.toward_connector, (&carried, untapped, rng.fork()));
+    let ahead = relay_direction(
+        near_in,
+        far_out,
+        conditions_rx.clone(),
+        |w| w.toward_listener,
+        (&carried, tap, rng.fork()),
+    );
+    let back = relay_direction(
+        far_in,
+        near_out,
+        conditions_rx.clone(),
+        |w| w.toward_connector,
+        (&carried, untapped, rng.fork()),
+    );
     tokio::select! {
         _ = async { tokio::join!(ahead, back) } => {}
-        // Either branch may be dropped anywhere: a reset loses what is under way.
-        _ = seen.wait_for(|w| w.reset) => {}
+        // Both branches are safe to cancel at any point: a reset loses the data in flight.
+        _ = conditions_rx.wait_for(|w| w.reset) => {}
     }
 }
 
-async fn direction(
+async fn relay_direction(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    seen: watch::Receiver<LinkConditions>,
-    way: fn(&LinkConditions) -> DirectionConditions,
+    conditions_rx: watch::Receiver<LinkConditions>,
+    pick: fn(&LinkConditions) -> DirectionConditions,
     (carried, tap, mut rng): (&AtomicU64, Tap, fastrand::Rng),
 ) {
-    let (queue, mut queued) = mpsc::channel::<(Instant, Vec<u8>)>(UNDER_WAY);
-    let mut conditions = seen.clone();
-    let take = async move {
+    let (queue, mut queued) = mpsc::channel::<(Instant, Vec<u8>)>(MAX_IN_FLIGHT);
+    let mut conditions = conditions_rx.clone();
+    let receive = async move {
         let mut last = Instant::now();
         let mut bytes = vec![0; 8 << 10];
         loop {
-            // An error is an end too: what came before it still passes.
+            // A read error is treated as the end of the stream; data read before it is still delivered.
             let size = from.read(&mut bytes).await.unwrap_or(0);
-            let now = way(&seen.borrow());
+            let now = pick(&conditions_rx.borrow());
             tap(&bytes[..size], now.cut);
-            let mut late = now.delay;
-            let mut again = AGAIN;
-            while rng.u32(0..100) < now.loss && again < 16 * AGAIN {
-                late += again;
-                again *= 2;
+            let mut delay = now.delay;
+            let mut retransmit_after = RETRANSMIT_AFTER;
+            while rng.u32(0..100) < now.loss && retransmit_after < 16 * RETRANSMIT_AFTER {
+                delay += retransmit_after;
+                retransmit_after *= 2;
             }
-            last = last.max(Instant::now() + late);
+            last = last.max(Instant::now() + delay);
             if queue.send((last, bytes[..size].to_vec())).await.is_err() || size == 0 {
                 return;
             }
         }
     };
-    let give = async move {
+    let deliver = async move {
         while let Some((due, bytes)) = queued.recv().await {
             sleep_until(due).await;
             let mut rest = &bytes[..];
             loop {
-                if conditions.wait_for(|w| !way(w).cut).await.is_err() {
+                if conditions.wait_for(|w| !pick(w).cut).await.is_err() {
                     return;
                 }
-                let trickle = way(&conditions.borrow()).trickle;
+                let trickle = pick(&conditions.borrow()).trickle;
                 let share = trickle.map_or(rest.len(), |rate| {
-                    ((rate as u128 * DRIP.as_micros() / 1_000_000) as usize).clamp(1, rest.len().max(1))
+                    ((rate as u128 * TRICKLE_INTERVAL.as_micros() / 1_000_000) as usize)
+                        .clamp(1, rest.len().max(1))
                 });
                 let (now, later) = rest.split_at(share.min(rest.len()));
                 if to.write_all(now).await.is_err() {
@@ -156,7 +174,7 @@
                 if rest.is_empty() {
                     break;
                 }
-                sleep(DRIP).await;
+                sleep(TRICKLE_INTERVAL).await;
             }
             if bytes.is_empty() {
                 let _ = to.shutdown().await;
@@ -164,7 +182,7 @@
             }
         }
     };
-    tokio::join!(take, give);
+    tokio::join!(receive, deliver);
 }
 
 #[cfg(test)]
@@ -175,23 +193,23 @@
     async fn pair() -> (TcpRelay, TcpStream, TcpStream) {
         let socket = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let relay = TcpRelay::start(socket.local_addr().ok(), 1).await.expect("a relay");
-        let near = TcpStream::connect(relay.addr).await.expect("it listens");
-        let (far, _) = socket.accept().await.expect("it comes through");
+        let near = TcpStream::connect(relay.addr).await.expect("the relay listens");
+        let (far, _) = socket.accept().await.expect("the relay connects");
         (relay, near, far)
     }
 
     #[tokio::test]
-    async fn a_cut_holds_bytes_back_one_way_and_passes_them_on_when_it_is_over() {
+    async fn a_cut_delays_bytes_in_one_direction_until_it_is_over() {
         let (relay, mut near, mut far) = pair().await;
         let mut word = [0; 4];
         relay.set(|w| w.toward_listener.cut = true);
         near.write_all(b"ahoy").await.expect("written");
         far.write_all(b"back").await.expect("written");
-        near.read_exact(&mut word).await.expect("the other way is open");
+        near.read_exact(&mut word).await.expect("the other pick is open");
         assert_eq!(&word, b"back");
         assert!(timeout(Duration::from_millis(80), far.read_exact(&mut word)).await.is_err());
         relay.set(|w| w.toward_listener.cut = false);
-        far.read_exact(&mut word).await.expect("it comes late");
+        far.read_exact(&mut word).await.expect("delivered after the cut");
         assert_eq!(&word, b"ahoy");
     }
 
@@ -205,7 +223,7 @@
     }
 
     #[tokio::test]
-    async fn a_calm_end_passes_as_one() {
+    async fn an_orderly_close_is_relayed_as_one() {
         let (_relay, mut near, mut far) = pair().await;
         near.write_all(b"last").await.expect("written");
         near.shutdown().await.expect("ended");
--- a/lab/src/run.rs
+++ b/lab/src/run.rs
@@ -104,7 +104,8 @@
             let (worker, addrs) = Worker::start(plan, recorder.clone()).await?;
             for (member, addr) in addrs.into_iter().enumerate() {
                 let relay =
-                    TcpRelay::tapped(Some(addr), rng.u64(..), sends(number, member, &recorder)).await?;
+                    TcpRelay::start_with_tap(Some(addr), rng.u64(..), sends(number, member, &recorder))
+                        .await?;
                 lists[member].push(listed(&sort, relay.addr));
                 work[member].push(relay);
             }
--- a/lab/src/sweep.rs
+++ b/lab/src/sweep.rs
@@ -1,4 +1,4 @@
-//! A scenario over many seeds, one after the other, and what they come to together.
+//! Runs a scenario with many seeds in sequence and summarises the results.
 
 use crate::checker::{Verdict, Violation};
 use crate::run::{run_alone, Setup};
@@ -7,22 +7,22 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Breaks that are told whole; the rest is only counted.
-const TOLD: usize = 20;
+/// Number of violations reported in full; further ones are only counted.
+const MAX_REPORTED: usize = 20;
 
-/// All runs together.
+/// Summary of all runs.
 #[derive(Debug, Default, Serialize)]
 pub struct Summary {
     pub runs: usize,
-    /// Runs that could not be started, with the reason.
+    /// Seeds whose run could not be started, with the reason.
     pub failed: Vec<(u64, String)>,
-    /// Seeds with broken rules.
+    /// Seeds with violations.
     pub bad_seeds: Vec<u64>,
     pub broken: BTreeMap<String, usize>,
     pub counted: BTreeMap<String, usize>,
-    /// The first of them.
+    /// The first violations, with their seeds.
     pub first: Vec<(u64, Violation)>,
-    /// Sums of the figures that are counts; medians of the others.
+    /// Sum, median and maximum of each figure over all runs.
     pub sums: BTreeMap<String, f64>,
     pub medians: BTreeMap<String, f64>,
     pub longest: BTreeMap<String, f64>,
@@ -39,7 +39,7 @@
         }
         for b in &verdict.broken {
             *self.broken.entry(b.rule.clone()).or_default() += 1;
-            if self.first.len() < TOLD {
+            if self.first.len() < MAX_REPORTED {
                 self.first.push((seed, b.clone()));
             }
         }
@@ -49,7 +49,7 @@
     }
 }
 
-/// Plays every seed from `from` on, `count` of them.
+/// Runs `count` seeds, starting at `from`.
 pub fn sweep(scenario: &Scenario, setup: &Setup, from: u64, count: u64) -> Summary {
     let bar = ProgressBar::new(count);
     let style =
@@ -74,7 +74,7 @@
                     }
                 }
             }
-            Err(words) => summary.failed.push((seed, words)),
+            Err(message) => summary.failed.push((seed, message)),
         }
         bar.set_message(format!("bad {}", summary.bad_seeds.len() + summary.failed.len()));
         bar.inc(1);
--- a/lab/src/trace.rs
+++ b/lab/src/trace.rs
@@ -1,4 +1,4 @@
-//! What workers, clients, relays and the hand that breaks things saw, in the order of true time.
+//! The trace: events recorded by workers, clients, relays, discovery and the fault injector, in order of time.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -6,10 +6,10 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Microseconds since the run began, by the lab's own clock: true time for the checker.
+/// Microseconds since the start of the run on the lab's clock, which the checker takes as true time.
 pub type Micros = u64;
 
-/// One thing that somebody outside the program saw.
+/// An event observed outside the program under test.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Event {
     pub at: Micros,
@@ -17,24 +17,24 @@
     pub what: What,
 }
 
-/// The fence that an act came with, as `X-Fence: RESOURCE TOKEN`.
+/// The fencing token of an action, from the header `X-Fence: RESOURCE TOKEN`.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Fence {
     pub resource: String,
     pub token: u64,
 }
 
-/// Why a client has no answer.
+/// Why a client received no response.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Silence {
-    /// No connection came up: nothing was sent.
+    /// The connection could not be established; nothing was sent.
     Unreachable,
-    /// The connection ended before an answer.
+    /// The connection ended before a response.
     Broken,
-    /// The client itself broke off.
+    /// The client closed the connection.
     Left,
-    /// Nothing came within the budget and the slack.
+    /// No response within the budget and the slack.
     Waited,
 }
 
@@ -43,19 +43,19 @@
 #[serde(rename_all = "snake_case")]
 pub enum Ending {
     Done,
-    /// Refused unstarted.
+    /// Rejected without having been started.
     TurnedAway,
-    /// A key that is in work, or was, here or at another worker.
+    /// The key is being processed or has been processed, here or at another worker.
     Repeat,
-    /// Called off by the dispatcher.
+    /// Cancelled by the dispatcher.
     GivenUp,
 }
 
-/// What was seen.
+/// The kinds of events.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum What {
-    /// A client sent a request; `job` stays the same through its retries.
+    /// A client sent a request; `job` is the same for all its retries.
     Asked {
         job: u64,
         call: String,
@@ -64,12 +64,13 @@
         member: usize,
         budget: Micros,
     },
-    /// An answer came whole.
+    /// A client received a complete response.
     Answered {
         call: String,
         status: u16,
         body: String,
     },
+    /// A client received no response.
     Unheard {
         call: String,
         why: Silence,
@@ -79,21 +80,21 @@
         job: u64,
         served: bool,
     },
-    /// A client that has begun a request, and sends no more of it, was let wait for so long. `heard`: it was answered, or its
-    /// connection ended.
+    /// How long a client waited that had sent only part of a request. `heard`: it was answered, or its connection was
+    /// closed.
     Stalled {
         member: usize,
         waited: Micros,
         heard: bool,
     },
-    /// A member wrote an attempt's first bytes to a worker, and the time that it passed on with them.
+    /// A member sent the first bytes of an attempt to a worker; `budget` is the time that it passed on in the request.
     Sent {
         worker: usize,
         member: usize,
         call: String,
         budget: Option<Micros>,
     },
-    /// An attempt came at a worker; `first` is when its first byte did.
+    /// An attempt arrived at a worker; `first` is the arrival time of its first byte.
     Came {
         worker: usize,
         seq: u64,
@@ -112,19 +113,19 @@
         how: Ending,
         result: String,
     },
-    /// A dispatcher gave an attempt up.
+    /// A worker processed a dispatcher's cancellation of an attempt.
     Waived {
         worker: usize,
         call: String,
         member: usize,
     },
-    /// A member wrote to a worker that it gives an attempt up, on a link that was open. A worker that hangs sees to it later.
+    /// A member sent the cancellation of an attempt over a link that was open. A hung worker processes it later.
     GivenUp {
         worker: usize,
         member: usize,
         call: String,
     },
-    /// A worker's word was taken by a dispatcher, or at last by nobody.
+    /// A worker's job update was accepted by the dispatcher, or all its tries failed.
     Heard {
         worker: usize,
         seq: u64,
@@ -136,8 +137,8 @@
         worker: usize,
         member: usize,
     },
-    /// An act on behalf of the fleet, and whether the receiver let it pass. `knows` is false for receivers that
-    /// look at no fence. `first` is when its first byte came: a receiver that hangs sees to it later.
+    /// An action on behalf of the fleet, and whether the receiver accepted it. `knows` is false for receivers that do
+    /// not check fencing tokens. `first` is the arrival time of its first byte: a hung receiver processes it later.
     Acted {
         first: Micros,
         worker: usize,
@@ -146,18 +147,18 @@
         accepted: bool,
         knows: bool,
     },
-    /// Discovery has written a worker's state to a member.
+    /// Discovery has sent a worker's state to a member.
     Told {
         member: usize,
         worker: usize,
         state: String,
     },
-    /// Discovery has a worker in this state from now on, whether it tells anybody or not.
+    /// Discovery lists a worker in this state from now on, whether or not it has told any member.
     Listed {
         worker: usize,
         state: String,
     },
-    /// Discovery can be reached from now on, by one member or by all, or can't.
+    /// Discovery becomes reachable or unreachable, for one member or, without `member`, for all.
     Reachable {
         member: Option<usize>,
         reachable: bool,
@@ -166,6 +167,7 @@
         member: usize,
         life: u32,
     },
+    /// A process failed to start.
     Refused {
         member: usize,
         life: u32,
@@ -180,39 +182,39 @@
     Continued {
         member: usize,
     },
-    /// It ended without having been killed.
+    /// A process ended without having been killed or terminated by the lab.
     Exited {
         member: usize,
         code: Option<i32>,
     },
-    /// All connections of a member to a worker were reset.
+    /// All connections from a member to a worker were reset.
     Reset {
         member: usize,
         worker: usize,
     },
-    /// Processor time that a process has used so far, in microseconds, its memory, and bytes on all links between
-    /// members.
+    /// Resource usage of a process: CPU time so far in microseconds, peak memory in kilobytes, and the bytes carried so
+    /// far by all links between members.
     Used {
         member: usize,
         cpu: u64,
         kb: u64,
         carried: u64,
     },
-    /// A member says that it broke a rule itself, or what it counts of its permits.
+    /// A member's own permit counters.
     Permits {
         member: usize,
-        /// By the rule that it broke.
+        /// Violations by rule.
         violations: BTreeMap<String, u64>,
         refused: u64,
         sent_on_invalid_list: u64,
     },
-    /// A link has changed.
+    /// The conditions of a link or a fault plan changed.
     Link {
         text: String,
     },
 }
 
-/// Where everybody writes what he saw.
+/// Collects the events of a run.
 #[derive(Clone)]
 pub struct Recorder {
     began: Instant,
@@ -226,29 +228,29 @@
 }
 
 impl Recorder {
-    /// The present moment of the run.
+    /// Time since the start of the run.
     pub fn now(&self) -> Micros {
         self.began.elapsed().as_micros() as Micros
     }
 
-    /// The instant of a moment of the run.
+    /// The instant at the given time of the run.
     pub fn instant(&self, at: Duration) -> Instant {
         self.began + at
     }
 
     pub fn note(&self, what: What) {
-        // The moment is read under the lock: the order of the list is that of time.
+        // The time is read under the lock, so that events are stored in order of time.
         let mut events = self.events.lock().expect("no holder panics");
         let at = self.now();
         events.push(Event { at, what });
     }
 
-    /// All that was seen so far.
+    /// All events recorded so far.
     pub fn trace(&self) -> Vec<Event> {
         self.events.lock().expect("no holder panics").clone()
     }
 
-    /// The newest event that `pick` finds something in.
+    /// The value that `pick` returns for the newest event for which it returns one.
     pub fn latest<T>(&self, pick: impl Fn(&What) -> Option<T>) -> Option<T> {
         let events = self.events.lock().expect("no holder panics");
         events.iter().rev().find_map(|e| pick(&e.what))
