--- a/lab/src/member.rs
+++ b/lab/src/member.rs
@@ -1,4 +1,4 @@
-//! Processes of the program: their files, their start, their end, and where they really listen.
+//! Manages the lineroute processes: their files, start, signals, exit and listening addresses.
 
 use crate::fault_plans::FaultPlans;
 use crate::http::{self, Reader};
@@ -21,11 +21,11 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// A process that has not listened by then does not start.
-const START: Duration = Duration::from_secs(10);
-/// Between two looks at whether a process has stopped itself.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
-/// The key of links between members, and of the admin listener: of tests, and of nothing else.
+/// A process that does not listen within this time counts as failed to start.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Polling interval for processes that stop themselves.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Key of the links between members; for tests only, as is [`ADMIN_KEY`], the key of the admin listener.
 const FLEET_KEY: &str = "5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a5a";
 pub const ADMIN_KEY: &str = "key-of-the-lab-0123456";
 
@@ -40,9 +40,9 @@
 }
 
 impl Links {
-    /// Changes the links between a member and whoever is meant; `out` is from the member, `back` to it.
+    /// Changes the conditions of the links between a member and a peer. The flag passed to `change` tells whether the member is
+    /// the connecting side.
     pub fn set(&self, member: usize, peer: &Peer, change: &dyn Fn(&mut LinkConditions, bool)) {
-        // The side that connects is `ahead`: true where that is the member.
         let with = |other: usize| {
             if other != member {
                 self.fleet[member][other].set(|w| change(w, true));
@@ -65,10 +65,10 @@
 
 type BoxFuture = std::pin::Pin<Box<dyn std::future::Future<Output = ()> + Send>>;
 
-/// How a process is started.
+/// Options for starting a process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Start {
-    /// Without what it kept.
+    /// Removes its stored state first.
     pub wipe: bool,
     pub disk_kb: Option<u64>,
 }
@@ -79,7 +79,7 @@
     pid: Option<Pid>,
     addr: Option<SocketAddr>,
     admin: Option<SocketAddr>,
-    /// Its end was asked for.
+    /// The lab has killed or terminated it.
     ending: bool,
     stopped: bool,
 }
@@ -95,7 +95,7 @@
     pub front_end: FrontEnd,
     pub fault_plans: FaultPlans,
     states: Vec<Mutex<State>>,
-    /// Changes whenever a process has ended.
+    /// Number of processes that have ended; changes with each.
     ended: watch::Sender<u64>,
 }
 
@@ -117,12 +117,12 @@
         act(&mut self.states[member].lock().expect("no holder panics"))
     }
 
-    /// Where a member really listens, while it lives.
+    /// A member's listening address while it runs.
     pub fn addr(&self, member: usize) -> Option<SocketAddr> {
         self.with(member, |s| s.pid.and(s.addr))
     }
 
-    /// Where its admin listener is, while it lives.
+    /// The address of its admin listener while it runs.
     pub fn admin(&self, member: usize) -> Option<SocketAddr> {
         self.with(member, |s| s.pid.and(s.admin))
     }
@@ -138,11 +138,11 @@
     /// Starts a process and waits until it listens.
     ///
     /// # Errors
-    /// It does not start; what it said last.
-    pub async fn start(self: &Arc<Self>, member: usize, how: Start) -> Result<(), String> {
+    /// It does not start; the message contains its last log line.
+    pub async fn start(self: &Arc<Self>, member: usize, options: Start) -> Result<(), String> {
         let home = self.home(member);
         let state = home.join("state");
-        if how.wipe || !self.scenario.state_dir {
+        if options.wipe || !self.scenario.state_dir {
             let _ = std::fs::remove_dir_all(&state);
         }
         std::fs::create_dir_all(&state).map_err(|e| format!("{}: {e}", state.display()))?;
@@ -158,9 +158,9 @@
         write("fleet.key", FLEET_KEY.into())?;
         write("admin.key", ADMIN_KEY.into())?;
         write("operator.json", self.operator(member, &home).to_string())?;
-        let mut command = match how.disk_kb {
+        let mut command = match options.disk_kb {
             None => Command::new(&self.program),
-            // A file that may not grow is a disk that is full; the signal for it must not end the process.
+            // A limit on file size simulates a full disk; its signal must not end the process.
             Some(kb) => {
                 let mut shell = Command::new("sh");
                 let limit = format!("trap '' XFSZ; ulimit -f {}; exec \"$0\" \"$@\"", kb * 2);
@@ -175,7 +175,7 @@
         if (offset, rate) != (0, 0) {
             command.env("LINEROUTE_TEST_CLOCK", format!("{offset},{rate}"));
         }
-        let points: Vec<String> = self.scenario.points_of(member).map(armed).collect();
+        let points: Vec<String> = self.scenario.points_of(member).map(point_spec).collect();
         if !points.is_empty() {
             command.env("LINEROUTE_TEST_STOPS", points.join(","));
         }
@@ -186,12 +186,12 @@
         let stderr = child.stderr.take().ok_or("no standard error")?;
         let mut lines = BufReader::new(stderr);
         let mut log = Vec::new();
-        let heard = timeout(START, self.listens(member, &mut lines, &mut log)).await;
+        let heard = timeout(START_TIMEOUT, self.wait_until_listening(member, &mut lines, &mut log)).await;
         let Ok(Ok(addr)) = heard else {
             let words = String::from_utf8_lossy(&log).lines().last().unwrap_or("nothing").to_owned();
             let _ = tokio::fs::write(home.join(format!("{life}.log")), &log).await;
             self.recorder.note(What::Refused { member, life, words: words.clone() });
-            return Err(format!("member {member} does not start: {words}"));
+            return Err(format!("member {member} failed to start: {words}"));
         };
         self.with(member, |s| (s.pid, s.addr) = (pid, Some(addr)));
         self.links.calls.iter().for_each(|of| of[member].set_target(Some(addr)));
@@ -204,8 +204,8 @@
         Ok(())
     }
 
-    /// Reads the log until the process takes jobs; aims the links at what it tells of on the way.
-    async fn listens(
+    /// Reads the log until the process accepts jobs, and points the links at the addresses that it logs.
+    async fn wait_until_listening(
         &self,
         member: usize,
         lines: &mut BufReader<ChildStderr>,
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Keeps the log and sees the end.
+    /// Writes the log to a file and records the exit of the process.
     async fn follow(
         self: Arc<Self>,
         member: usize,
@@ -259,7 +259,7 @@
         match back {
             Some(point) => {
                 self.recorder.note(What::Killed { member });
-                tokio::spawn(self.clone().back_after(member, Duration::from_millis(point.for_ms)));
+                tokio::spawn(self.clone().restart_after(member, Duration::from_millis(point.for_ms)));
             }
             None if !asked => self.recorder.note(What::Exited { member, code }),
             None => {}
@@ -267,26 +267,26 @@
         self.links.calls.iter().for_each(|of| of[member].set_target(None));
         self.links.fleet.iter().for_each(|links| links[member].set_target(None));
         self.ended.send_modify(|times| *times += 1);
-        // The front notices late.
+        // The front end notices late.
         tokio::time::sleep(Duration::from_millis(self.scenario.clients.notice_ms)).await;
         addr.iter().for_each(|addr| self.front_end.down(member, *addr));
     }
 
-    /// Starts a process again that has ended itself.
-    fn back_after(self: Arc<Self>, member: usize, after: Duration) -> BoxFuture {
+    /// Restarts a process that has killed itself.
+    fn restart_after(self: Arc<Self>, member: usize, after: Duration) -> BoxFuture {
         Box::pin(async move {
             tokio::time::sleep(after).await;
-            // What it says stands in the trace.
+            // A failed start is recorded in the trace.
             let _ = self.start(member, Start::default()).await;
         })
     }
 
-    /// Sees a process that has stopped itself at a point, and lets it go on.
+    /// Detects a process that has stopped itself at a point, and resumes it.
     async fn watch_stops(self: Arc<Self>, member: usize, life: u32) {
         let stops = self.scenario.points_of(member).filter(|p| p.act == PointAct::Stop);
         let longest = stops.map(|p| p.for_ms).max().unwrap_or(0);
         loop {
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             let Some(pid) = self.with(member, |s| s.pid.filter(|_| s.life == life)) else { return };
             let stat = std::fs::read_to_string(format!("/proc/{}/stat", pid.as_raw_nonzero()));
             let stands = stat.is_ok_and(|text| text.rsplit(") ").next().is_some_and(|s| s.starts_with('T')));
@@ -298,7 +298,7 @@
         }
     }
 
-    /// Notes what each living process has used so far.
+    /// Records the resource usage of each running process.
     pub fn note_used(&self) {
         let between = self.links.fleet.iter().flatten();
         let carried = between.map(TcpRelay::carried).sum();
@@ -310,11 +310,11 @@
         }
     }
 
-    /// Notes what each living process counts of its permits. One that does not answer is passed over.
+    /// Records the permit counters of each running process. A process that does not answer is skipped.
     pub async fn note_permits(&self) {
         for member in (0..self.scenario.members).filter(|member| self.is_running(*member)) {
             let Some(admin) = self.admin(member) else { continue };
-            let Ok(Some(flows)) = timeout(START, flows_of(admin)).await else { continue };
+            let Ok(Some(flows)) = timeout(START_TIMEOUT, flows_of(admin)).await else { continue };
             let permits = &flows["permits"];
             let counts = |of: &Value| -> BTreeMap<String, u64> {
                 let entries = of.as_object().into_iter().flatten();
@@ -334,29 +334,29 @@
         pid.is_some_and(|pid| kill_process(pid, signal).is_ok())
     }
 
-    /// Ends a process at once and waits until it is gone; false where none lives.
+    /// Kills a process and waits until it has ended; false if none is running.
     pub async fn kill(&self, member: usize) -> bool {
         if self.with(member, |s| s.pid.is_none() || std::mem::replace(&mut s.ending, true)) {
             return false;
         }
         self.recorder.note(What::Killed { member });
         self.signal(member, Signal::KILL);
-        self.is_gone(member).await;
+        self.wait_until_ended(member).await;
         self.with(member, |s| s.stopped = false);
         true
     }
 
-    /// Asks a process to end and waits until it has; false where none lives.
+    /// Sends SIGTERM to a process and waits until it has ended; false if none is running.
     pub async fn terminate(&self, member: usize) -> bool {
         if self.with(member, |s| s.pid.is_none() || s.stopped || std::mem::replace(&mut s.ending, true)) {
             return false;
         }
         self.signal(member, Signal::TERM);
-        self.is_gone(member).await;
+        self.wait_until_ended(member).await;
         true
     }
 
-    async fn is_gone(&self, member: usize) {
+    async fn wait_until_ended(&self, member: usize) {
         let mut ended = self.ended.subscribe();
         while self.with(member, |s| s.pid.is_some()) {
             if ended.changed().await.is_err() {
@@ -365,12 +365,12 @@
         }
     }
 
-    /// Has a process read its configuration again; false where none runs.
+    /// Sends SIGHUP, so that a process reloads its configuration; false if none is running.
     pub fn reload(&self, member: usize) -> bool {
         !self.with(member, |s| s.ending) && self.signal(member, Signal::HUP)
     }
 
-    /// Stops a process; false where none runs.
+    /// Sends SIGSTOP to a process; false if none is running.
     pub fn stop(&self, member: usize) -> bool {
         if self.with(member, |s| s.pid.is_none() || s.ending || std::mem::replace(&mut s.stopped, true)) {
             return false;
@@ -379,7 +379,7 @@
         self.signal(member, Signal::STOP)
     }
 
-    /// Lets it go on.
+    /// Resumes a stopped process.
     pub fn resume(&self, member: usize) {
         if self.with(member, |s| std::mem::take(&mut s.stopped)) {
             self.signal(member, Signal::CONT);
@@ -400,11 +400,13 @@
                 "late_share": c.late_share, "effect": effect(c.effect), "group": "all",
                 "key_ttl_ms": c.key_ttl_ms})
         };
-        let bound = self.scenario.operator.get("classes").and_then(Value::as_array);
-        let is_bound = |name: &str| {
-            bound.is_some_and(|all| all.iter().any(|c| c.get("name").and_then(Value::as_str) == Some(name)))
+        let operator_classes = self.scenario.operator.get("classes").and_then(Value::as_array);
+        let is_operator_class = |name: &str| {
+            operator_classes
+                .is_some_and(|all| all.iter().any(|c| c.get("name").and_then(Value::as_str) == Some(name)))
         };
-        let classes: Vec<Value> = scenario.classes.iter().filter(|c| !is_bound(&c.name)).map(class).collect();
+        let classes: Vec<Value> =
+            scenario.classes.iter().filter(|c| !is_operator_class(&c.name)).map(class).collect();
         let stretch: Vec<f64> = classes.iter().map(|_| 2.0).collect();
         let mut config = json!({
             "name": format!("d{member}"), "listen": "127.0.0.1:0", "discovery": self.links.discovery[member].addr,
@@ -455,7 +457,7 @@
     }
 }
 
-/// What a process tells of its flows at its admin listener.
+/// Reads a process's flows from its admin listener.
 async fn flows_of(admin: SocketAddr) -> Option<Value> {
     let mut stream = TcpStream::connect(admin).await.ok()?;
     let headers = format!("Host: admin\r\nAuthorization: Bearer {ADMIN_KEY}\r\n");
@@ -464,7 +466,7 @@
     serde_json::from_slice(&answer.body).ok()
 }
 
-/// Of all threads of a process, in microseconds.
+/// CPU time of all threads of a process, in microseconds.
 fn cpu_of(home: &Path) -> Option<u64> {
     let tasks = std::fs::read_dir(home.join("task")).ok()?;
     let ran = |task: std::io::Result<std::fs::DirEntry>| {
@@ -474,15 +476,15 @@
     Some(tasks.filter_map(ran).sum::<u64>() / 1000)
 }
 
-/// The most memory that a process has held, in kilobytes.
+/// Peak resident memory of a process, in kilobytes.
 fn memory_of(home: &Path) -> Option<u64> {
     let text = std::fs::read_to_string(home.join("status")).ok()?;
     let line = text.lines().find_map(|line| line.strip_prefix("VmHWM:"))?;
     line.split_whitespace().next()?.parse().ok()
 }
 
-/// A point as the program is told of it.
-fn armed(point: &Point) -> String {
+/// A point in the format of `LINEROUTE_TEST_STOPS`.
+fn point_spec(point: &Point) -> String {
     let act = match point.act {
         PointAct::Stop => "stop".into(),
         PointAct::Kill => "kill".into(),
@@ -499,7 +501,7 @@
     scenario.workers.iter().map(|w| w.zone + 1).max().unwrap_or(1)
 }
 
-/// A worker as discovery lists it, at this address.
+/// The discovery entry of a worker at this address.
 pub fn listed(sort: &crate::scenario::Workers, addr: SocketAddr) -> Listed {
     let kind = match sort.protocol {
         Protocol::Platform => "m",
--- a/lab/src/soak.rs
+++ b/lab/src/soak.rs
@@ -8,7 +8,7 @@
     CallTrouble, Class, Clients, Direction, DiscoveryPlan, DiscoveryTrouble, Effect, Fault, Peer, Protocol,
     Scenario, Trouble, Who, Workers,
 };
-use crate::stand_in::discovery::SLOWER;
+use crate::stand_in::discovery::SLOW_FACTOR;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -101,7 +101,7 @@
     let call_ms = *choose(rng, &[0, 2, 10, 25]);
     let patience_ms = *choose(rng, &[0, 2000, 2000]);
     let whole_tier_ms = if talk { MAX_TALKING_TIER_MS } else { MAX_TIER_MS };
-    let longest_ms = whole_tier_ms / (processes * u64::from(SLOWER));
+    let longest_ms = whole_tier_ms / (processes * u64::from(SLOW_FACTOR));
     let call_ms = if patience_ms > 0 { call_ms.min(longest_ms) } else { call_ms };
     DiscoveryPlan { call_ms, patience_ms }
 }
--- a/lab/src/stand_in/beanstalkd.rs
+++ b/lab/src/stand_in/beanstalkd.rs
@@ -1,7 +1,7 @@
-//! A worker that is behind a beanstalkd server: one server for each member, so that it is known who put what. The
-//! server takes whatever comes; the worker reserves as many jobs as it has slots.
+//! A worker behind beanstalkd servers: one server for each member, so that the sender of a job is known. The server has no
+//! queue limit; the worker reserves as many jobs as it has slots.
 
-use super::worker::{Came, ReplyPath, Worker};
+use super::worker::{Received, ReplyPath, Worker};
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -11,10 +11,10 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-const MOST_BODY: usize = 1 << 20;
-const MOST_LINE: u64 = 224;
+const MAX_BODY: usize = 1 << 20;
+const MAX_LINE: u64 = 224;
 
-/// Where a job is: the server's state of it, as `stats-job` tells.
+/// A job's state at the server, as reported by `stats-job`.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Stage {
     Ready,
@@ -25,13 +25,13 @@
 struct State {
     last: u64,
     jobs: BTreeMap<u64, (Stage, String)>,
-    /// Answers that wait, by tube.
+    /// Results ready to be reserved, with their tubes.
     ready: VecDeque<(u64, String, String)>,
-    /// Answers that were fetched and not deleted yet; their ids are the servers's own.
-    fetched: Vec<u64>,
+    /// Ids of results that were reserved and not yet deleted.
+    reserved_results: Vec<u64>,
 }
 
-/// One member's server in front of a worker.
+/// The server between one member and a worker.
 #[derive(Default)]
 pub struct Server {
     state: Mutex<State>,
@@ -43,18 +43,19 @@
         self.state.lock().expect("no holder panics")
     }
 
-    /// The worker has reserved a job, or is done with it.
+    /// Marks a job as reserved by the worker.
     pub fn reserved(&self, id: u64) {
         if let Some(job) = self.state().jobs.get_mut(&id) {
             job.0 = Stage::Reserved;
         }
     }
 
-    pub fn gone(&self, id: u64) {
+    /// Removes a job that the worker has finished.
+    pub fn remove(&self, id: u64) {
         self.state().jobs.remove(&id);
     }
 
-    /// The worker puts an answer.
+    /// Puts a result from the worker into a tube.
     pub fn answer(&self, tube: &str, body: String) {
         let mut state = self.state();
         state.last += 1;
@@ -68,7 +69,7 @@
         let mut state = self.state();
         let at = state.ready.iter().position(|(_, tube, _)| tubes.contains(tube))?;
         let (id, _, body) = state.ready.remove(at)?;
-        state.fetched.push(id);
+        state.reserved_results.push(id);
         Some((id, body))
     }
 
@@ -87,11 +88,11 @@
         timeout(within, wait).await.ok()
     }
 
-    /// Deletes an answer or a job that nobody has reserved; the job's call, if it was one.
+    /// Deletes a reserved result or a job that is not reserved; returns the call id if it was a job.
     fn delete(&self, id: u64) -> Option<Option<String>> {
         let mut state = self.state();
-        if let Some(at) = state.fetched.iter().position(|f| *f == id) {
-            state.fetched.swap_remove(at);
+        if let Some(at) = state.reserved_results.iter().position(|f| *f == id) {
+            state.reserved_results.swap_remove(at);
             return Some(None);
         }
         let ready = state.jobs.get(&id).is_some_and(|(stage, _)| *stage == Stage::Ready);
@@ -108,7 +109,7 @@
 /// Serves one connection of a member.
 ///
 /// # Errors
-/// It breaks.
+/// The connection breaks.
 pub async fn serve(worker: Arc<Worker>, mut stream: TcpStream, member: usize) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let server = worker.server(member);
@@ -127,7 +128,7 @@
             ["ignore", _] => format!("WATCHING {}\r\n", watched.len()),
             ["put", _, _, _, size] => {
                 let first = worker.now();
-                let size = size.parse().ok().filter(|s| *s <= MOST_BODY).ok_or(io::ErrorKind::InvalidData)?;
+                let size = size.parse().ok().filter(|s| *s <= MAX_BODY).ok_or(io::ErrorKind::InvalidData)?;
                 let mut body = vec![0; size + 2];
                 from.read_exact(&mut body).await?;
                 body.truncate(size);
@@ -146,7 +147,7 @@
             },
             ["delete", id] => match id.parse().ok().and_then(|id| server.delete(id)) {
                 Some(call) => {
-                    call.iter().for_each(|call| worker.waived(call, member));
+                    call.iter().for_each(|call| worker.cancelled(call, member));
                     "DELETED\r\n".into()
                 }
                 None => "NOT_FOUND\r\n".into(),
@@ -159,7 +160,7 @@
     Ok(())
 }
 
-/// `ANSWERS REFERENCE KEY` stands in the first line.
+/// Handles `put`. The first line of the body is `ANSWERS REFERENCE KEY`.
 fn put(worker: &Arc<Worker>, server: &Arc<Server>, body: &str, (member, first): (usize, u64)) -> String {
     let (head, rest) = body.split_once('\n').unwrap_or((body, ""));
     let words: Vec<&str> = head.split(' ').collect();
@@ -172,14 +173,14 @@
         id
     };
     let key = (key != "-").then(|| key.to_owned());
-    let way = ReplyPath::Tube { server: server.clone(), id, answers: answers.into() };
-    worker.takes(Came { call: reference.into(), key, member, first, body: rest.into(), way });
+    let reply_path = ReplyPath::Tube { server: server.clone(), id, answers: answers.into() };
+    worker.accepts(Received { call: reference.into(), key, member, first, body: rest.into(), reply_path });
     format!("INSERTED {id}\r\n")
 }
 
 async fn read_line(from: &mut (impl AsyncBufRead + Unpin)) -> io::Result<Option<String>> {
     let mut line = Vec::new();
-    from.take(MOST_LINE).read_until(b'\n', &mut line).await?;
+    from.take(MAX_LINE).read_until(b'\n', &mut line).await?;
     let Some(text) = line.strip_suffix(b"\r\n") else { return Ok(None) };
     Ok(Some(String::from_utf8_lossy(text).into_owned()))
 }
--- a/lab/src/stand_in/client.rs
+++ b/lab/src/stand_in/client.rs
@@ -1,5 +1,5 @@
-//! Clients: open-loop arrivals, a front that notices dead members late, and retries by the class. A client
-//! that loses its connection comes again elsewhere with the same key.
+//! Clients: open-loop arrivals, a front end that notices dead members late, and retries according to the class. A client
+//! that loses its connection retries at another member with the same key.
 
 use crate::http::{self, Reader};
 use crate::scenario::{Class, Effect, Scenario};
@@ -14,15 +14,15 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
 
-/// Beside its budget a client waits for so long.
+/// How long a client waits beyond its budget.
 const SLACK: Duration = Duration::from_millis(350);
-/// A client that stops within its request gets an error, or the end of its connection, within 3 s of its start; the rest is
-/// the lab's own slack.
-const STALL_HEARD_WITHIN: Duration = Duration::from_millis(3400);
-/// A budget under this is not worth another try.
-const LEAST_BUDGET: Duration = Duration::from_millis(20);
+/// A client that stalls within its request receives an error or a closed connection within 3 s of the request's start; the rest
+/// is the lab's own slack.
+const STALL_TIMEOUT: Duration = Duration::from_millis(3400);
+/// Minimum remaining budget for another try.
+const MIN_BUDGET: Duration = Duration::from_millis(20);
 
-/// Which members the front sends clients to.
+/// The front end: the members to which clients are sent.
 #[derive(Clone, Default)]
 pub struct FrontEnd(Arc<Mutex<HashMap<usize, SocketAddr>>>);
 
@@ -42,7 +42,7 @@
         self.0.lock().expect("no holder panics").len()
     }
 
-    /// A member, another than the one that failed where there is one.
+    /// Picks a random member, other than `not` if there is another.
     fn choose(&self, rng: &mut fastrand::Rng, not: Option<usize>) -> Option<(usize, SocketAddr)> {
         let members = self.0.lock().expect("no holder panics");
         let mut all: Vec<(usize, SocketAddr)> = members.iter().map(|(m, a)| (*m, *a)).collect();
@@ -63,13 +63,13 @@
 }
 
 impl Clients {
-    /// Hands in jobs for as long as the scenario says, then waits for the last of them.
+    /// Submits jobs for the scenario's duration, then waits for the last of them.
     pub async fn run(self, seed: u64) {
         let mut rng = fastrand::Rng::with_seed(seed);
         let parts: f64 = self.scenario.classes.iter().map(|c| c.part).sum();
         let until = Instant::now() + Duration::from_secs_f64(self.scenario.seconds);
         let mut next = Instant::now();
-        let mut open = JoinSet::new();
+        let mut tasks = JoinSet::new();
         for job in 0.. {
             next += Duration::from_secs_f64(-(1.0 - rng.f64()).ln() / self.scenario.clients.rate);
             if next >= until {
@@ -83,18 +83,18 @@
             });
             let class = class.unwrap_or(&self.scenario.classes[0]).clone();
             if rng.f64() < self.scenario.clients.stalls {
-                open.spawn(self.clone().stall(class.clone(), rng.fork()));
+                tasks.spawn(self.clone().stall(class.clone(), rng.fork()));
             }
-            open.spawn(self.clone().job(job, class, rng.fork()));
-            while open.try_join_next().is_some() {}
+            tasks.spawn(self.clone().job(job, class, rng.fork()));
+            while tasks.try_join_next().is_some() {}
         }
-        while open.join_next().await.is_some() {}
+        while tasks.join_next().await.is_some() {}
     }
 
-    /// A client that begins a request, stops somewhere in it and stays.
+    /// A client that sends part of a request and then stalls with the connection tasks.
     async fn stall(self, class: Class, mut rng: fastrand::Rng) {
         let Some((member, addr)) = self.front_end.choose(&mut rng, None) else { return };
-        let Ok(Ok(mut stream)) = timeout(STALL_HEARD_WITHIN, TcpStream::connect(addr)).await else { return };
+        let Ok(Ok(mut stream)) = timeout(STALL_TIMEOUT, TcpStream::connect(addr)).await else { return };
         let began = Instant::now();
         let whole = format!(
             "POST {} HTTP/1.1\r\nHost: app.svc\r\nX-Call-Id: stall-{:x}\r\nX-Call-Class: {}\r\nX-Caller: acme\r\n\
@@ -105,14 +105,14 @@
         );
         let part = &whole.as_bytes()[..rng.usize(1..=whole.len())];
         let heard = match stream.write_all(part).await {
-            Ok(()) => timeout(STALL_HEARD_WITHIN, stream.read(&mut [0])).await.is_ok(),
+            Ok(()) => timeout(STALL_TIMEOUT, stream.read(&mut [0])).await.is_ok(),
             Err(_) => true,
         };
         let waited = began.elapsed().as_micros() as u64;
         self.recorder.note(What::Stalled { member, waited, heard });
     }
 
-    /// One job, through all tries of its client.
+    /// Runs one job through all its client's tries.
     async fn job(self, job: u64, class: Class, mut rng: fastrand::Rng) {
         let key = (class.effect == Effect::ByKey).then(|| format!("{:032x}", rng.u128(..)));
         let last = Instant::now() + Duration::from_millis(class.deadline_ms);
@@ -121,14 +121,14 @@
         let mut served = false;
         for attempt in 0u32.. {
             let budget = last.saturating_duration_since(Instant::now());
-            if budget < LEAST_BUDGET {
+            if budget < MIN_BUDGET {
                 break;
             }
             let Some((member, addr)) = self.front_end.choose(&mut rng, failed) else {
                 sleep(wait).await;
                 continue;
             };
-            // A key's calls are known by their first letter, also to workers.
+            // The first letter tells whether a call has a key; workers rely on it too.
             let sort = if key.is_some() { 'k' } else { 'p' };
             let call = format!("{sort}{job:x}-{attempt:x}-{:08x}", rng.u32(..));
             self.recorder.note(What::Asked {
@@ -153,7 +153,7 @@
                     if self.scenario.clients.heeds {
                         wait = after.unwrap_or(wait);
                     }
-                    // Refused is safe to repeat; failed is only where the class says so.
+                    // Refused requests are safe to retry; failed ones only if the class allows it.
                     matches!(status, 429 | 503) || class.effect != Effect::Once
                 }
                 Err(why) => {
@@ -183,9 +183,9 @@
             return Err(Silence::Unreachable);
         };
         let _ = stream.set_nodelay(true);
-        // Counted from when the request is sent: a connection for which the queue had no room is made a second later.
+        // The budget counts from when the request is sent: if the listen queue overflows, the connection is established 1 s later.
         let budget = last.saturating_duration_since(Instant::now());
-        if budget < LEAST_BUDGET {
+        if budget < MIN_BUDGET {
             return Err(Silence::Unreachable);
         }
         let key = key.map_or(String::new(), |key| format!("Idempotency-Key: {key}\r\n"));
@@ -195,13 +195,13 @@
             budget.as_millis()
         );
         let body = format!("{} {call}", class.name);
-        let talk = async {
+        let exchange = async {
             let first = format!("POST {} HTTP/1.1", class.path);
             http::write(&mut stream, &first, &headers, body.as_bytes()).await?;
             Reader::new(&mut stream).answer().await
         };
-        let patience = leave.unwrap_or(budget + SLACK);
-        match timeout(patience, talk).await {
+        let wait_limit = leave.unwrap_or(budget + SLACK);
+        match timeout(wait_limit, exchange).await {
             Ok(Ok(Some(answer))) => {
                 let after = answer.header("retry-after").and_then(|a| a.parse::<f64>().ok());
                 let after = after.map(|seconds| Duration::from_secs_f64(seconds.clamp(0.0, 60.0)));
--- a/lab/src/stand_in/discovery.rs
+++ b/lab/src/stand_in/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery: the list of workers, at an address of its own for each member, since workers' addresses differ
-//! from member to member. It handles calls in turn, and can be troubled.
+//! Discovery: serves the worker list, on a separate address for each member, since workers' addresses differ from member
+//! to member. It handles calls one at a time, and faults can be injected.
 
 use crate::http::{self, Message, Reader};
 use crate::scenario::{DiscoveryPlan, DiscoveryTrouble};
@@ -14,14 +14,14 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Instant};
 
-/// How long a call is held before it is refused where no patience is planned.
-const HELD: Duration = Duration::from_secs(2);
-/// A watch goes on if the next call comes so soon behind an answer.
+/// How long a call is held before it is refused if the plan has no `patience_ms`.
+const DEFAULT_HOLD: Duration = Duration::from_secs(2);
+/// A call continues a watch if it arrives within this time after the previous response.
 const CONTINUES_WITHIN: Duration = Duration::from_millis(200);
-/// How much longer a call takes where discovery is slow.
-pub(crate) const SLOWER: u32 = 20;
+/// Factor on the time of a call while discovery is slow.
+pub(crate) const SLOW_FACTOR: u32 = 20;
 
-/// A worker as one member finds it.
+/// A worker as listed for one member.
 #[derive(Clone)]
 pub struct Listed {
     pub addr: SocketAddr,
@@ -29,29 +29,29 @@
     pub kind: String,
 }
 
-/// What discovery is at.
+/// Current state of discovery.
 #[derive(Clone, Debug, Default)]
 struct State {
     version: u64,
-    /// Of each worker.
+    /// State of each worker.
     workers: Vec<&'static str>,
-    /// Troubles that have begun and not ended; the same one may be there twice.
+    /// Active faults; the same one may be active twice.
     troubles: Vec<DiscoveryTrouble>,
-    /// Watches that began before this many losses are silent for good.
+    /// Number of times watches were lost; those that began before the latest loss are never answered.
     losses: u64,
 }
 
 impl State {
-    /// The trouble that shows: whatever keeps discovery away goes before what only slows it.
+    /// The effective fault: those that make discovery unreachable take precedence over those that only slow it.
     fn trouble(&self) -> Option<DiscoveryTrouble> {
-        let away = self.troubles.iter().rfind(|trouble| is_away(**trouble));
+        let away = self.troubles.iter().rfind(|trouble| is_unreachable(**trouble));
         away.or(self.troubles.last()).copied()
     }
 }
 
-/// What a member was told last: what it is started with again.
+/// The list that a member received last; it restarts with this list.
 #[derive(Clone)]
-struct Told {
+struct SentList {
     version: u64,
     workers: Vec<&'static str>,
 }
@@ -61,26 +61,26 @@
     lists: Vec<Vec<Listed>>,
     plan: DiscoveryPlan,
     state: watch::Sender<State>,
-    told: Mutex<Vec<Told>>,
-    /// Calls are handled in turn, in the order in which they came.
+    told: Mutex<Vec<SentList>>,
+    /// Serialises calls in order of arrival.
     turn: tokio::sync::Mutex<()>,
     recorder: Recorder,
 }
 
-/// What becomes of a call.
-enum Fate {
-    /// It is answered with what there is.
+/// Outcome of a call.
+enum CallOutcome {
+    /// Answered with the current list.
     Answered,
     Refused,
-    /// It is never answered.
+    /// Never answered.
     Silent,
 }
 
 impl Discovery {
-    /// Begins to listen; its address for each member.
+    /// Starts to listen and returns the address for each member.
     ///
     /// # Errors
-    /// There are no ports.
+    /// No ports are available.
     pub async fn start(
         lists: Vec<Vec<Listed>>,
         plan: DiscoveryPlan,
@@ -93,7 +93,7 @@
             lists,
             plan,
             state: watch::channel(state).0,
-            told: Mutex::new(vec![Told { version: 1, workers: up }; members]),
+            told: Mutex::new(vec![SentList { version: 1, workers: up }; members]),
             turn: tokio::sync::Mutex::default(),
             recorder,
         });
@@ -121,9 +121,9 @@
         });
     }
 
-    /// Something is wrong with it from now on.
+    /// Starts a fault.
     pub fn trouble(&self, trouble: DiscoveryTrouble) {
-        if is_away(trouble) {
+        if is_unreachable(trouble) {
             self.recorder.note(What::Reachable { member: None, reachable: false });
         }
         self.state.send_modify(|state| match trouble {
@@ -132,7 +132,7 @@
         });
     }
 
-    /// It is well again.
+    /// Ends a fault.
     pub fn end_trouble(&self, trouble: DiscoveryTrouble) {
         self.state.send_modify(|state| {
             if let Some(at) = state.troubles.iter().position(|one| *one == trouble) {
@@ -140,18 +140,18 @@
             }
             state.losses += u64::from(trouble == DiscoveryTrouble::Silent);
         });
-        if is_away(trouble) {
+        if is_unreachable(trouble) {
             self.recorder.note(What::Reachable { member: None, reachable: true });
         }
     }
 
-    /// The list that a member's configuration begins with: as the member had it last.
+    /// The initial list for a member's configuration: the one that the member received last.
     pub fn known(&self, member: usize) -> Value {
         let told = self.told.lock().expect("no holder panics")[member].clone();
         json!({"version": told.version, "full": true, "servers": self.servers(member, &told.workers)})
     }
 
-    /// A whole list: those that were removed are not in it.
+    /// The complete list, without removed workers.
     fn servers(&self, member: usize, states: &[&str]) -> Vec<Value> {
         let listed = self.lists[member].iter().zip(states).enumerate();
         let present = listed.filter(|(_, (_, state))| **state != "removed");
@@ -162,10 +162,10 @@
         present.map(entry).collect()
     }
 
-    /// A member is told this state. What was written to it before may have been lost with its connection: a call that carries no
-    /// watch on is told all of it.
-    fn note(&self, member: usize, state: &State, continues: bool) {
-        let told = Told { version: state.version, workers: state.workers.clone() };
+    /// Records the state sent to a member. Earlier responses may have been lost with their connection, so a call that does not
+    /// continue a watch is recorded as told the state of every worker.
+    fn record_sent(&self, member: usize, state: &State, continues: bool) {
+        let told = SentList { version: state.version, workers: state.workers.clone() };
         let old = std::mem::replace(&mut self.told.lock().expect("no holder panics")[member], told);
         let told = state.workers.iter().zip(&old.workers).enumerate();
         let told = told.filter(|(_, (new, old))| !continues || new != old);
@@ -182,48 +182,49 @@
         while let Some(asked) = reader.request().await? {
             let continues = answered.is_some_and(|at| at.elapsed() <= CONTINUES_WITHIN);
             match self.handle(&asked, continues).await {
-                Fate::Answered => self.answer(&mut to, &asked, member, continues).await?,
-                Fate::Refused => {
+                CallOutcome::Answered => self.answer(&mut to, &asked, member, continues).await?,
+                CallOutcome::Refused => {
                     http::write(&mut to, "HTTP/1.1 503 Service Unavailable", "", b"").await?;
-                    // No watch goes on behind a refusal: the next call takes its turn.
+                    // A refusal ends the watch: the next call has to wait its turn.
                     answered = None;
                     continue;
                 }
-                Fate::Silent => continue,
+                CallOutcome::Silent => continue,
             }
             answered = Some(Instant::now());
         }
         Ok(())
     }
 
-    /// Sees a call through its turn and its wait.
-    async fn handle(&self, asked: &Message, continues: bool) -> Fate {
+    /// Waits for a call's turn and for a change of the list, and decides its outcome.
+    async fn handle(&self, asked: &Message, continues: bool) -> CallOutcome {
         let mut state = self.state.subscribe();
         let losses = state.borrow().losses;
         let trouble = state.borrow().trouble();
         match trouble {
-            Some(DiscoveryTrouble::Refuses) => return Fate::Refused,
+            Some(DiscoveryTrouble::Refuses) => return CallOutcome::Refused,
             Some(DiscoveryTrouble::Holds) => {
-                sleep(self.patience().unwrap_or(HELD)).await;
-                return Fate::Refused;
+                sleep(self.patience().unwrap_or(DEFAULT_HOLD)).await;
+                return CallOutcome::Refused;
             }
-            Some(DiscoveryTrouble::Silent) => return Fate::Silent,
+            Some(DiscoveryTrouble::Silent) => return CallOutcome::Silent,
             _ => {}
         }
         if !continues && !self.takes_turn(trouble == Some(DiscoveryTrouble::Slow)).await {
-            return Fate::Refused;
+            return CallOutcome::Refused;
         }
         let after = asked.query("after").unwrap_or(0);
         let wait = Duration::from_millis(asked.query("wait_ms").unwrap_or(0).min(60_000));
-        let over =
-            |now: &State| now.version > after || now.losses != losses || now.trouble().is_some_and(is_away);
+        let over = |now: &State| {
+            now.version > after || now.losses != losses || now.trouble().is_some_and(is_unreachable)
+        };
         let _ = timeout(wait, state.wait_for(over)).await;
         let now = state.borrow().clone();
         match now.trouble() {
-            _ if now.losses != losses => Fate::Silent,
-            Some(DiscoveryTrouble::Refuses | DiscoveryTrouble::Holds) => Fate::Refused,
-            Some(DiscoveryTrouble::Silent) => Fate::Silent,
-            _ => Fate::Answered,
+            _ if now.losses != losses => CallOutcome::Silent,
+            Some(DiscoveryTrouble::Refuses | DiscoveryTrouble::Holds) => CallOutcome::Refused,
+            Some(DiscoveryTrouble::Silent) => CallOutcome::Silent,
+            _ => CallOutcome::Answered,
         }
     }
 
@@ -231,7 +232,7 @@
         (self.plan.patience_ms > 0).then(|| Duration::from_millis(self.plan.patience_ms))
     }
 
-    /// Waits for a call's turn and takes its time; false where it has waited too long.
+    /// Waits for a call's turn and its processing time; false if it has waited too long.
     async fn takes_turn(&self, slow: bool) -> bool {
         let turn = match self.patience() {
             Some(patience) => timeout(patience, self.turn.lock()).await.ok(),
@@ -240,7 +241,7 @@
         let Some(_turn) = turn else { return false };
         let cost = Duration::from_millis(self.plan.call_ms);
         if !cost.is_zero() {
-            sleep(if slow { cost * SLOWER } else { cost }).await;
+            sleep(if slow { cost * SLOW_FACTOR } else { cost }).await;
         }
         true
     }
@@ -259,13 +260,13 @@
         let body = json!({"version": state.version, "full": full, "servers": servers}).to_string();
         http::write(to, "HTTP/1.1 200 OK", "", body.as_bytes()).await?;
         if full || !continues {
-            self.note(member, &state, continues);
+            self.record_sent(member, &state, continues);
         }
         Ok(())
     }
 }
 
-/// Whether nobody can reach discovery then.
-fn is_away(trouble: DiscoveryTrouble) -> bool {
+/// Whether the fault makes discovery unreachable.
+fn is_unreachable(trouble: DiscoveryTrouble) -> bool {
     matches!(trouble, DiscoveryTrouble::Refuses | DiscoveryTrouble::Holds | DiscoveryTrouble::Silent)
 }
--- a/lab/src/stand_in/mod.rs
+++ b/lab/src/stand_in/mod.rs
@@ -1,4 +1,4 @@
-//! Those that the program lives among, as far as they can be seen from it.
+//! Stand-ins for the program's environment: clients, workers, discovery and beanstalkd.
 
 pub mod beanstalkd;
 pub mod client;
--- a/lab/src/stand_in/worker.rs
+++ b/lab/src/stand_in/worker.rs
@@ -1,5 +1,5 @@
-//! Workers with finite slots and a bounded queue. Each has an address for each member, so that it knows who
-//! sent what without being told, and calls each back over a relay of its own.
+//! Workers with a limited number of slots and a bounded queue. Each listens on a separate address for each member, so that
+//! it can identify the sender from the address, and calls each member back over a separate relay.
 
 use super::beanstalkd::{self, Server};
 use crate::http::{self, Message, Reader};
@@ -15,30 +15,30 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// A word to a dispatcher is tried so often, waits so long for its answer, and so long between tries.
-const TRIES: u32 = 10;
-const WORD: Duration = Duration::from_millis(500);
-const BETWEEN: Duration = Duration::from_millis(50);
+/// Job updates to a dispatcher: number of tries, time-out of a try, and pause between tries.
+const UPDATE_TRIES: u32 = 10;
+const UPDATE_TIMEOUT: Duration = Duration::from_millis(500);
+const UPDATE_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Calls given up that are remembered in case they come late.
-const MOST_WAIVED: usize = 256;
+/// Maximum number of cancelled calls remembered in case they arrive after their cancellation.
+const MAX_CANCELLED: usize = 256;
 
-/// What workers of one group know of keys: repeats run nowhere.
+/// Keys shared by all workers of a group, so that repeats don't run again.
 pub type Keys = Arc<Mutex<HashMap<String, KeyState>>>;
 
 pub enum KeyState {
-    /// In work; those that sent it again are told the same result.
+    /// Being processed; repeats that wait for its result.
     Running(Vec<Repeat>),
     Done(String),
 }
 
-/// An attempt that came with a key in work.
+/// An attempt whose key is already known.
 pub struct Repeat {
     worker: Arc<Worker>,
     seq: u64,
     call: String,
     member: usize,
-    way: ReplyPath,
+    reply_path: ReplyPath,
 }
 
 struct Job {
@@ -47,27 +47,27 @@
     key: Option<String>,
     member: usize,
     work: Duration,
-    way: ReplyPath,
+    reply_path: ReplyPath,
 }
 
-/// How a worker's words reach the dispatcher.
+/// How a worker reports to the dispatcher.
 pub enum ReplyPath {
-    /// Calls to its address.
+    /// Requests to the dispatcher's address.
     Calls,
-    /// The connection of the request.
+    /// The response on the request's connection.
     Answer(tokio::sync::oneshot::Sender<String>),
     /// A tube of a beanstalkd server.
     Tube { server: Arc<Server>, id: u64, answers: String },
 }
 
-/// An attempt as it came.
-pub struct Came {
+/// A received attempt.
+pub struct Received {
     pub call: String,
     pub key: Option<String>,
     pub member: usize,
     pub first: Micros,
     pub body: String,
-    pub way: ReplyPath,
+    pub reply_path: ReplyPath,
 }
 
 #[derive(Default)]
@@ -75,9 +75,9 @@
     running: HashMap<u64, String>,
     queue: VecDeque<Job>,
     last: u64,
-    /// Calls that were given up before they came: of two connections either may be served first.
-    waived: VecDeque<String>,
-    /// The highest token seen for each thing.
+    /// Calls cancelled before they arrived: requests on two connections may be served in either order.
+    cancelled: VecDeque<String>,
+    /// The highest token seen for each resource.
     fences: HashMap<String, u64>,
 }
 
@@ -92,14 +92,14 @@
     state: Mutex<State>,
     rng: Mutex<fastrand::Rng>,
     hung: watch::Sender<bool>,
-    /// Where each member is called back, and connections there that wait for their next word.
+    /// The address at which each member is called back, and idle connections to it.
     calls: Vec<SocketAddr>,
     idle: Vec<Mutex<Vec<TcpStream>>>,
-    /// The beanstalkd server that each member finds, where the worker has one.
+    /// The beanstalkd server for each member, used with that protocol.
     servers: Vec<Arc<Server>>,
 }
 
-/// What a worker is made of.
+/// Parameters of a worker.
 pub struct Plan {
     pub number: usize,
     pub sort: Workers,
@@ -111,10 +111,10 @@
 }
 
 impl Worker {
-    /// Begins to listen; its address for each member.
+    /// Starts to listen and returns the address for each member.
     ///
     /// # Errors
-    /// There are no ports.
+    /// No ports are available.
     pub async fn start(plan: Plan, recorder: Recorder) -> io::Result<(Arc<Worker>, Vec<SocketAddr>)> {
         let Plan { number, sort, classes, probe_cost, keys, calls, seed } = plan;
         let mut sockets = Vec::new();
@@ -153,12 +153,12 @@
         Ok((worker, addrs))
     }
 
-    /// Takes nothing and answers nothing, or goes on.
+    /// Hangs the worker, so that it reads and answers nothing, or resumes it.
     pub fn hang(&self, hung: bool) {
         self.hung.send_replace(hung);
     }
 
-    /// The beanstalkd server that a member finds.
+    /// The beanstalkd server for a member.
     pub fn server(&self, member: usize) -> Arc<Server> {
         self.servers[member].clone()
     }
@@ -171,7 +171,7 @@
         self.state.lock().expect("no holder panics")
     }
 
-    async fn awake(&self) {
+    async fn wait_while_hung(&self) {
         let _ = self.hung.subscribe().wait_for(|hung| !hung).await;
     }
 
@@ -181,32 +181,32 @@
         let mut reader = Reader::new(from);
         while reader.begins().await? {
             let came = self.recorder.now();
-            self.awake().await;
+            self.wait_while_hung().await;
             let first = self.recorder.now();
             let Some(message) = reader.request().await? else { return Ok(()) };
             let (status, headers, body) = match (message.method.as_str(), message.path.as_str()) {
-                ("GET", "/alive" | "/metrics/load") => self.probed(&message, member, came).await,
+                ("GET", "/alive" | "/metrics/load") => self.handle_probe(&message, member, came).await,
                 ("DELETE", path) => {
                     let call = path.strip_prefix("/jobs/").unwrap_or_default();
-                    self.waived(call, member);
+                    self.cancelled(call, member);
                     ("204 No Content", "", String::new())
                 }
                 _ if message.header("x-call-id").is_none() => ("404 Not Found", "", String::new()),
                 _ if self.sort.protocol == Protocol::Http => {
                     let call = message.header("x-call-id").unwrap_or_default().to_owned();
-                    let answered = self.clone().plain(&message, member, first);
+                    let answered = self.clone().handle_http(&message, member, first);
                     tokio::pin!(answered);
                     tokio::select! {
                         answer = &mut answered => answer,
-                        // A dispatcher gives up by ending the connection; bytes of a next request would be
+                        // A dispatcher cancels by closing the connection; bytes of a next request would be
                         // an error of its own.
                         _ = reader.begins() => {
-                            self.waived(&call, member);
+                            self.cancelled(&call, member);
                             return Ok(());
                         }
                     }
                 }
-                _ => self.clone().take(&message, member, first),
+                _ => self.clone().handle_platform(&message, member, first),
             };
             let first = format!("HTTP/1.1 {status}");
             http::write(&mut to, &first, headers, body.as_bytes()).await?;
@@ -214,7 +214,7 @@
         Ok(())
     }
 
-    async fn probed(
+    async fn handle_probe(
         &self,
         message: &Message,
         member: usize,
@@ -225,7 +225,7 @@
         if !self.admits(message, member, came) {
             return ("409 Conflict", "", String::new());
         }
-        // A probe takes a slot for its while, as a job does.
+        // A probe occupies a slot while it runs, as a job does.
         let seq = {
             let mut state = self.state();
             state.last += 1;
@@ -238,7 +238,7 @@
         ("200 OK", "", String::new())
     }
 
-    /// Looks at the fence of an act for the fleet, where it bears one.
+    /// Checks the fencing token of an action for the fleet, if it has one.
     fn admits(&self, message: &Message, member: usize, first: Micros) -> bool {
         let Some(fence) = message.header("x-fence").and_then(read_fence) else { return true };
         let knows = self.sort.knows_fences;
@@ -250,29 +250,29 @@
         accepted
     }
 
-    fn read(message: &Message, (member, first): (usize, Micros), way: ReplyPath) -> Came {
+    fn read(message: &Message, (member, first): (usize, Micros), reply_path: ReplyPath) -> Received {
         let header = |name| message.header(name).map(str::to_owned);
         let (call, key) = (header("x-call-id").unwrap_or_default(), header("idempotency-key"));
-        Came { call, key, member, first, body: message.text(), way }
+        Received { call, key, member, first, body: message.text(), reply_path }
     }
 
-    /// An attempt comes: it starts, waits, or is turned away, which is false.
-    pub fn takes(self: &Arc<Self>, came: Came) -> bool {
+    /// Accepts an attempt, which starts or is queued; false if it is rejected.
+    pub fn accepts(self: &Arc<Self>, came: Received) -> bool {
         let job = self.came(came);
-        self.clone().place(job)
+        self.clone().schedule(job)
     }
 
-    fn came(&self, came: Came) -> Job {
-        let Came { call, key, member, first, body, way } = came;
+    fn came(&self, came: Received) -> Job {
+        let Received { call, key, member, first, body, reply_path } = came;
         let mut state = self.state();
         state.last += 1;
         let seq = state.last;
         let (worker, came) = (self.number, call.clone());
         self.recorder.note(What::Came { worker, seq, call: came, key: key.clone(), member, first });
-        Job { seq, call, key, member, work: self.work(&body), way }
+        Job { seq, call, key, member, work: self.work(&body), reply_path }
     }
 
-    /// How long this job takes, by its class, which stands in the body.
+    /// Draws a job's processing time from its class, which the body names.
     fn work(&self, body: &str) -> Duration {
         let name = body.split(' ').next().unwrap_or_default();
         let mean = self.classes.iter().find(|c| c.name == name).map_or(1.0, |c| c.work_ms);
@@ -280,26 +280,26 @@
         Duration::from_secs_f64(mean / 1000.0 * -(1.0 - even).ln())
     }
 
-    fn take(
+    fn handle_platform(
         self: Arc<Self>,
         message: &Message,
         member: usize,
         first: Micros,
     ) -> (&'static str, &'static str, String) {
-        match self.takes(Self::read(message, (member, first), ReplyPath::Calls)) {
+        match self.accepts(Self::read(message, (member, first), ReplyPath::Calls)) {
             true => ("202 Accepted", "", String::new()),
             false => ("503 Service Unavailable", "X-Rejected: 1\r\n", String::new()),
         }
     }
 
-    async fn plain(
+    async fn handle_http(
         self: Arc<Self>,
         message: &Message,
         member: usize,
         first: Micros,
     ) -> (&'static str, &'static str, String) {
         let (answer, answered) = tokio::sync::oneshot::channel();
-        if !self.takes(Self::read(message, (member, first), ReplyPath::Answer(answer))) {
+        if !self.accepts(Self::read(message, (member, first), ReplyPath::Answer(answer))) {
             return ("503 Service Unavailable", "X-Rejected: 1\r\n", String::new());
         }
         match answered.await {
@@ -308,20 +308,20 @@
         }
     }
 
-    /// Starts a job, lets it wait, or turns it away.
-    fn place(self: Arc<Self>, mut job: Job) -> bool {
+    /// Starts a job, queues it, or rejects it.
+    fn schedule(self: Arc<Self>, mut job: Job) -> bool {
         if self.is_repeat(&mut job) {
             return true;
         }
         let mut state = self.state();
-        if let Some(at) = state.waived.iter().position(|call| *call == job.call) {
-            state.waived.remove(at);
+        if let Some(at) = state.cancelled.iter().position(|call| *call == job.call) {
+            state.cancelled.remove(at);
             drop(state);
             self.ended(&job, Ending::GivenUp, "");
             return true;
         }
         let fits = state.running.len() < self.sort.slots;
-        // A beanstalkd server takes whatever comes.
+        // A beanstalkd server has no queue limit.
         let bounded = self.sort.protocol != Protocol::Beanstalkd;
         if !fits && bounded && state.queue.len() >= self.sort.queue {
             drop(state);
@@ -342,16 +342,16 @@
         true
     }
 
-    /// Whether the group knows the key; then nothing runs, and the one result is told once it is there.
+    /// Whether the group already knows the key. If so, nothing runs, and the existing result is reported when available.
     fn is_repeat(self: &Arc<Self>, job: &mut Job) -> bool {
         let Some(key) = &job.key else { return false };
         let mut keys = self.keys.lock().expect("no holder panics");
         let Some(known) = keys.get_mut(key) else { return false };
-        let (worker, way) = (self.clone(), std::mem::replace(&mut job.way, ReplyPath::Calls));
-        let repeat = Repeat { worker, seq: job.seq, call: job.call.clone(), member: job.member, way };
+        let (worker, reply_path) = (self.clone(), std::mem::replace(&mut job.reply_path, ReplyPath::Calls));
+        let repeat = Repeat { worker, seq: job.seq, call: job.call.clone(), member: job.member, reply_path };
         match known {
             KeyState::Running(waiting) => waiting.push(repeat),
-            KeyState::Done(result) => drop(tokio::spawn(repeat.tell(result.clone()))),
+            KeyState::Done(result) => drop(tokio::spawn(repeat.report(result.clone()))),
         }
         true
     }
@@ -362,10 +362,10 @@
 
     async fn run(self: Arc<Self>, job: Job) {
         self.recorder.note(What::Began { worker: self.number, seq: job.seq });
-        match &job.way {
+        match &job.reply_path {
             ReplyPath::Calls => {
                 let (seq, call) = (job.seq, job.call.clone());
-                tokio::spawn(self.clone().tell(seq, call, job.member, "started", String::new()));
+                tokio::spawn(self.clone().report(seq, call, job.member, "started", String::new()));
             }
             ReplyPath::Answer(_) => {}
             ReplyPath::Tube { server, id, answers } => {
@@ -374,9 +374,9 @@
             }
         }
         sleep(job.work).await;
-        self.awake().await;
+        self.wait_while_hung().await;
         let kept = self.state().running.remove(&job.seq).is_some();
-        self.next();
+        self.start_queued();
         if !kept {
             return;
         }
@@ -386,31 +386,31 @@
             let done = KeyState::Done(result.clone());
             let old = self.keys.lock().expect("no holder panics").insert(key.clone(), done);
             if let Some(KeyState::Running(waiting)) = old {
-                waiting.into_iter().for_each(|repeat| drop(tokio::spawn(repeat.tell(result.clone()))));
+                waiting.into_iter().for_each(|repeat| drop(tokio::spawn(repeat.report(result.clone()))));
             }
         }
-        self.done((job.seq, job.call, job.member), job.way, result).await;
+        self.done((job.seq, job.call, job.member), job.reply_path, result).await;
     }
 
-    /// Tells of a result by the way that is the job's.
+    /// Reports a result over the job's reply path.
     async fn done(
         self: Arc<Self>,
         (seq, call, member): (u64, String, usize),
-        way: ReplyPath,
+        reply_path: ReplyPath,
         result: String,
     ) {
-        match way {
+        match reply_path {
             ReplyPath::Answer(answer) => drop(answer.send(result)),
-            ReplyPath::Calls => self.tell(seq, call, member, "done", result).await,
+            ReplyPath::Calls => self.report(seq, call, member, "done", result).await,
             ReplyPath::Tube { server, id, answers } => {
                 server.answer(&answers, format!("{id} served\n{result}"));
-                server.gone(id);
+                server.remove(id);
             }
         }
     }
 
-    /// Starts what waits, as far as slots are free.
-    fn next(self: &Arc<Self>) {
+    /// Starts queued jobs while slots are free.
+    fn start_queued(self: &Arc<Self>) {
         let mut state = self.state();
         while state.running.len() < self.sort.slots {
             let Some(job) = state.queue.pop_front() else { return };
@@ -419,13 +419,13 @@
         }
     }
 
-    /// A dispatcher gives an attempt up. What waits is forgotten and what runs is stopped, unless it has a key:
-    /// its effect may be done already, so it goes on and repeats find its result.
-    pub fn waived(self: &Arc<Self>, call: &str, member: usize) {
+    /// Cancels an attempt for a dispatcher. A queued job is dropped and a running one is stopped, unless it has a key:
+    /// its effect may already have happened, so it continues and repeats find its result.
+    pub fn cancelled(self: &Arc<Self>, call: &str, member: usize) {
         self.recorder.note(What::Waived { worker: self.number, call: call.into(), member });
         let mut state = self.state();
         if let Some(at) = state.queue.iter().position(|j| j.call == call) {
-            let job = state.queue.remove(at).expect("it stands there");
+            let job = state.queue.remove(at).expect("position is within the queue");
             if let Some(key) = &job.key {
                 self.keys.lock().expect("no holder panics").remove(key);
             }
@@ -434,9 +434,9 @@
         }
         let running = state.running.iter().find(|(_, c)| *c == call).map(|(seq, _)| *seq);
         let Some(seq) = running else {
-            state.waived.push_back(call.into());
-            if state.waived.len() > MOST_WAIVED {
-                state.waived.pop_front();
+            state.cancelled.push_back(call.into());
+            if state.cancelled.len() > MAX_CANCELLED {
+                state.cancelled.pop_front();
             }
             return;
         };
@@ -445,12 +445,12 @@
             let (worker, how) = (self.number, Ending::GivenUp);
             self.recorder.note(What::Ended { worker, seq, how, result: String::new() });
             drop(state);
-            self.next();
+            self.start_queued();
         }
     }
 
-    /// Tells a dispatcher, until it takes the word or all tries are used up.
-    async fn tell(
+    /// Reports a job update to a dispatcher, until it is accepted or all tries have failed.
+    async fn report(
         self: Arc<Self>,
         seq: u64,
         call: String,
@@ -458,22 +458,22 @@
         state: &'static str,
         result: String,
     ) {
-        let word = serde_json::json!({"id": call, "from": format!("w{}", self.number), "state": state,
+        let update = serde_json::json!({"id": call, "from": format!("w{}", self.number), "state": state,
             "result": result});
-        let body = word.to_string();
+        let body = update.to_string();
         let mut taken = false;
-        for _ in 0..TRIES {
-            self.awake().await;
-            taken = matches!(timeout(WORD, self.word(member, &body)).await, Ok(Ok(true)));
+        for _ in 0..UPDATE_TRIES {
+            self.wait_while_hung().await;
+            taken = matches!(timeout(UPDATE_TIMEOUT, self.post_update(member, &body)).await, Ok(Ok(true)));
             if taken {
                 break;
             }
-            sleep(BETWEEN).await;
+            sleep(UPDATE_RETRY_PAUSE).await;
         }
         self.recorder.note(What::Heard { worker: self.number, seq, member, state: state.into(), taken });
     }
 
-    async fn word(&self, member: usize, body: &str) -> io::Result<bool> {
+    async fn post_update(&self, member: usize, body: &str) -> io::Result<bool> {
         let kept = self.idle[member].lock().expect("no holder panics").pop();
         let mut stream = match kept {
             Some(stream) => stream,
@@ -492,10 +492,10 @@
 }
 
 impl Repeat {
-    async fn tell(self, result: String) {
+    async fn report(self, result: String) {
         let (worker, seq, how) = (self.worker.number, self.seq, Ending::Repeat);
         self.worker.recorder.note(What::Ended { worker, seq, how, result: result.clone() });
-        self.worker.done((seq, self.call, self.member), self.way, result).await;
+        self.worker.done((seq, self.call, self.member), self.reply_path, result).await;
     }
 }
 
@@ -505,7 +505,7 @@
     Some(Fence { resource: resource.into(), token: token.parse().ok()? })
 }
 
-/// Calls of keyed classes are told by their names, which clients give.
+/// Whether a call has a key, according to the call id that the client assigned.
 fn has_key(call: &str) -> bool {
     call.starts_with('k')
 }
