--- a/dispatcher/tests/ownership.rs
+++ b/dispatcher/tests/ownership.rs
@@ -5,7 +5,7 @@
 
 use lineroute_lab::checker::Verdict;
 use lineroute_lab::member::{Start, ADMIN_KEY};
-use lineroute_lab::run::{run_alone, runtime, Setup, World};
+use lineroute_lab::run::{run_alone, runtime, Environment, Setup};
 use lineroute_lab::scenario::Scenario;
 use lineroute_lab::trace::What;
 use rstest::rstest;
@@ -210,7 +210,7 @@
 /// A running fleet with its simulated peers, in a runtime of its own.
 struct RunningFleet {
     runtime: tokio::runtime::Runtime,
-    world: World,
+    world: Environment,
     dir: PathBuf,
 }
 
@@ -219,7 +219,7 @@
         let runtime = runtime().expect("a runtime");
         let dir = common::create_temp_dir().join(name);
         let keep = Setup { keep: Some(dir.clone()), ..setup(1) };
-        let world = runtime.block_on(World::start(parse(&scenario(members, 1.0, json!([]))), &keep));
+        let world = runtime.block_on(Environment::start(parse(&scenario(members, 1.0, json!([]))), &keep));
         RunningFleet { runtime, world: world.expect("the fleet starts"), dir }
     }
 
@@ -334,7 +334,7 @@
     fleet.wait_for("a leader", |s| s.leader().is_some());
     let born: Vec<Value> = (0..3).map(|m| fleet.view(m)["born"].clone()).collect();
     // The address at which member 1 reaches member 0.
-    let to = fleet.world.members.links.between[1][0].addr;
+    let to = fleet.world.members.links.fleet[1][0].addr;
     let noise: Vec<Vec<u8>> = vec![
         b"GET / HTTP/1.1\r\n\r\n".to_vec(),
         // A later version of the frame format.
@@ -406,7 +406,7 @@
     let mut text = scenario(4, 1.0, json!([]));
     text["fleet"]["voters"] = json!(["d0", "d1", "d2"]);
     let runtime = runtime().expect("a runtime");
-    let world = runtime.block_on(World::start(parse(&text), &setup(1))).expect("the fleet starts");
+    let world = runtime.block_on(Environment::start(parse(&text), &setup(1))).expect("the fleet starts");
     let fleet = RunningFleet { runtime, world, dir: PathBuf::new() };
     fleet.wait_for("a leader", |s| s.leader().is_some());
     fleet.wait_for("the order to be accepted", |s| {
