--- a/dispatcher/tests/departed_clients.rs
+++ b/dispatcher/tests/departed_clients.rs
@@ -275,7 +275,8 @@
 fn a_job_deleted_while_the_worker_is_connected_to_is_not_sent() {
     let mut closed = BlockedListener::start();
     let settings = SETTINGS.replace(r#""connect_timeout_ms": 1000"#, r#""connect_timeout_ms": 6000"#);
-    let rig = Rig::with_worker_addrs(vec![("w0".into(), closed.addr)], &settings, Some(&beanstalkd_operator()));
+    let rig =
+        Rig::with_worker_addrs(vec![("w0".into(), closed.addr)], &settings, Some(&beanstalkd_operator()));
     let (mut client, id) = put(&rig);
     wait_until("the worker is connected to", || closed.pending_connections() > 0);
     assert_eq!(client.command(&format!("delete {id}")), "DELETED");
--- a/dispatcher/tests/worker_messages.rs
+++ b/dispatcher/tests/worker_messages.rs
@@ -25,7 +25,10 @@
     assert_eq!(rig.workers[0].accept_job(), "c1");
     rig.send_job_update(0, "c1", state, "");
     let seen = rig.workers[0].next_job_request();
-    assert_eq!(seen.message.start_line, "DELETE /jobs/c1 HTTP/1.1", "a second attempt was sent while one runs");
+    assert_eq!(
+        seen.message.start_line, "DELETE /jobs/c1 HTTP/1.1",
+        "a second attempt was sent while one runs"
+    );
     // The next attempt may go out only once the worker has confirmed the cancellation.
     rig.process_pending_events();
     assert!(rig.workers[0].has_no_request());
