--- a/lab/src/faults.rs
+++ b/lab/src/faults.rs
@@ -178,9 +178,10 @@
         };
         let (out, back) = (*direction != Direction::In, *direction != Direction::Out);
         let apply = |w: &mut LinkConditions, member_connects: bool| {
-            let (from_member, toward_member) = if member_connects { (out, back) } else { (back, out) };
-            w.toward_listener = if from_member { way } else { w.toward_listener };
-            w.toward_connector = if toward_member { way } else { w.toward_connector };
+            let (affects_listener, affects_connector) =
+                if member_connects { (out, back) } else { (back, out) };
+            w.toward_listener = if affects_listener { way } else { w.toward_listener };
+            w.toward_connector = if affects_connector { way } else { w.toward_connector };
             w.reset = *reset;
         };
         let links = &self.members.links;
