--- a/src/balance.rs
+++ b/src/balance.rs
@@ -128,7 +128,7 @@
 
 impl Worker {
     /// Rules 3 and 7. Where only draining forbids a send, lists prove little: they may be outdated,
-    /// incomplete or empty. A process once seen draining stays excluded whatever later lists say, and a
+    /// incomplete or empty. A worker once seen draining stays excluded whatever later lists say, and a
     /// worker missing from the list remains a candidate until it cannot be reached.
     pub fn is_candidate(&self, rules: &Rules) -> bool {
         match self.entry.stage {
